--- a/admitter/verdict.go
+++ b/admitter/verdict.go
@@ -25,8 +25,8 @@
 
 func makeRefusals() []Verdict {
 	var made []Verdict
-	for step := range pacer.Count() {
-		made = append(made, Refused{RetryAfter: pacer.At(step)})
+	for step := range pacer.StepCount() {
+		made = append(made, Refused{RetryAfter: pacer.StepWait(step)})
 	}
 	return made
 }
--- a/collector/call.go
+++ b/collector/call.go
@@ -28,7 +28,7 @@
 }
 
 func (e *endpoint) free(slots int, now time.Time) bool {
-	return e.calls < slots && !e.backoff.Holds(now)
+	return e.calls < slots && !e.backoff.Active(now)
 }
 
 // call is one call under way.
@@ -84,7 +84,7 @@
 	var free []*endpoint
 	p.inZone = make(map[string]int)
 	for _, e := range p.endpoints {
-		p.health.Advance(&e.health, now)
+		p.health.StartDueProbe(&e.health, now)
 		if e.health.State() == ejector.InUse {
 			p.inZone[e.Zone]++
 		}
@@ -100,7 +100,7 @@
 }
 
 func (p *Pool) allows(e *endpoint, now time.Time) bool {
-	return p.cfg.Gate == nil || !p.cfg.Gate.SoleFreeAt(e.ID, now).After(now)
+	return p.cfg.Gate == nil || !p.cfg.Gate.SoleNextSendTime(e.ID, now).After(now)
 }
 
 // fillCall takes waiting pieces in their order for as long as the call and the endpoint's space have room.
@@ -160,7 +160,7 @@
 		left = int(room / last)
 	}
 	if p.cfg.Gate != nil {
-		p.cfg.Gate.SentSole(e.ID, now)
+		p.cfg.Gate.RecordSoleSend(e.ID, now)
 	}
 	p.emit(SendCall{Call: c.id, Endpoint: e.Endpoint, Pieces: pieces, Timeout: timeoutFactor * c.expected, Free: left})
 }
@@ -277,7 +277,7 @@
 func (p *Pool) judgeFailure(c *call, end CallEnd, now time.Time) {
 	switch end {
 	case Refused:
-		c.endpoint.backoff.Refused(refusedPauses, now)
+		c.endpoint.backoff.RecordRefusal(refusedPauses, now)
 	case Unreachable:
 		p.judge(c.endpoint, ejector.Down, end, now)
 	default:
@@ -287,23 +287,23 @@
 	}
 }
 
-func (p *Pool) judge(e *endpoint, end ejector.End, why CallEnd, now time.Time) {
+func (p *Pool) judge(e *endpoint, end ejector.Outcome, why CallEnd, now time.Time) {
 	if e.gone {
 		return
 	}
-	if p.health.Ended(&e.health, end, false, now) {
+	if p.health.RecordOutcome(&e.health, end, false, now) {
 		p.emit(Judged{Endpoint: e.Endpoint, Out: e.health.State() != ejector.InUse, Why: why})
 	}
 }
 
 func (p *Pool) takeResults(c *call, results []PieceResult, now time.Time) {
 	if !c.overdue && !c.endpoint.gone {
-		p.judge(c.endpoint, p.health.Took(&c.endpoint.health, now.Sub(c.began), c.expected), Answered, now)
+		p.judge(c.endpoint, p.health.RecordDuration(&c.endpoint.health, now.Sub(c.began), c.expected), Answered, now)
 	}
 	if noneFits(results) {
-		c.endpoint.backoff.Refused(refusedPauses, now)
+		c.endpoint.backoff.RecordRefusal(refusedPauses, now)
 	} else {
-		c.endpoint.backoff.Served()
+		c.endpoint.backoff.RecordSuccess()
 	}
 	var unused []string
 	for i, r := range results {
--- a/collector/collector.go
+++ b/collector/collector.go
@@ -53,16 +53,16 @@
 
 // refusedPauses are how long an endpoint that was full gets no call; the first one is about half of a usual call. Another entry
 // may collect for the same endpoints for a while, and two that ask again as fast as they are refused keep each other out.
-var refusedPauses = regulator.Pauses{First: 80 * time.Millisecond, Longest: 640 * time.Millisecond}
+var refusedPauses = regulator.BackoffBounds{Initial: 80 * time.Millisecond, Max: 640 * time.Millisecond}
 
 // Gate says which calls may go to endpoints that ask for few.
 type Gate interface {
-	// SoleFreeAt tells from when on a call may go to an endpoint that no other entry sends to.
-	SoleFreeAt(endpoint string, now time.Time) time.Time
+	// SoleNextSendTime tells from when on a call may go to an endpoint that no other entry sends to.
+	SoleNextSendTime(endpoint string, now time.Time) time.Time
 	// Limit gives the calls a second that an endpoint takes, if it has named a limit.
 	Limit(endpoint string) (perSecond float64, limited bool)
-	// SentSole notes a call to such an endpoint.
-	SentSole(endpoint string, now time.Time)
+	// RecordSoleSend notes a call to such an endpoint.
+	RecordSoleSend(endpoint string, now time.Time)
 }
 
 // Config sets a Pool up.
--- a/collector/gate_test.go
+++ b/collector/gate_test.go
@@ -14,14 +14,14 @@
 	limits map[string]float64
 }
 
-func (g *stubGate) SoleFreeAt(endpoint string, _ time.Time) time.Time { return g.until[endpoint] }
+func (g *stubGate) SoleNextSendTime(endpoint string, _ time.Time) time.Time { return g.until[endpoint] }
 
 func (g *stubGate) Limit(endpoint string) (float64, bool) {
 	perSecond, limited := g.limits[endpoint]
 	return perSecond, limited
 }
 
-func (g *stubGate) SentSole(endpoint string, now time.Time) {
+func (g *stubGate) RecordSoleSend(endpoint string, now time.Time) {
 	if perSecond, limited := g.limits[endpoint]; limited {
 		g.until[endpoint] = now.Add(time.Duration(float64(time.Second) / perSecond))
 	}
--- a/collector/group.go
+++ b/collector/group.go
@@ -200,7 +200,7 @@
 		if e.health.State() != ejector.InUse {
 			continue
 		}
-		at := p.cfg.Gate.SoleFreeAt(e.ID, now)
+		at := p.cfg.Gate.SoleNextSendTime(e.ID, now)
 		if !at.After(now) {
 			return time.Time{}
 		}
--- a/ejector/ejector.go
+++ b/ejector/ejector.go
@@ -37,13 +37,13 @@
 
 // Config sets a Pool up. Zero fields take the defaults above.
 type Config struct {
-	// MaxShare is the greatest part of a pool that may be out of use at once for serving badly; one
+	// MaxEjectedShare is the greatest part of a pool that may be out of use at once for serving badly; one
 	// endpoint always may, if the pool has another; below 0 none may. Endpoints that refuse connections
 	// are out besides.
-	MaxShare float64
-	// Ejection is how long the first ejection lasts; each further one doubles it, up to MaxEjection.
-	Ejection    time.Duration
-	MaxEjection time.Duration
+	MaxEjectedShare float64
+	// BaseEjection is how long the first ejection lasts; each further one doubles it, up to MaxEjection.
+	BaseEjection time.Duration
+	MaxEjection  time.Duration
 }
 
 // Pool is what is known of a pool as a whole.
@@ -59,11 +59,11 @@
 
 // NewPool makes a pool without endpoints.
 func NewPool(cfg Config) Pool {
-	if cfg.MaxShare == 0 {
-		cfg.MaxShare = defaultMaxShare
+	if cfg.MaxEjectedShare == 0 {
+		cfg.MaxEjectedShare = defaultMaxShare
 	}
-	if cfg.Ejection == 0 {
-		cfg.Ejection = defaultEjection
+	if cfg.BaseEjection == 0 {
+		cfg.BaseEjection = defaultEjection
 	}
 	if cfg.MaxEjection == 0 {
 		cfg.MaxEjection = defaultMaxEjection
@@ -115,11 +115,11 @@
 	*r = Record{}
 }
 
-// Out is how many endpoints are ejected or on probe.
-func (p *Pool) Out() int { return p.out }
+// OutCount is how many endpoints are ejected or on probe.
+func (p *Pool) OutCount() int { return p.out }
 
-// Advance lets an ejection end in a probe when its time has come, and tells whether it did.
-func (p *Pool) Advance(r *Record, now time.Time) bool {
+// StartDueProbe lets an ejection end in a probe when its time has come, and tells whether it did.
+func (p *Pool) StartDueProbe(r *Record, now time.Time) bool {
 	if r.state != Ejected || now.Before(r.until) {
 		return false
 	}
@@ -127,17 +127,17 @@
 	return true
 }
 
-// Restore lets an ejection end in a probe early, since no other endpoint is left. It is not ended at
+// ProbeEarly lets an ejection end in a probe early, since no other endpoint is left. It is not ended at
 // once: a pool that refuses all connections would be tried as fast as it refuses.
-func (p *Pool) Restore(r *Record, now time.Time) {
+func (p *Pool) ProbeEarly(r *Record, now time.Time) {
 	if r.state == Ejected && now.Sub(r.since) >= restoreAfter {
 		r.state = Probing
 	}
 }
 
-// Alive notes a sign of life from the endpoint itself. One that refused connections is probed at once after it,
+// RecordAlive notes a sign of life from the endpoint itself. One that refused connections is probed at once after it,
 // and not only when its ejection ends, and tells whether it is.
-func (p *Pool) Alive(r *Record) bool {
+func (p *Pool) RecordAlive(r *Record) bool {
 	if r.state != Ejected || !r.down {
 		return false
 	}
@@ -157,20 +157,20 @@
 	p.down--
 }
 
-// End is how a call ended, as far as it tells something of the endpoint.
-type End uint8
+// Outcome is how a call ended, as far as it tells something of the endpoint.
+type Outcome uint8
 
 // The ends of calls.
 const (
-	Good End = iota
+	Good Outcome = iota
 	Bad
 	// Down is a refused connection: nothing serves at the address, so one is enough.
 	Down
 )
 
-// Ended takes a call's end and tells whether the endpoint's state has changed by it.
+// RecordOutcome takes a call's end and tells whether the endpoint's state has changed by it.
 // doubted tells that a peer has ejected the endpoint.
-func (p *Pool) Ended(r *Record, end End, doubted bool, now time.Time) bool {
+func (p *Pool) RecordOutcome(r *Record, end Outcome, doubted bool, now time.Time) bool {
 	badness := 1.0
 	if end == Good {
 		badness = 0
@@ -203,24 +203,24 @@
 // into none. An endpoint that refuses connections gives no answers at all, so its ejection has no bound.
 func (p *Pool) mayEject() bool {
 	up := p.size - p.down
-	if p.cfg.MaxShare < 0 {
+	if p.cfg.MaxEjectedShare < 0 {
 		return false
 	}
-	return p.out-p.down+1 <= max(1, int(p.cfg.MaxShare*float64(up))) && up > 1
+	return p.out-p.down+1 <= max(1, int(p.cfg.MaxEjectedShare*float64(up))) && up > 1
 }
 
 func (p *Pool) eject(r *Record, now time.Time) {
 	if now.Sub(r.until) > forgiveAfter {
 		r.ejections = 0
 	}
-	length := p.cfg.Ejection << min(r.ejections, 16)
+	length := p.cfg.BaseEjection << min(r.ejections, 16)
 	r.since = now
 	r.until = now.Add(min(length, p.cfg.MaxEjection))
 	r.ejections++
 	r.state = Ejected
 }
 
-func (p *Pool) endProbe(r *Record, end End, now time.Time) bool {
+func (p *Pool) endProbe(r *Record, end Outcome, now time.Time) bool {
 	p.setDown(r, end == Down)
 	if end != Good {
 		p.eject(r, now)
--- a/ejector/ejector_test.go
+++ b/ejector/ejector_test.go
@@ -12,10 +12,10 @@
 var start = time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
 
 // end gives the endpoints of a pool the same end, in turn, a number of times.
-func end(p *ejector.Pool, records []*ejector.Record, e ejector.End, times int, now time.Time) {
+func end(p *ejector.Pool, records []*ejector.Record, e ejector.Outcome, times int, now time.Time) {
 	for range times {
 		for _, r := range records {
-			p.Ended(r, e, false, now)
+			p.RecordOutcome(r, e, false, now)
 		}
 	}
 }
@@ -37,7 +37,7 @@
 	tests := []struct {
 		testName string
 		bad      int
-		end      ejector.End
+		end      ejector.Outcome
 		times    int
 		out      int
 	}{
@@ -52,7 +52,7 @@
 		t.Run(tt.testName, func(t *testing.T) {
 			p, records := newPool(10)
 			end(p, records[:tt.bad], tt.end, tt.times, start)
-			require.Equal(t, tt.out, p.Out())
+			require.Equal(t, tt.out, p.OutCount())
 		})
 	}
 }
@@ -67,16 +67,16 @@
 	for _, seconds := range []int{1, 2, 4, 8, 16, 16} {
 		require.Equal(t, ejector.Ejected, r.State())
 		require.Equal(t, time.Duration(seconds)*time.Second, r.Until().Sub(now))
-		require.False(t, p.Advance(r, r.Until().Add(-1)))
+		require.False(t, p.StartDueProbe(r, r.Until().Add(-1)))
 		now = r.Until()
-		require.True(t, p.Advance(r, now))
-		p.Ended(r, ejector.Bad, false, now)
+		require.True(t, p.StartDueProbe(r, now))
+		p.RecordOutcome(r, ejector.Bad, false, now)
 	}
 	now = r.Until()
-	p.Advance(r, now)
-	p.Ended(r, ejector.Good, false, now)
+	p.StartDueProbe(r, now)
+	p.RecordOutcome(r, ejector.Good, false, now)
 	require.Equal(t, ejector.InUse, r.State())
-	require.Zero(t, p.Out())
+	require.Zero(t, p.OutCount())
 }
 
 // A straggler's calls count as bad by the pool's own median, whatever the stage was expected to take.
@@ -85,10 +85,10 @@
 	const expected = 10 * time.Millisecond
 	for range 20 {
 		for _, r := range records {
-			require.Equal(t, ejector.Good, p.Took(r, 80*time.Millisecond, expected))
+			require.Equal(t, ejector.Good, p.RecordDuration(r, 80*time.Millisecond, expected))
 		}
 	}
-	require.Equal(t, ejector.Good, p.Took(records[0], 200*time.Millisecond, expected))
-	require.Equal(t, ejector.Bad, p.Took(records[0], 800*time.Millisecond, expected))
+	require.Equal(t, ejector.Good, p.RecordDuration(records[0], 200*time.Millisecond, expected))
+	require.Equal(t, ejector.Bad, p.RecordDuration(records[0], 800*time.Millisecond, expected))
 	require.Greater(t, records[0].Slowness(), 1.5)
 }
--- a/ejector/speed.go
+++ b/ejector/speed.go
@@ -36,9 +36,9 @@
 	m.value -= medianStep
 }
 
-// Took takes the time of a call that ended well, against what its stage usually takes, and tells
+// RecordDuration takes the time of a call that ended well, against what its stage usually takes, and tells
 // whether that was good or bad for an endpoint of this pool.
-func (p *Pool) Took(r *Record, took, expected time.Duration) End {
+func (p *Pool) RecordDuration(r *Record, took, expected time.Duration) Outcome {
 	if expected <= 0 || took <= 0 {
 		return Good
 	}
@@ -52,9 +52,9 @@
 	return Good
 }
 
-// Patience is the time after which a silent call of a stage counts as bad. It is 0 while the pool's
+// SilenceTimeout is the time after which a silent call of a stage counts as bad. It is 0 while the pool's
 // median is not known.
-func (p *Pool) Patience(expected time.Duration) time.Duration {
+func (p *Pool) SilenceTimeout(expected time.Duration) time.Duration {
 	if !p.speed.known || expected <= 0 {
 		return 0
 	}
--- a/experimenter/entry.go
+++ b/experimenter/entry.go
@@ -52,16 +52,16 @@
 // beat tells the other entries of this one's work and pools.
 func (e *entry) beat() {
 	if !e.gone {
-		work, limits, refusals := e.selector.Work(), e.regulator.Limits(e.w.now), e.selector.Refusals(e.w.now)
+		work, limits, refusals := e.selector.OwnWork(), e.regulator.Limits(e.w.now), e.selector.Refusals(e.w.now)
 		for _, other := range e.w.entries {
 			if other != e && !other.gone {
 				e.w.after(e.w.way(e.zone, other.zone), func() {
-					other.selector.SetPeer(e.name, work)
+					other.selector.SetPeerWork(e.name, work)
 					for _, l := range limits {
-						other.regulator.Told(l)
+						other.regulator.ApplyPeerLimit(l)
 					}
 					for _, r := range refusals {
-						other.selector.ToldRefusal(r.Endpoint.ID, r.At)
+						other.selector.RecordPeerRefusal(r.Endpoint.ID, r.At)
 					}
 				})
 			}
@@ -143,7 +143,7 @@
 		m.call(call, func(end collector.CallEnd, results []collector.PieceResult) {
 			notice := m.notice
 			e.w.after(way, func() {
-				e.regulator.Heard(&call.Endpoint, notice, e.w.now)
+				e.regulator.ApplyNotice(&call.Endpoint, notice, e.w.now)
 				e.reduce(service, collector.CallEnded{Call: call.Call, End: end, Results: results})
 			})
 		})
@@ -193,20 +193,22 @@
 	return g.regulator.Allows(e.ID, now)
 }
 
-func (g gate) FreeAt(e *registrar.Endpoint, now time.Time) (time.Time, bool) {
-	return g.regulator.FreeAt(e.ID, now)
+func (g gate) NextSendTime(e *registrar.Endpoint, now time.Time) (time.Time, bool) {
+	return g.regulator.NextSendTime(e.ID, now)
 }
 
-func (g gate) BearsFew(e *registrar.Endpoint) bool {
+func (g gate) Limited(e *registrar.Endpoint) bool {
 	_, limited := g.regulator.Limit(e.ID)
 	return limited
 }
 
-func (g gate) Sent(e *registrar.Endpoint, _ float64, now time.Time) { g.regulator.Sent(e.ID, now) }
+func (g gate) RecordSend(e *registrar.Endpoint, _ float64, now time.Time) {
+	g.regulator.RecordSend(e.ID, now)
+}
 
 // newSelector makes an entry's selector with a random source of its own.
 func newSelector(w *world, n int, reg *regulator.Regulator) *selector.Selector {
-	s := selector.New(selector.Config{Rand: rand.New(rand.NewPCG(w.seed, uint64(n))), Gate: gate{reg}, Off: w.off})
+	s := selector.New(selector.Config{Rand: rand.New(rand.NewPCG(w.seed, uint64(n))), Gate: gate{reg}, Disabled: w.off})
 	s.SetEndpoints(w.endpointsOf(modelPool))
 	return s
 }
--- a/experimenter/request.go
+++ b/experimenter/request.go
@@ -49,7 +49,7 @@
 		Due:       r.began.Add(millis(r.kind.ObjectiveMillis)),
 		FirstBy:   r.began.Add(millis(r.kind.PatienceMillis)),
 		HomeZone:  e.selector.HomeZone(modelPool, r.parts, nil, r.w.now),
-		ModelTime: e.selector.FirstEvent(modelPool, r.parts),
+		ModelTime: e.selector.PredictFirstEvent(modelPool, r.parts),
 		Off:       r.w.off,
 	})
 	if service, over := r.plan.Overload(e, r.w.now); over {
@@ -125,13 +125,13 @@
 // run chooses a model engine and follows its answer.
 func (r *request) run() {
 	r.ended = true
-	ask := selector.Query{Service: modelPool, Parts: r.parts, ZoneBytes: r.plan.ZoneBytes(), Avoid: r.refusedBy}
+	ask := selector.Query{Service: modelPool, Parts: r.parts, ZoneBytes: r.plan.ZoneBytes(), Exclude: r.refusedBy}
 	choice, found := r.entry.selector.Choose(ask, r.w.now)
 	if !found {
 		r.stats.Failed++
 		return
 	}
-	r.entry.selector.Started(choice, r.parts, r.w.now)
+	r.entry.selector.RecordStart(choice, r.parts, r.w.now)
 	engine := r.w.engines[choice.Endpoint.ID]
 	for zone, bytes := range r.plan.ZoneBytes() {
 		r.w.cross(zone, engine.zone, bytes)
@@ -140,7 +140,7 @@
 	way := r.w.way(r.entry.zone, engine.zone)
 	e := r.entry
 	if engine.gone {
-		e.selector.Ended(choice, ejector.Down, r.w.now)
+		e.selector.RecordEnd(choice, ejector.Down, r.w.now)
 		r.run()
 		return
 	}
@@ -150,18 +150,18 @@
 	r.w.after(way, func() {
 		if engine.refuses {
 			r.refusedBy = append(r.refusedBy, engine.id)
-			e.selector.Refused(choice, r.w.now)
-			e.regulator.Heard(&choice.Endpoint, engine.notice, r.w.now)
+			e.selector.RecordRefusal(choice, r.w.now)
+			e.regulator.ApplyNotice(&choice.Endpoint, engine.notice, r.w.now)
 			r.run()
 			return
 		}
 		engine.take(r, func() {
-			e.regulator.Heard(&choice.Endpoint, engine.notice, r.w.now)
-			e.selector.Observe(choice, r.w.now.Sub(sent))
-			e.selector.Read(&choice)
+			e.regulator.ApplyNotice(&choice.Endpoint, engine.notice, r.w.now)
+			e.selector.ObserveFirstEvent(choice, r.w.now.Sub(sent))
+			e.selector.RecordPromptRead(&choice)
 			r.w.freeAll(r.plan.FreeLast())
 			r.answered()
-		}, func() { e.selector.Ended(choice, ejector.Good, r.w.now) })
+		}, func() { e.selector.RecordEnd(choice, ejector.Good, r.w.now) })
 	})
 }
 
--- a/forwarder/attempt.go
+++ b/forwarder/attempt.go
@@ -25,7 +25,7 @@
 	now := time.Now()
 	x.f.mu.Lock()
 	defer x.f.mu.Unlock()
-	held, all := x.f.selector.HeldBack(x.service.Name, x.homes, now)
+	held, all := x.f.selector.Throttled(x.service.Name, x.homes, now)
 	if !all {
 		return notRun("noEndpoint", soon())
 	}
@@ -37,8 +37,8 @@
 	now := time.Now()
 	x.f.mu.Lock()
 	defer x.f.mu.Unlock()
-	held, all := x.f.selector.HeldBack(x.service.Name, x.homes, now)
-	if !all || held.Here && held.Until.Before(x.due) {
+	held, all := x.f.selector.Throttled(x.service.Name, x.homes, now)
+	if !all || held.Local && held.Until.Before(x.due) {
 		return nil
 	}
 	return notRun("endpointsHeldBack", x.f.heldReturn(x.service.Name, held, x.priority, now))
@@ -77,10 +77,10 @@
 }
 
 // end gives an endpoint's call back, and logs a change of its state.
-func (x *exchange) end(choice selector.Choice, end ejector.End, bad bool) {
+func (x *exchange) end(choice selector.Choice, end ejector.Outcome, bad bool) {
 	now := time.Now()
 	x.f.mu.Lock()
-	changed := x.f.selector.Ended(choice, end, now)
+	changed := x.f.selector.RecordEnd(choice, end, now)
 	x.f.mu.Unlock()
 	if changed {
 		x.f.logJudged(x.service.Name, choice.Endpoint, bad)
@@ -91,7 +91,7 @@
 func (x *exchange) endRefused(choice selector.Choice) {
 	now := time.Now()
 	x.f.mu.Lock()
-	changed := x.f.selector.Refused(choice, now)
+	changed := x.f.selector.RecordRefusal(choice, now)
 	x.f.mu.Unlock()
 	if changed {
 		x.f.logJudged(x.service.Name, choice.Endpoint, false)
@@ -114,7 +114,7 @@
 	end := ejector.Bad
 	if !bad {
 		x.f.mu.Lock()
-		end = x.f.selector.Judge(choice, took, x.route.Objective)
+		end = x.f.selector.ClassifyDuration(choice, took, x.route.Objective)
 		x.f.mu.Unlock()
 	}
 	x.end(choice, end, end != ejector.Good)
@@ -123,6 +123,6 @@
 // cancel gives an endpoint's call back that says nothing of the endpoint.
 func (x *exchange) cancel(choice selector.Choice) {
 	x.f.mu.Lock()
-	x.f.selector.Cancelled(choice)
+	x.f.selector.RecordCancel(choice)
 	x.f.mu.Unlock()
 }
--- a/forwarder/crowd_test.go
+++ b/forwarder/crowd_test.go
@@ -38,7 +38,7 @@
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	for i := range all {
-		f.regulator.Heard(all[i].Endpoint, regulator.Notice{Limited: true, PerSecond: 2, Leaving: true}, m.now)
+		f.regulator.ApplyNotice(all[i].Endpoint, regulator.Notice{Limited: true, PerSecond: 2, Leaving: true}, m.now)
 	}
 	return m, rnd
 }
@@ -77,8 +77,8 @@
 				m.deliver(0.1, rnd)
 			}
 			for name, f := range m.nodes {
-				require.Len(t, f.regulator.Limited(), crowd, name)
-				require.Len(t, f.regulator.Leaves(), crowd, name)
+				require.Len(t, f.regulator.LimitedEndpoints(), crowd, name)
+				require.Len(t, f.regulator.LeavingEndpoints(), crowd, name)
 			}
 		})
 	}
@@ -117,8 +117,8 @@
 func (m *mesh) callFromSenders(e *registrar.Endpoint) (n int) {
 	for _, f := range m.nodes {
 		f.mu.Lock()
-		if _, sends := f.regulator.FreeAt(e.ID, m.now); sends {
-			f.regulator.Heard(e, regulator.Notice{Limited: true, PerSecond: 2}, m.now)
+		if _, sends := f.regulator.NextSendTime(e.ID, m.now); sends {
+			f.regulator.ApplyNotice(e, regulator.Notice{Limited: true, PerSecond: 2}, m.now)
 			n++
 		}
 		f.mu.Unlock()
--- a/forwarder/duty_test.go
+++ b/forwarder/duty_test.go
@@ -31,7 +31,7 @@
 	m.nodes[duty].TakeEndpoints([]registrar.Change{endpointAt("a")}, locator.At(0, 0), locator.At(0, 4), now)
 	require.Equal(t, []string{duty}, m.reader(time.Now()))
 	for _, f := range m.nodes {
-		require.Equal(t, 1, f.selector.Count("plain"))
+		require.Equal(t, 1, f.selector.EndpointCount("plain"))
 		from, _ := f.ReadsEndpoints(now)
 		require.Equal(t, locator.At(0, 4), from)
 	}
@@ -45,7 +45,7 @@
 		if name == duty {
 			want = 0
 		}
-		require.Equal(t, want, f.selector.Count("plain"), "news after a gap are of no use")
+		require.Equal(t, want, f.selector.EndpointCount("plain"), "news after a gap are of no use")
 	}
 }
 
@@ -63,7 +63,7 @@
 		}
 	}
 	for name, f := range m.nodes {
-		require.Equal(t, 1, f.selector.Count("plain"), name)
+		require.Equal(t, 1, f.selector.EndpointCount("plain"), name)
 	}
 	require.Contains(t, m.reader(time.Now().Add(newsPatience+rankStep/2)), duty, "it asks on")
 }
--- a/forwarder/forwarder.go
+++ b/forwarder/forwarder.go
@@ -129,7 +129,7 @@
 	// regulator knows which endpoints have asked for less work.
 	regulator *regulator.Regulator
 	// returns are the times given to callers that were refused since a service's endpoints have asked for fewer calls.
-	returns map[string]*regulator.Returns
+	returns map[string]*regulator.ReturnSchedule
 	// divider says by which pools the stages' services are collected.
 	divider     *divider.Divider
 	pools       map[string]*collector.Pool
@@ -188,7 +188,7 @@
 		began:    now,
 		random:   random,
 		registry: registrar.New(registrar.Config{}),
-		selector: selector.New(selector.Config{Rand: random, Ejector: ejectorConfig(cfg.Off), Gate: bounds, Off: cfg.Off}),
+		selector: selector.New(selector.Config{Rand: random, Ejector: ejectorConfig(cfg.Off), Gate: bounds, Disabled: cfg.Off}),
 		detector: detector.New(detector.Config{
 			Self: carrier.Member{
 				Name:          cfg.Name,
@@ -211,9 +211,9 @@
 			HeartbeatEvery:     heartbeatEvery,
 		}),
 		retrier: retrier.New(retrier.Config{
-			Ratio:    cfg.RetryRatio * retryShare,
-			Reserve:  reserveFor(cfg.RetrySlack, usualEntries),
-			Attempts: maxEndpoints,
+			Ratio:       cfg.RetryRatio * retryShare,
+			Reserve:     reserveFor(cfg.RetrySlack, usualEntries),
+			MaxAttempts: maxEndpoints,
 		}),
 		ending:      make(chan struct{}),
 		quarantiner: quarantiner.New(quarantiner.Config{}),
@@ -227,7 +227,7 @@
 		delegations: make(map[delegationID]*delegation),
 		waits:       make(map[string]stageWait),
 
-		returns: make(map[string]*regulator.Returns),
+		returns: make(map[string]*regulator.ReturnSchedule),
 
 		otherSince: make(map[string]time.Time),
 		addresses:  make(map[string]string),
@@ -249,9 +249,9 @@
 // ejectorConfig says how endpoints are taken out of use.
 func ejectorConfig(off switcher.Off) ejector.Config {
 	if off.Has(switcher.Ejection) {
-		return ejector.Config{MaxShare: noneOut}
+		return ejector.Config{MaxEjectedShare: noneOut}
 	}
-	return ejector.Config{MaxShare: maxOut}
+	return ejector.Config{MaxEjectedShare: maxOut}
 }
 
 // reserveFor is one entry's part of the slack that all entries share.
--- a/forwarder/gate.go
+++ b/forwarder/gate.go
@@ -23,23 +23,23 @@
 	return g.regulator.Allows(e.ID, now)
 }
 
-// FreeAt implements selector.Gate.
-func (g *gate) FreeAt(e *registrar.Endpoint, now time.Time) (time.Time, bool) {
-	return g.regulator.FreeAt(e.ID, now)
+// NextSendTime implements selector.Gate.
+func (g *gate) NextSendTime(e *registrar.Endpoint, now time.Time) (time.Time, bool) {
+	return g.regulator.NextSendTime(e.ID, now)
 }
 
-// BearsFew implements selector.Gate.
-func (g *gate) BearsFew(e *registrar.Endpoint) bool {
+// Limited implements selector.Gate.
+func (g *gate) Limited(e *registrar.Endpoint) bool {
 	_, limited := g.regulator.Limit(e.ID)
 	return limited
 }
 
-// Sent implements selector.Gate.
-func (g *gate) Sent(e *registrar.Endpoint, coldPerSecond float64, now time.Time) {
+// RecordSend implements selector.Gate.
+func (g *gate) RecordSend(e *registrar.Endpoint, coldPerSecond float64, now time.Time) {
 	if e.Cold(now) {
-		g.warmer.Sent(e.ID, coldPerSecond, now)
+		g.warmer.RecordSend(e.ID, coldPerSecond, now)
 	}
-	g.regulator.Sent(e.ID, now)
+	g.regulator.RecordSend(e.ID, now)
 }
 
 // setSenders tells which entries may send to endpoints that bear few calls. The lock is held.
--- a/forwarder/handler.go
+++ b/forwarder/handler.go
@@ -225,16 +225,16 @@
 func (x *exchange) choose(query selector.Query) (selector.Choice, bool) {
 	now := time.Now()
 	query.Service = x.service.Name
-	query.Avoid = x.tried
+	query.Exclude = x.tried
 	query.Regions = x.homes
 	query.NoProbe = !x.route.Repeatable()
 	x.f.mu.Lock()
 	choice, found := x.f.selector.Choose(query, now)
 	if found {
-		x.f.selector.Started(choice, query.Parts, now)
+		x.f.selector.RecordStart(choice, query.Parts, now)
 	}
 	age := x.f.registry.Age(now)
-	count := x.f.selector.Count(query.Service)
+	count := x.f.selector.EndpointCount(query.Service)
 	x.f.mu.Unlock()
 	x.f.cfg.Meter.Counter(meter.ForwardCalls, query.Service).Inc(1)
 	x.f.note("endpoint chosen",
@@ -259,10 +259,10 @@
 	x.f.mu.Lock()
 	defer x.f.mu.Unlock()
 	if x.sends == 0 {
-		x.f.retrier.First(x.service.Name, false, now)
+		x.f.retrier.RecordFirstAttempt(x.service.Name, false, now)
 		return true
 	}
-	allowed := x.f.retrier.Retry(x.service.Name, x.sends, now)
+	allowed := x.f.retrier.TakeRetry(x.service.Name, x.sends, now)
 	if allowed {
 		x.f.cfg.Meter.Counter(meter.ForwardRepeats, x.service.Name).Inc(1)
 	}
--- a/forwarder/knowledge.go
+++ b/forwarder/knowledge.go
@@ -34,7 +34,7 @@
 	f.catalog = catalog
 	for name, service := range catalog.Services() {
 		if service.Stage == nil {
-			f.selector.SetCold(name, service.ColdPerSecond)
+			f.selector.SetColdRate(name, service.ColdPerSecond)
 		}
 	}
 	f.duties.forget()
--- a/forwarder/limit_test.go
+++ b/forwarder/limit_test.go
@@ -138,9 +138,9 @@
 		}
 		f.takeNotice(&choice.Endpoint, regulator.Notice{Rest: rest}, p.m.now)
 		f.mu.Lock()
-		f.selector.Refused(choice, p.m.now)
+		f.selector.RecordRefusal(choice, p.m.now)
 		f.mu.Unlock()
-		query.Avoid = append(query.Avoid, id)
+		query.Exclude = append(query.Exclude, id)
 	}
 }
 
@@ -149,13 +149,13 @@
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if sends == 0 {
-		f.retrier.First(query.Service, false, p.m.now)
-	} else if !f.retrier.Retry(query.Service, sends, p.m.now) {
+		f.retrier.RecordFirstAttempt(query.Service, false, p.m.now)
+	} else if !f.retrier.TakeRetry(query.Service, sends, p.m.now) {
 		return selector.Choice{}, false
 	}
 	choice, found := f.selector.Choose(query, p.m.now)
 	if found {
-		f.selector.Started(choice, nil, p.m.now)
+		f.selector.RecordStart(choice, nil, p.m.now)
 	}
 	return choice, found
 }
@@ -182,7 +182,7 @@
 		}
 		f.takeNotice(&a.choice.Endpoint, a.notice, p.m.now)
 		f.mu.Lock()
-		f.selector.Ended(a.choice, ejector.Good, p.m.now)
+		f.selector.RecordEnd(a.choice, ejector.Good, p.m.now)
 		f.mu.Unlock()
 	}
 }
@@ -248,7 +248,7 @@
 			p.limit("a", 0)
 			p.run(5*time.Second, 70)
 			for name, f := range p.m.nodes {
-				require.Empty(t, f.regulator.Limited(), name)
+				require.Empty(t, f.regulator.LimitedEndpoints(), name)
 			}
 			require.Greater(t, p.used("a", 70, time.Second), 0.3, "half of the pool's requests, give or take")
 		})
--- a/forwarder/loadreport.go
+++ b/forwarder/loadreport.go
@@ -13,7 +13,7 @@
 // loadReport tells peers what this entry has under way. The lock is held.
 func (f *Forwarder) loadReport() *carrier.LoadReport {
 	w := &carrier.LoadReport{}
-	for id, tokens := range f.selector.Work() {
+	for id, tokens := range f.selector.OwnWork() {
 		w.Endpoints = append(w.Endpoints, carrier.EndpointWork{ID: id, Tokens: int32(tokens)})
 	}
 	return w
@@ -24,7 +24,7 @@
 	for _, e := range m.Endpoints {
 		tokens[e.ID] = int(e.Tokens)
 	}
-	f.selector.SetPeer(from, tokens)
+	f.selector.SetPeerWork(from, tokens)
 	f.reportedAt[from] = now
 }
 
@@ -32,7 +32,7 @@
 func (f *Forwarder) dropOldReports(now time.Time) {
 	for peer, at := range f.reportedAt {
 		if now.Sub(at) >= reportLife {
-			f.selector.SetPeer(peer, nil)
+			f.selector.SetPeerWork(peer, nil)
 			delete(f.reportedAt, peer)
 		}
 	}
--- a/forwarder/mesh_test.go
+++ b/forwarder/mesh_test.go
@@ -216,7 +216,7 @@
 	defer f.mu.Unlock()
 	choice, found := f.selector.Choose(selector.Query{Service: "plain"}, now)
 	if found {
-		f.selector.Started(choice, nil, now)
+		f.selector.RecordStart(choice, nil, now)
 	}
 	return choice, found
 }
@@ -233,7 +233,7 @@
 	extra := 0
 	for name, f := range m.nodes {
 		require.Len(t, f.liveAddresses(f.detector.Members()), 59, name)
-		for f.retrier.Retry("plain", 1, time.Now()) {
+		for f.retrier.TakeRetry("plain", 1, time.Now()) {
 			extra++
 		}
 	}
--- a/forwarder/note.go
+++ b/forwarder/note.go
@@ -100,7 +100,7 @@
 	if !f.configHeard.IsZero() {
 		m.Gauge(meter.ConfigAge).Update(now.Sub(f.configHeard).Milliseconds())
 	}
-	m.Gauge(meter.EndpointsCold).Update(int64(f.selector.Cold(now)))
+	m.Gauge(meter.EndpointsCold).Update(int64(f.selector.ColdCount(now)))
 	f.measureNotices(now)
 	m.Gauge(meter.PeersLive).Update(int64(len(f.liveAddresses(f.detector.Members()))))
 	if f.registry.Known() {
--- a/forwarder/notice.go
+++ b/forwarder/notice.go
@@ -32,7 +32,7 @@
 		if !f.registry.Lists(e.ID, e.Started) {
 			return nil
 		}
-		change := f.regulator.Heard(e, n, now)
+		change := f.regulator.ApplyNotice(e, n, now)
 		if change.Limit {
 			f.noteLimit(e.ID, n.PerSecond, e.ID)
 		}
@@ -62,7 +62,7 @@
 
 // sparedAt tells whether an endpoint at the address has asked for few calls. The lock is held.
 func (f *Forwarder) sparedAt(address string, now time.Time) bool {
-	return slices.ContainsFunc(f.registry.At(address), func(id string) bool { return f.regulator.Spared(id, now) })
+	return slices.ContainsFunc(f.registry.At(address), func(id string) bool { return f.regulator.ShouldAvoid(id, now) })
 }
 
 // limits tells peers the limits that endpoints have named. The lock is held.
@@ -89,7 +89,7 @@
 			At:        now.Add(-time.Duration(m.AgeMillis) * time.Millisecond),
 		}
 		usable := l.PerSecond >= 0 && f.registry.Lists(l.Endpoint, l.Started)
-		if usable && f.regulator.Told(l) {
+		if usable && f.regulator.ApplyPeerLimit(l) {
 			f.noteLimit(l.Endpoint, l.PerSecond, from)
 		}
 	}
@@ -98,7 +98,7 @@
 // leaving tells peers which endpoints have said that they leave. The lock is held.
 func (f *Forwarder) leaving() []carrier.EndpointLeave {
 	var list []carrier.EndpointLeave
-	for _, l := range nextPart(&f.leavesTold, f.regulator.Leaves(), f.random) {
+	for _, l := range nextPart(&f.leavesTold, f.regulator.LeavingEndpoints(), f.random) {
 		list = append(list, carrier.EndpointLeave{ID: l.Endpoint, StartedMillis: unixMillis(l.Started)})
 	}
 	return list
@@ -108,8 +108,8 @@
 func (f *Forwarder) takeLeaving(list []carrier.EndpointLeave, from string, now time.Time) []func() {
 	changed := false
 	for _, m := range list {
-		l := regulator.Leave{Endpoint: m.ID, Started: timeOf(m.StartedMillis)}
-		if f.registry.Lists(l.Endpoint, l.Started) && f.regulator.ToldLeaving(l) {
+		l := regulator.LeavingEndpoint{Endpoint: m.ID, Started: timeOf(m.StartedMillis)}
+		if f.registry.Lists(l.Endpoint, l.Started) && f.regulator.MarkLeaving(l) {
 			changed = true
 			f.noteLeaving(l.Endpoint, from)
 		}
@@ -137,7 +137,7 @@
 func (f *Forwarder) takeRefusing(list []carrier.EndpointRefusal, now time.Time) {
 	for _, m := range list {
 		if f.registry.Lists(m.ID, timeOf(m.StartedMillis)) {
-			f.selector.ToldRefusal(m.ID, now.Add(-time.Duration(m.AgeMillis)*time.Millisecond))
+			f.selector.RecordPeerRefusal(m.ID, now.Add(-time.Duration(m.AgeMillis)*time.Millisecond))
 		}
 	}
 }
@@ -164,13 +164,13 @@
 		return
 	}
 	leaving := make([]string, 0)
-	for _, l := range f.regulator.Leaves() {
+	for _, l := range f.regulator.LeavingEndpoints() {
 		leaving = append(leaving, l.Endpoint)
 	}
 	for name, ids := range map[meter.Name][]string{
-		meter.EndpointsLimited: f.regulator.Limited(),
+		meter.EndpointsLimited: f.regulator.LimitedEndpoints(),
 		meter.EndpointsLeaving: leaving,
-		meter.EndpointsResting: f.regulator.Resting(now),
+		meter.EndpointsResting: f.regulator.RestingEndpoints(now),
 	} {
 		counts := make(map[string]int64)
 		for _, id := range ids {
--- a/forwarder/peers.go
+++ b/forwarder/peers.go
@@ -268,7 +268,7 @@
 		if t.To != detector.Dead && t.To != detector.Stopped {
 			continue
 		}
-		f.selector.SetPeer(t.Member.Name, nil)
+		f.selector.SetPeerWork(t.Member.Name, nil)
 		for service, p := range f.pools {
 			effects := p.Reduce(collector.OriginLost{Origin: t.Member.Name}, now)
 			todo = append(todo, f.performAll(service, p, effects)...)
--- a/forwarder/stages.go
+++ b/forwarder/stages.go
@@ -41,7 +41,7 @@
 func newStageWork(x *exchange) *stageWork {
 	x.f.mu.Lock()
 	homeZone := x.f.selector.HomeZone(x.service.Name, x.req.Parts, x.homes, time.Now())
-	modelTime := x.f.selector.FirstEvent(x.service.Name, x.req.Parts)
+	modelTime := x.f.selector.PredictFirstEvent(x.service.Name, x.req.Parts)
 	x.f.mu.Unlock()
 	return &stageWork{
 		x:           x,
--- a/forwarder/stream.go
+++ b/forwarder/stream.go
@@ -201,8 +201,8 @@
 		zap.Duration("stagesTook", sent.Sub(x.began)),
 		zap.Duration("modelTook", took))
 	x.f.mu.Lock()
-	x.f.selector.Observe(*choice, time.Since(sent))
-	x.f.selector.Read(choice)
+	x.f.selector.ObserveFirstEvent(*choice, time.Since(sent))
+	x.f.selector.RecordPromptRead(choice)
 	x.f.mu.Unlock()
 	s.stages.free(s.stages.plan.FreeLast())
 	s.head(answer)
--- a/forwarder/wait.go
+++ b/forwarder/wait.go
@@ -98,27 +98,27 @@
 
 // heldReturn tells when a caller should come back whose service takes no call now, since all its endpoints have asked for fewer.
 // The lock is held.
-func (f *Forwarder) heldReturn(service string, held selector.Held, priority int, now time.Time) time.Duration {
+func (f *Forwarder) heldReturn(service string, held selector.Throttle, priority int, now time.Time) time.Duration {
 	r, known := f.returns[service]
 	if !known {
-		r = &regulator.Returns{}
+		r = &regulator.ReturnSchedule{}
 		f.returns[service] = r
 	}
-	return r.After(held.Until, f.returnRate(service), priority <= urgentPriority, now)
+	return r.RetryAfter(held.Until, f.returnRate(service), priority <= urgentPriority, now)
 }
 
 // returnRate is how many of the callers that come back the limits of a service's endpoints allow to each entry; 0 where one has
 // no limit. The lock is held.
 func (f *Forwarder) returnRate(service string) float64 {
 	total := 0.0
-	for _, id := range f.selector.Endpoints(service) {
+	for _, id := range f.selector.EndpointIDs(service) {
 		perSecond, limited := f.regulator.Limit(id)
 		if !limited {
 			return 0
 		}
 		total += perSecond
 	}
-	return total / float64(f.regulator.Entries())
+	return total / float64(f.regulator.EntryCount())
 }
 
 const (
--- a/limiter/verdict.go
+++ b/limiter/verdict.go
@@ -55,8 +55,8 @@
 func makeRefusals() [reasonCount][]Verdict {
 	var made [reasonCount][]Verdict
 	for reason := range reasonCount {
-		for step := range pacer.Count() {
-			made[reason] = append(made[reason], Refused{Reason: reason, RetryAfter: pacer.At(step)})
+		for step := range pacer.StepCount() {
+			made[reason] = append(made[reason], Refused{Reason: reason, RetryAfter: pacer.StepWait(step)})
 		}
 	}
 	return made
--- a/pacer/pacer.go
+++ b/pacer/pacer.go
@@ -9,10 +9,10 @@
 )
 
 const (
-	// Shortest is the first step; callers are never told to come back sooner.
-	Shortest = time.Millisecond
-	// Longest is the last step; a longer wait is told as this one.
-	Longest = 10 * time.Minute
+	// MinWait is the first step; callers are never told to come back sooner.
+	MinWait = time.Millisecond
+	// MaxWait is the last step; a longer wait is told as this one.
+	MaxWait = 10 * time.Minute
 	// growth is the ratio of a step to the one before it.
 	growth = 1.15
 )
@@ -21,17 +21,17 @@
 
 func makeSteps() []time.Duration {
 	var made []time.Duration
-	for d := float64(Shortest); d < float64(Longest); d *= growth {
+	for d := float64(MinWait); d < float64(MaxWait); d *= growth {
 		made = append(made, time.Duration(d))
 	}
-	return append(made, Longest)
+	return append(made, MaxWait)
 }
 
-// Count is the number of steps.
-func Count() int { return len(steps) }
+// StepCount is the number of steps.
+func StepCount() int { return len(steps) }
 
-// At gives the wait of a step.
-func At(step int) time.Duration { return steps[step] }
+// StepWait gives the wait of a step.
+func StepWait(step int) time.Duration { return steps[step] }
 
 // StepFor gives the first step that is no shorter than wait, or the last.
 func StepFor(wait time.Duration) int {
--- a/pacer/pacer_test.go
+++ b/pacer/pacer_test.go
@@ -13,10 +13,10 @@
 // TestStepForRoundsUp holds that no caller is told to come back before its time, nor much after.
 func TestStepForRoundsUp(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		wait := time.Duration(rapid.Int64Range(0, int64(pacer.Longest)).Draw(t, "wait"))
-		told := pacer.At(pacer.StepFor(wait))
+		wait := time.Duration(rapid.Int64Range(0, int64(pacer.MaxWait)).Draw(t, "wait"))
+		told := pacer.StepWait(pacer.StepFor(wait))
 		require.GreaterOrEqual(t, told, wait)
-		require.LessOrEqual(t, told, max(pacer.Shortest, wait*116/100))
+		require.LessOrEqual(t, told, max(pacer.MinWait, wait*116/100))
 	})
-	require.Equal(t, pacer.Longest, pacer.At(pacer.StepFor(time.Hour)))
+	require.Equal(t, pacer.MaxWait, pacer.StepWait(pacer.StepFor(time.Hour)))
 }
--- a/performer/orders.go
+++ b/performer/orders.go
@@ -109,7 +109,7 @@
 func orderResult(response *http.Response) placer.Result {
 	if response.StatusCode == http.StatusOK {
 		if state, ok := readAssignment(response); ok {
-			return placer.Taken{State: state}
+			return placer.Accepted{State: state}
 		}
 		return placer.Uncertain{}
 	}
--- a/performer/orders_test.go
+++ b/performer/orders_test.go
@@ -159,7 +159,7 @@
 	o := newOrders(Config{Endpoints: s.client}, nil)
 	o.ctx = t.Context()
 	wrong := reducer.OrderEngine{Address: s.addresses[0], State: placer.Assignment{Model: "wrong", Version: "0", Role: publisher.RoleBoth}, Until: time.Now().Add(waitLimit)}
-	require.IsType(t, placer.Taken{}, o.send(wrong))
+	require.IsType(t, placer.Accepted{}, o.send(wrong))
 	wrong.Address = s.addresses[1]
 	require.Equal(t, placer.Refused{}, o.send(wrong), "an old number")
 	s.await(map[string]int{"writer": 2, "chat": 2})
@@ -189,7 +189,7 @@
 		want     placer.Result
 	}{
 		{"taken", 200, `{"fence":3,"model":"a","version":"1","role":"both","loading":true}`,
-			placer.Taken{State: placer.Assignment{Model: "a", Version: "1", Role: "both", Loading: true, Fence: 3}}},
+			placer.Accepted{State: placer.Assignment{Model: "a", Version: "1", Role: "both", Loading: true, Fence: 3}}},
 		{"an old number", 409, `{"code":"staleFence","message":"m"}`, placer.Refused{}},
 		{"too many loads", 429, `{"code":"rateLimited","message":"m","retryAfterMillis":50}`,
 			placer.Refused{RetryAfter: 50 * time.Millisecond, Limited: true}},
--- a/placer/bench_test.go
+++ b/placer/bench_test.go
@@ -25,9 +25,9 @@
 			for i := range size.engines {
 				addresses = append(addresses, fmt.Sprintf("10.0.%d.%d:80", i/250, i%250))
 			}
-			p.List(addresses)
+			p.SetEngines(addresses)
 			for i, address := range addresses {
-				p.Observe(address, Assignment{Model: models[i%len(models)].Model, Version: "1", Role: publisher.RoleBoth, Fence: 1}, now, now)
+				p.ObserveState(address, Assignment{Model: models[i%len(models)].Model, Version: "1", Role: publisher.RoleBoth, Fence: 1}, now, now)
 			}
 			b.ReportAllocs()
 			for b.Loop() {
--- a/placer/config.go
+++ b/placer/config.go
@@ -12,15 +12,15 @@
 	DefaultLoadBurst      = 2
 	// DefaultMoveRatio is how much more pressed than the giving model the receiving one must be after the move.
 	DefaultMoveRatio = 1.2
-	// DefaultHoldFor is how long a model must be the more pressed one before it is given an engine of another.
-	DefaultHoldFor = 5 * time.Second
-	// DefaultSmooth is the time in which an old demand fades to a third.
-	DefaultSmooth = 5 * time.Second
-	// DefaultQuietCost is the demand, in endpoint milliseconds, that a model of mean weight counts as having beside
+	// DefaultMoveDelay is how long a model must be the more pressed one before it is given an engine of another.
+	DefaultMoveDelay = 5 * time.Second
+	// DefaultDemandTimeConstant is the time in which an old demand fades to a third.
+	DefaultDemandTimeConstant = 5 * time.Second
+	// DefaultBaselineDemand is the demand, in endpoint milliseconds, that a model of mean weight counts as having beside
 	// its backlog. Below it noise moves nothing, and a quiet pool is shared out by weight.
-	DefaultQuietCost = 1000
-	// DefaultFreshFor is how old the reading of an engine may be for the engine to count as a sure copy.
-	DefaultFreshFor = 10 * time.Second
+	DefaultBaselineDemand = 1000
+	// DefaultStateMaxAge is how old the reading of an engine may be for the engine to count as a sure copy.
+	DefaultStateMaxAge = 10 * time.Second
 	// DefaultRetryAfter is the first wait after an order that failed; MaxRetryAfter the longest.
 	DefaultRetryAfter = time.Second
 	MaxRetryAfter     = time.Minute
@@ -28,24 +28,24 @@
 
 // Config sets a Placer up. Zero fields take the defaults above.
 type Config struct {
-	LoadsPerSecond float64
-	LoadBurst      int
-	MoveRatio      float64
-	HoldFor        time.Duration
-	Smooth         time.Duration
-	QuietCost      float64
-	FreshFor       time.Duration
-	RetryAfter     time.Duration
+	LoadsPerSecond     float64
+	LoadBurst          int
+	MoveRatio          float64
+	MoveDelay          time.Duration
+	DemandTimeConstant time.Duration
+	BaselineDemand     float64
+	StateMaxAge        time.Duration
+	RetryAfter         time.Duration
 }
 
 func (c Config) withDefaults() Config {
 	setDefault(&c.LoadsPerSecond, DefaultLoadsPerSecond)
 	setDefault(&c.LoadBurst, DefaultLoadBurst)
 	setDefault(&c.MoveRatio, DefaultMoveRatio)
-	setDefault(&c.HoldFor, DefaultHoldFor)
-	setDefault(&c.Smooth, DefaultSmooth)
-	setDefault(&c.QuietCost, DefaultQuietCost)
-	setDefault(&c.FreshFor, DefaultFreshFor)
+	setDefault(&c.MoveDelay, DefaultMoveDelay)
+	setDefault(&c.DemandTimeConstant, DefaultDemandTimeConstant)
+	setDefault(&c.BaselineDemand, DefaultBaselineDemand)
+	setDefault(&c.StateMaxAge, DefaultStateMaxAge)
 	setDefault(&c.RetryAfter, DefaultRetryAfter)
 	return c
 }
--- a/placer/load.go
+++ b/placer/load.go
@@ -187,5 +187,5 @@
 	if _, known := p.pressed[to.name]; !known {
 		p.pressed[to.name] = now
 	}
-	s.pressed[to.name] = now.Sub(p.pressed[to.name]) >= p.cfg.HoldFor
+	s.pressed[to.name] = now.Sub(p.pressed[to.name]) >= p.cfg.MoveDelay
 }
--- a/placer/order.go
+++ b/placer/order.go
@@ -12,8 +12,8 @@
 	State   Assignment
 	// Load tells that the engine has to load weights for it.
 	Load bool
-	// Serves is the demand by copy that the load is for, in endpoint milliseconds.
-	Serves float64
+	// ServedDemand is the demand by copy that the load is for, in endpoint milliseconds.
+	ServedDemand float64
 }
 
 // Lease is the orderer's right to order.
@@ -92,5 +92,5 @@
 func (l *load) order(fence int64) Order {
 	state := wantedOf(l.model.placed)
 	state.Fence = fence
-	return Order{Address: l.engine.address, State: state, Load: true, Serves: l.serves}
+	return Order{Address: l.engine.address, State: state, Load: true, ServedDemand: l.serves}
 }
--- a/placer/placer.go
+++ b/placer/placer.go
@@ -33,14 +33,14 @@
 	}
 }
 
-// Share tells how many pools load from the weight store: its rate is for all of them together, and each pool's
+// SetPoolCount tells how many pools load from the weight store: its rate is for all of them together, and each pool's
 // orderer may be another entry.
-func (p *Placer) Share(pools int) {
+func (p *Placer) SetPoolCount(pools int) {
 	p.loads.share(p.cfg.LoadsPerSecond, p.cfg.LoadBurst, max(pools, 1))
 }
 
-// List takes the addresses of the engines that are in use: live and not leaving. Others are forgotten.
-func (p *Placer) List(addresses []string) {
+// SetEngines takes the addresses of the engines that are in use: live and not leaving. Others are forgotten.
+func (p *Placer) SetEngines(addresses []string) {
 	p.addresses = slices.Sorted(slices.Values(addresses))
 	for address := range p.engines {
 		if _, listed := slices.BinarySearch(p.addresses, address); !listed {
@@ -54,12 +54,12 @@
 	}
 }
 
-// Demand takes the present backlog by model in endpoint milliseconds, and smooths it: a burst of a moment must not
+// ObserveDemand takes the present backlog by model in endpoint milliseconds, and smooths it: a burst of a moment must not
 // move an engine, whose load takes longer than the burst.
-func (p *Placer) Demand(backlog map[string]float64, now time.Time) {
+func (p *Placer) ObserveDemand(backlog map[string]float64, now time.Time) {
 	fade := 0.0
 	if !p.demandAt.IsZero() {
-		fade = math.Exp(-float64(now.Sub(p.demandAt)) / float64(p.cfg.Smooth))
+		fade = math.Exp(-float64(now.Sub(p.demandAt)) / float64(p.cfg.DemandTimeConstant))
 	}
 	p.demandAt = now
 	for model := range p.demand {
@@ -79,9 +79,9 @@
 	return e.state, true
 }
 
-// Observe takes an engine's state, read by a call that was sent at asked. One that was asked for before the last
+// ObserveState takes an engine's state, read by a call that was sent at asked. One that was asked for before the last
 // order's end may be from before the order took effect, and says nothing.
-func (p *Placer) Observe(address string, state Assignment, asked, now time.Time) {
+func (p *Placer) ObserveState(address string, state Assignment, asked, now time.Time) {
 	e, known := p.engines[address]
 	if !known || asked.Before(e.readAt) {
 		return
@@ -120,8 +120,8 @@
 // Result tells how an order ended. The set of results is closed.
 type Result interface{ result() }
 
-// Taken carries the state that the engine answered.
-type Taken struct{ State Assignment }
+// Accepted carries the state that the engine answered.
+type Accepted struct{ State Assignment }
 
 // Refused means that the engine surely did not take the order, for RetryAfter if that is known.
 type Refused struct {
@@ -133,12 +133,12 @@
 // Uncertain means that the order may have taken effect. Only reading the engine back tells.
 type Uncertain struct{}
 
-func (Taken) result()     {}
+func (Accepted) result()  {}
 func (Refused) result()   {}
 func (Uncertain) result() {}
 
-// Ended takes the end of an order.
-func (p *Placer) Ended(address string, result Result, now time.Time) {
+// RecordResult takes the end of an order.
+func (p *Placer) RecordResult(address string, result Result, now time.Time) {
 	if r, refused := result.(Refused); refused && r.Limited {
 		p.loads.block(max(r.RetryAfter, p.cfg.RetryAfter), now)
 	}
@@ -147,7 +147,7 @@
 		return
 	}
 	switch r := result.(type) {
-	case Taken:
+	case Accepted:
 		e.settle(r.State, p.cfg.RetryAfter, now)
 		e.state = r.State
 		e.readAt = now
@@ -170,24 +170,24 @@
 	return addresses
 }
 
-// Busy tells that an order to the engine is under way.
-func (p *Placer) Busy(address string) bool {
+// OrderInFlight tells that an order to the engine is under way.
+func (p *Placer) OrderInFlight(address string) bool {
 	e, known := p.engines[address]
 	return known && e.wanted != nil && e.ended.IsZero()
 }
 
-// Doubt tells that an engine failed a call, as one does that was given another model.
-func (p *Placer) Doubt(address string) {
+// MarkDoubtful tells that an engine failed a call, as one does that was given another model.
+func (p *Placer) MarkDoubtful(address string) {
 	if e, known := p.engines[address]; known {
 		e.doubted = true
 	}
 }
 
-// Lacks tells that an engine does not serve a model: its state was read a short time ago, and is another model or one
+// CannotServe tells that an engine does not serve a model: its state was read a short time ago, and is another model or one
 // that it is still loading; or it failed a call since, and is to be read before it gets another.
-func (p *Placer) Lacks(address, model string, now time.Time) bool {
+func (p *Placer) CannotServe(address, model string, now time.Time) bool {
 	e, known := p.engines[address]
-	if !known || e.state.Model == "" || now.Sub(e.readAt) > p.cfg.FreshFor {
+	if !known || e.state.Model == "" || now.Sub(e.readAt) > p.cfg.StateMaxAge {
 		return false
 	}
 	return e.doubted || e.state.Model != model || e.state.Loading
--- a/placer/placer_test.go
+++ b/placer/placer_test.go
@@ -23,7 +23,7 @@
 	require.Empty(t, w.loads, "a quiet pool stays as it is")
 
 	w.demand["b"] = 50_000
-	w.run(DefaultHoldFor)
+	w.run(DefaultMoveDelay)
 	require.Empty(t, w.loads, "a burst moves nothing")
 	w.run(time.Minute)
 	require.Equal(t, []int{1, 9}, w.copies("a", "b"))
@@ -178,21 +178,21 @@
 func TestOnlyALaterReadingSettlesAnOrder(t *testing.T) {
 	w := newWorld(t, placement(placed("a", 1, 1)), "")
 	old := w.engines["e00"].state
-	w.placer.List(w.order)
-	w.placer.Observe("e00", old, w.now, w.now)
+	w.placer.SetEngines(w.order)
+	w.placer.ObserveState("e00", old, w.now, w.now)
 	orders := func() []Order { return w.placer.Orders(w.placed, w.inUse, w.lease, w.now) }
 	given := orders()
 	require.Len(t, given, 1)
 	asked := w.now.Add(time.Second)
 	w.now = w.now.Add(2 * time.Second)
-	w.placer.Observe("e00", old, asked, w.now)
+	w.placer.ObserveState("e00", old, asked, w.now)
 	require.Empty(t, orders(), "under way")
-	w.placer.Ended("e00", Uncertain{}, w.now)
-	w.placer.Observe("e00", old, asked, w.now)
+	w.placer.RecordResult("e00", Uncertain{}, w.now)
+	w.placer.ObserveState("e00", old, asked, w.now)
 	require.Empty(t, orders(), "not read since")
 	require.Equal(t, []string{"e00"}, w.placer.Unsettled())
 	w.now = w.now.Add(time.Second)
-	w.placer.Observe("e00", given[0].State, w.now, w.now)
+	w.placer.ObserveState("e00", given[0].State, w.now, w.now)
 	require.Empty(t, orders(), "it took effect")
 	require.Empty(t, w.placer.Unsettled())
 }
@@ -228,13 +228,13 @@
 	w.run(time.Second)
 	silent := w.now
 	for range 600 {
-		if w.now.Sub(silent) > DefaultFreshFor-DefaultHoldFor {
+		if w.now.Sub(silent) > DefaultStateMaxAge-DefaultMoveDelay {
 			w.demand["b"] = 100_000
 		}
 		w.now = w.now.Add(stepTime)
-		w.placer.Demand(w.demand, w.now)
+		w.placer.ObserveDemand(w.demand, w.now)
 		for _, address := range []string{"e01", "e02"} {
-			w.placer.Observe(address, w.engines[address].state, w.now, w.now)
+			w.placer.ObserveState(address, w.engines[address].state, w.now, w.now)
 		}
 		require.Empty(t, w.placer.Orders(w.placed, w.inUse, w.lease, w.now))
 	}
--- a/placer/survey.go
+++ b/placer/survey.go
@@ -63,14 +63,14 @@
 		placed := &placement.Models[i]
 		m := s.model(placed.Model)
 		m.placed = placed
-		m.demand = p.cfg.QuietCost * placed.Weight / weights * float64(len(placement.Models))
+		m.demand = p.cfg.BaselineDemand * placed.Weight / weights * float64(len(placement.Models))
 	}
 	for _, address := range p.addresses {
 		s.count(p.engines[address])
 	}
 	for name, m := range s.models {
 		m.demand += p.demand[name]
-		m.inUse = inUse[name] || p.demand[name] > p.cfg.QuietCost
+		m.inUse = inUse[name] || p.demand[name] > p.cfg.BaselineDemand
 		s.names = append(s.names, name)
 	}
 	slices.Sort(s.names)
@@ -91,13 +91,13 @@
 	if state.Model != "" {
 		m := s.model(state.Model)
 		m.copies++
-		if !state.Loading && e.sure(s.now, s.cfg.FreshFor) {
+		if !state.Loading && e.sure(s.now, s.cfg.StateMaxAge) {
 			m.ready++
 		}
 	}
 	// An engine whose number is above this lease's has heard of a newer orderer: this one's time is over, though
 	// it has not read so yet.
-	if e.sure(s.now, s.cfg.FreshFor) && !s.now.Before(e.retryAt) && e.state.Fence <= s.lease.Fence {
+	if e.sure(s.now, s.cfg.StateMaxAge) && !s.now.Before(e.retryAt) && e.state.Fence <= s.lease.Fence {
 		s.idle = append(s.idle, e)
 	}
 }
--- a/placer/world_test.go
+++ b/placer/world_test.go
@@ -106,10 +106,10 @@
 			e.state.Loading = false
 		}
 	}
-	w.placer.List(w.order)
-	w.placer.Demand(w.demand, w.now)
+	w.placer.SetEngines(w.order)
+	w.placer.ObserveDemand(w.demand, w.now)
 	for _, address := range w.order {
-		w.placer.Observe(address, w.engines[address].state, w.now, w.now)
+		w.placer.ObserveState(address, w.engines[address].state, w.now, w.now)
 	}
 	for _, o := range w.placer.Orders(w.placed, w.inUse, w.lease, w.now) {
 		w.carry(o)
@@ -134,9 +134,9 @@
 		w.loads = append(w.loads, w.now)
 	}
 	if result == nil {
-		result = Taken{State: e.state}
+		result = Accepted{State: e.state}
 	}
-	w.placer.Ended(o.Address, result, w.now)
+	w.placer.RecordResult(o.Address, result, w.now)
 }
 
 func (w *world) run(d time.Duration) {
--- a/rationer/rationer.go
+++ b/rationer/rationer.go
@@ -13,8 +13,8 @@
 // forgetAfter is how long a call counts: longer than any pause between two.
 const forgetAfter = time.Minute
 
-// Ration is what an endpoint bears.
-type Ration struct {
+// Quota is what an endpoint bears.
+type Quota struct {
 	// Senders is how many entries send to it.
 	Senders int
 	// PerSecond is how many calls a second it bears from all of them together.
@@ -24,7 +24,7 @@
 }
 
 // pause is the time in which one sender may make a call more.
-func (n Ration) pause() time.Duration {
+func (n Quota) pause() time.Duration {
 	return time.Duration(float64(n.Senders) / n.PerSecond * float64(time.Second))
 }
 
@@ -58,22 +58,22 @@
 	r.ranks = make(map[string]int)
 }
 
-// Entries counts the entries that live.
-func (r *Rationer) Entries() int { return len(r.live) }
+// EntryCount counts the entries that live.
+func (r *Rationer) EntryCount() int { return len(r.live) }
 
 // Allows tells whether this entry may send a call to the endpoint now.
-func (r *Rationer) Allows(endpoint string, n Ration, now time.Time) bool {
-	at, sends := r.FreeAt(endpoint, n, now)
+func (r *Rationer) Allows(endpoint string, n Quota, now time.Time) bool {
+	at, sends := r.NextSendTime(endpoint, n, now)
 	return sends && !at.After(now)
 }
 
-// FreeAt tells from when on this entry may send a call to the endpoint, if it is one of the senders.
-func (r *Rationer) FreeAt(endpoint string, n Ration, now time.Time) (at time.Time, sends bool) {
-	return r.SoleFreeAt(endpoint, n, now), r.rank(endpoint) < n.Senders
+// NextSendTime tells from when on this entry may send a call to the endpoint, if it is one of the senders.
+func (r *Rationer) NextSendTime(endpoint string, n Quota, now time.Time) (at time.Time, sends bool) {
+	return r.SoleNextSendTime(endpoint, n, now), r.rank(endpoint) < n.Senders
 }
 
-// SoleFreeAt tells the same where no other entry sends to the endpoint.
-func (r *Rationer) SoleFreeAt(endpoint string, n Ration, now time.Time) time.Time {
+// SoleNextSendTime tells the same where no other entry sends to the endpoint.
+func (r *Rationer) SoleNextSendTime(endpoint string, n Quota, now time.Time) time.Time {
 	level := r.level(endpoint, n, now)
 	if level >= 1 {
 		return now
@@ -81,7 +81,7 @@
 	return now.Add(time.Duration((1 - level) * float64(n.pause())))
 }
 
-func (r *Rationer) level(endpoint string, n Ration, now time.Time) float64 {
+func (r *Rationer) level(endpoint string, n Quota, now time.Time) float64 {
 	b, known := r.buckets[endpoint]
 	if !known {
 		return float64(n.Burst)
@@ -89,8 +89,8 @@
 	return min(float64(n.Burst), b.level+now.Sub(b.at).Seconds()/n.pause().Seconds())
 }
 
-// Sent notes a call to an endpoint.
-func (r *Rationer) Sent(endpoint string, n Ration, now time.Time) {
+// RecordSend notes a call to an endpoint.
+func (r *Rationer) RecordSend(endpoint string, n Quota, now time.Time) {
 	for id, b := range r.buckets {
 		if now.Sub(b.at) > forgetAfter {
 			delete(r.buckets, id)
--- a/reducer/fault.go
+++ b/reducer/fault.go
@@ -107,7 +107,7 @@
 		// The next try runs alone, and few at a time do, so it needs no budget against a storm.
 		c.counters.StageRetries++
 		c.enqueue(r, now)
-	case c.retrier.Retry(stage.Pool, r.attempts, now):
+	case c.retrier.TakeRetry(stage.Pool, r.attempts, now):
 		c.counters.StageRetries++
 		c.enqueue(r, now)
 	default:
--- a/reducer/hedge.go
+++ b/reducer/hedge.go
@@ -121,7 +121,7 @@
 	if len(r.calls) > 1 || c.quarantiner.Verdict(r.digest, now) != quarantiner.Clear {
 		return
 	}
-	if !c.router.Free(pool, now) || !c.retrier.Hedge(pool, r.attempts, c.busy(pool), now) {
+	if !c.router.Free(pool, now) || !c.retrier.TakeHedge(pool, r.attempts, c.busy(pool), now) {
 		return
 	}
 	ask := c.askOf(r)
@@ -156,7 +156,7 @@
 // passGiveUp tries a silent call elsewhere if that is allowed; else waiting on is better than ending it.
 func (c *Core) passGiveUp(r *request, k *call, id CallID, now time.Time) {
 	k.watch = watchTimeout
-	if len(r.calls) > 1 || !c.retrier.Allows(r.stageConfig().Pool, r.attempts) {
+	if len(r.calls) > 1 || !c.retrier.CanRetry(r.stageConfig().Pool, r.attempts) {
 		c.schedule(timer{at: k.lastPart.Add(c.cfg.StageTimeout), kind: timerStage, call: id})
 		return
 	}
--- a/reducer/order.go
+++ b/reducer/order.go
@@ -55,7 +55,7 @@
 
 func (c *Core) newOrdering(pool string) *ordering {
 	o := &ordering{pool: pool, placer: placer.New(c.cfg.Placer), asked: map[string]time.Time{}, peers: map[string]peerDemand{}}
-	o.lacks = o.placer.Lacks
+	o.lacks = o.placer.CannotServe
 	return o
 }
 
@@ -79,7 +79,7 @@
 		c.stepOrdering(o, placement, now)
 	}
 	for pool, o := range c.orderings {
-		o.placer.Share(len(placed))
+		o.placer.SetPoolCount(len(placed))
 		if !placed[pool] {
 			delete(c.orderings, pool)
 		}
@@ -95,7 +95,7 @@
 		c.tellDemand(o.pool, own)
 		return
 	}
-	o.placer.Demand(o.total(own, now), now)
+	o.placer.ObserveDemand(o.total(own, now), now)
 	if lease.Left < leastOrderTime || c.drainer.Phase() != drainer.Serving {
 		return
 	}
@@ -116,7 +116,7 @@
 // readBack asks engines what they hold: each now and then, and at once where an order's end is uncertain.
 func (c *Core) readBack(o *ordering, now time.Time) {
 	addresses := c.router.InUse(o.pool)
-	o.placer.List(addresses)
+	o.placer.SetEngines(addresses)
 	for _, address := range o.placer.Unsettled() {
 		if now.Sub(o.asked[address]) > orderEvery {
 			o.asked[address] = time.Time{}
@@ -125,7 +125,7 @@
 	asked := make(map[string]time.Time, len(addresses))
 	for _, address := range addresses {
 		asked[address] = o.asked[address]
-		if now.Sub(asked[address]) < readAssignmentEvery || o.placer.Busy(address) {
+		if now.Sub(asked[address]) < readAssignmentEvery || o.placer.OrderInFlight(address) {
 			continue
 		}
 		asked[address] = now
@@ -142,7 +142,7 @@
 	if !placed {
 		return
 	}
-	o.placer.Doubt(address)
+	o.placer.MarkDoubtful(address)
 	o.asked[address] = time.Time{}
 	if now.Sub(o.doubted) < readAgainEvery {
 		return
@@ -192,7 +192,7 @@
 
 func (c *Core) takeAssignment(e AssignmentRead, now time.Time) {
 	if o, placed := c.orderings[e.Pool]; placed {
-		o.placer.Observe(e.Address, e.State, e.Asked, now)
+		o.placer.ObserveState(e.Address, e.State, e.Asked, now)
 		c.pump(e.Pool, now)
 	}
 }
@@ -205,7 +205,7 @@
 		c.counters.OrdersUncertain++
 	}
 	if o, placed := c.orderings[e.Pool]; placed {
-		o.placer.Ended(e.Address, e.Result, now)
+		o.placer.RecordResult(e.Address, e.Result, now)
 	}
 }
 
--- a/reducer/order_test.go
+++ b/reducer/order_test.go
@@ -48,7 +48,7 @@
 	e.state = want
 	e.state.Loading = loading
 	e.by = append(e.by, node)
-	return placer.Taken{State: e.state}
+	return placer.Accepted{State: e.state}
 }
 
 // fleet is a world with a placed pool of engines.
--- a/reducer/stage.go
+++ b/reducer/stage.go
@@ -146,7 +146,7 @@
 	stage := r.stageConfig()
 	r.attempts++
 	if r.attempts == 1 {
-		c.retrier.First(stage.Pool, c.busy(stage.Pool), now)
+		c.retrier.RecordFirstAttempt(stage.Pool, c.busy(stage.Pool), now)
 	}
 	r.phase = phaseRunning
 	r.possible++
--- a/reducer/straggler_test.go
+++ b/reducer/straggler_test.go
@@ -35,12 +35,12 @@
 }
 
 // withoutEjection keeps all endpoints in use; hedges and retries are as ever.
-func withoutEjection(cfg *reducer.Config) { cfg.Router.Ejector.MaxShare = -1 }
+func withoutEjection(cfg *reducer.Config) { cfg.Router.Ejector.MaxEjectedShare = -1 }
 
 // withoutAny has neither ejection nor hedges nor retries.
 func withoutAny(cfg *reducer.Config) {
 	withoutEjection(cfg)
-	cfg.Retrier.Attempts = 1
+	cfg.Retrier.MaxAttempts = 1
 }
 
 // recovery is what a straggler does to attainment.
--- a/regulator/backoff_test.go
+++ b/regulator/backoff_test.go
@@ -8,26 +8,26 @@
 )
 
 func TestEachRefusalInARowDoublesThePause(t *testing.T) {
-	p := Pauses{First: 100 * time.Millisecond, Longest: 500 * time.Millisecond}
+	p := BackoffBounds{Initial: 100 * time.Millisecond, Max: 500 * time.Millisecond}
 	var b Backoff
-	require.False(t, b.Holds(now))
+	require.False(t, b.Active(now))
 	for _, millis := range []int{100, 200, 400, 500, 500} {
 		end := now.Add(time.Duration(millis) * time.Millisecond)
-		b.Refused(p, now)
-		require.True(t, b.Holds(end.Add(-1)))
-		require.False(t, b.Holds(end))
+		b.RecordRefusal(p, now)
+		require.True(t, b.Active(end.Add(-1)))
+		require.False(t, b.Active(end))
 	}
-	b.Served()
-	b.Refused(p, now)
-	require.False(t, b.Holds(now.Add(p.First)))
+	b.RecordSuccess()
+	b.RecordRefusal(p, now)
+	require.False(t, b.Active(now.Add(p.Initial)))
 }
 
 func TestAPeersWordHoldsForTheLongestPause(t *testing.T) {
-	p := Pauses{First: 100 * time.Millisecond, Longest: 500 * time.Millisecond}
+	p := BackoffBounds{Initial: 100 * time.Millisecond, Max: 500 * time.Millisecond}
 	var b Backoff
-	b.Told(p, now)
-	b.Told(p, now.Add(-time.Minute))
-	require.True(t, b.Holds(now.Add(p.Longest-1)))
-	require.False(t, b.Holds(now.Add(p.Longest)))
-	require.Zero(t, b.InRow())
+	b.RecordPeerRefusal(p, now)
+	b.RecordPeerRefusal(p, now.Add(-time.Minute))
+	require.True(t, b.Active(now.Add(p.Max-1)))
+	require.False(t, b.Active(now.Add(p.Max)))
+	require.Zero(t, b.ConsecutiveRefusals())
 }
--- a/regulator/policy_test.go
+++ b/regulator/policy_test.go
@@ -56,23 +56,23 @@
 	}
 	ration := r.ration(modelEndpoint.ID, now)
 	if s.senders != nil {
-		ration.Senders, ration.Burst = s.senders(perSecond, r.Entries())
+		ration.Senders, ration.Burst = s.senders(perSecond, r.EntryCount())
 	}
 	if !r.rationer.Allows(modelEndpoint.ID, ration, now) {
 		return false
 	}
-	r.rationer.Sent(modelEndpoint.ID, ration, now)
+	r.rationer.RecordSend(modelEndpoint.ID, ration, now)
 	return true
 }
 
 func (s *sharedWay) heard(entry int, n Notice, now time.Time) {
-	s.regulators[entry].Heard(modelEndpoint, n, now)
+	s.regulators[entry].ApplyNotice(modelEndpoint, n, now)
 }
 
-func (s *sharedWay) knows(entry int) bool { return len(s.regulators[entry].Limited()) > 0 }
+func (s *sharedWay) knows(entry int) bool { return len(s.regulators[entry].LimitedEndpoints()) > 0 }
 
 func (s *sharedWay) told(entry int, perSecond float64, at time.Time) {
-	s.regulators[entry].Told(Limit{Endpoint: modelEndpoint.ID, PerSecond: perSecond, At: at})
+	s.regulators[entry].ApplyPeerLimit(Limit{Endpoint: modelEndpoint.ID, PerSecond: perSecond, At: at})
 }
 
 func (s *sharedWay) live(entry int, names []string) { s.regulators[entry].SetEntries(names) }
@@ -109,12 +109,12 @@
 		lender = rationer.New(owner)
 		p.lenders[owner] = lender
 	}
-	ration := rationer.Ration{Senders: 1, PerSecond: perSecond, Burst: int(perSecond) + 2}
-	if free := lender.SoleFreeAt(modelEndpoint.ID, ration, now); free.After(now) {
+	ration := rationer.Quota{Senders: 1, PerSecond: perSecond, Burst: int(perSecond) + 2}
+	if free := lender.SoleNextSendTime(modelEndpoint.ID, ration, now); free.After(now) {
 		p.waits[entry] = free
 		return false
 	}
-	lender.Sent(modelEndpoint.ID, ration, now)
+	lender.RecordSend(modelEndpoint.ID, ration, now)
 	return true
 }
 
--- a/regulator/regulator.go
+++ b/regulator/regulator.go
@@ -95,9 +95,9 @@
 // SetEntries takes the names of the entries that live, this one among them, in their order.
 func (r *Regulator) SetEntries(live []string) { r.rationer.SetEntries(live) }
 
-// Keep forgets what endpoints have said that are not listed any more in the start that said so; a zero time is that of any
+// Retain forgets what endpoints have said that are not listed any more in the start that said so; a zero time is that of any
 // start.
-func (r *Regulator) Keep(lists func(endpoint string, started time.Time) bool) {
+func (r *Regulator) Retain(lists func(endpoint string, started time.Time) bool) {
 	for id, l := range r.limits {
 		if !lists(id, l.started) {
 			delete(r.limits, id)
@@ -125,11 +125,11 @@
 	Rest    bool
 }
 
-// Heard takes the notice of an endpoint's answer.
-func (r *Regulator) Heard(e *registrar.Endpoint, n Notice, now time.Time) Change {
+// ApplyNotice takes the notice of an endpoint's answer.
+func (r *Regulator) ApplyNotice(e *registrar.Endpoint, n Notice, now time.Time) Change {
 	return Change{
 		Limit:   r.heardLimit(e, n, now),
-		Leaving: n.Leaving && r.ToldLeaving(Leave{Endpoint: e.ID, Started: e.Started}),
+		Leaving: n.Leaving && r.MarkLeaving(LeavingEndpoint{Endpoint: e.ID, Started: e.Started}),
 		Rest:    n.Rest > 0 && r.heardRest(e, now.Add(min(n.Rest, r.cfg.MaxRest)), now),
 	}
 }
@@ -145,8 +145,8 @@
 	return !rested || !known.until.After(now)
 }
 
-// Resting lists the endpoints that have asked this entry for rest.
-func (r *Regulator) Resting(now time.Time) []string {
+// RestingEndpoints lists the endpoints that have asked this entry for rest.
+func (r *Regulator) RestingEndpoints(now time.Time) []string {
 	var ids []string
 	for id, known := range r.rests {
 		if !known.until.After(now) {
@@ -158,34 +158,34 @@
 	return ids
 }
 
-// Leave is an endpoint that leaves.
-type Leave struct {
+// LeavingEndpoint is an endpoint that leaves.
+type LeavingEndpoint struct {
 	Endpoint string
 	// Started is when the start of it began that said so; zero where it does not say.
 	Started time.Time
 }
 
-// ToldLeaving notes an endpoint that leaves, and tells whether that was not known. No answer takes it back: one that says
+// MarkLeaving notes an endpoint that leaves, and tells whether that was not known. No answer takes it back: one that says
 // nothing of it may have been on its way for longer.
-func (r *Regulator) ToldLeaving(m Leave) bool {
+func (r *Regulator) MarkLeaving(m LeavingEndpoint) bool {
 	_, known := r.leaving[m.Endpoint]
 	r.leaving[m.Endpoint] = m.Started
 	return !known
 }
 
-// Leaving tells whether an endpoint has said that it leaves.
-func (r *Regulator) Leaving(endpoint string) bool {
+// IsLeaving tells whether an endpoint has said that it leaves.
+func (r *Regulator) IsLeaving(endpoint string) bool {
 	_, known := r.leaving[endpoint]
 	return known
 }
 
-// Leaves lists the endpoints that have said that they leave, in the order of their ids.
-func (r *Regulator) Leaves() []Leave {
-	list := make([]Leave, 0, len(r.leaving))
+// LeavingEndpoints lists the endpoints that have said that they leave, in the order of their ids.
+func (r *Regulator) LeavingEndpoints() []LeavingEndpoint {
+	list := make([]LeavingEndpoint, 0, len(r.leaving))
 	for id, started := range r.leaving {
-		list = append(list, Leave{Endpoint: id, Started: started})
+		list = append(list, LeavingEndpoint{Endpoint: id, Started: started})
 	}
-	slices.SortFunc(list, func(a, b Leave) int { return cmp.Compare(a.Endpoint, b.Endpoint) })
+	slices.SortFunc(list, func(a, b LeavingEndpoint) int { return cmp.Compare(a.Endpoint, b.Endpoint) })
 	return list
 }
 
@@ -196,8 +196,8 @@
 	return r.take(Limit{Endpoint: e.ID, Started: e.Started, PerSecond: n.PerSecond, At: now})
 }
 
-// Told takes an endpoint's limit that a peer tells, and tells whether it changes what was known.
-func (r *Regulator) Told(m Limit) bool {
+// ApplyPeerLimit takes an endpoint's limit that a peer tells, and tells whether it changes what was known.
+func (r *Regulator) ApplyPeerLimit(m Limit) bool {
 	l, known := r.limits[m.Endpoint]
 	if known && (!m.At.After(l.at) || !sameStart(m.Started, l.started)) {
 		return false
@@ -237,8 +237,8 @@
 	return l.perSecond, true
 }
 
-// Limited lists the endpoints that name a limit.
-func (r *Regulator) Limited() []string {
+// LimitedEndpoints lists the endpoints that name a limit.
+func (r *Regulator) LimitedEndpoints() []string {
 	var ids []string
 	for id, l := range r.limits {
 		if l.perSecond > 0 {
@@ -250,19 +250,19 @@
 
 // Allows tells whether a call may go now to an endpoint that many entries send to.
 func (r *Regulator) Allows(endpoint string, now time.Time) bool {
-	at, sends := r.FreeAt(endpoint, now)
+	at, sends := r.NextSendTime(endpoint, now)
 	return sends && !at.After(now)
 }
 
-// FreeAt tells from when on a call may go to an endpoint that many entries send to. Where this entry sends none, it is about when
+// NextSendTime tells from when on a call may go to an endpoint that many entries send to. Where this entry sends none, it is about when
 // others may.
-func (r *Regulator) FreeAt(endpoint string, now time.Time) (at time.Time, sends bool) {
+func (r *Regulator) NextSendTime(endpoint string, now time.Time) (at time.Time, sends bool) {
 	at = r.rests[endpoint].until
 	perSecond, limited := r.Limit(endpoint)
 	if !limited {
 		return at, true
 	}
-	next, sends := r.rationer.FreeAt(endpoint, r.ration(endpoint, now), now)
+	next, sends := r.rationer.NextSendTime(endpoint, r.ration(endpoint, now), now)
 	if !sends {
 		next = now.Add(time.Duration(float64(time.Second) / perSecond))
 	}
@@ -271,7 +271,7 @@
 
 // ration divides an endpoint's limit. In the spans that the limit is judged by (windowTime), the endpoint may get as many calls
 // more than the limit names as slack gives: that is what the senders may send at once, and replaced ones again.
-func (r *Regulator) ration(endpoint string, now time.Time) rationer.Ration {
+func (r *Regulator) ration(endpoint string, now time.Time) rationer.Quota {
 	l := r.limits[endpoint]
 	slack := slackFor(l.perSecond)
 	senders := slack - replacedSenders
@@ -279,8 +279,8 @@
 	if late := now.Sub(renewed); late > 0 {
 		senders += 1 + int(late/widenEvery)
 	}
-	senders = min(senders, r.rationer.Entries())
-	return rationer.Ration{Senders: senders, PerSecond: l.perSecond, Burst: max(1, slack/(senders+replacedSenders))}
+	senders = min(senders, r.rationer.EntryCount())
+	return rationer.Quota{Senders: senders, PerSecond: l.perSecond, Burst: max(1, slack/(senders+replacedSenders))}
 }
 
 // slackFor is how many calls more than a limit names an endpoint may get in a span of windowTime: half as many again, and fixedSlack.
@@ -288,18 +288,18 @@
 	return int(perSecond*windowTime.Seconds()/2) + fixedSlack
 }
 
-// SoleFreeAt tells the same of an endpoint that only this entry sends to.
-func (r *Regulator) SoleFreeAt(endpoint string, now time.Time) time.Time {
+// SoleNextSendTime tells the same of an endpoint that only this entry sends to.
+func (r *Regulator) SoleNextSendTime(endpoint string, now time.Time) time.Time {
 	at := r.rests[endpoint].until
 	if perSecond, limited := r.Limit(endpoint); limited {
-		at = later(at, r.rationer.SoleFreeAt(endpoint, soleRation(perSecond), now))
+		at = later(at, r.rationer.SoleNextSendTime(endpoint, soleRation(perSecond), now))
 	}
 	return at
 }
 
 // soleRation leaves half of the slack to the entry that takes the duty over.
-func soleRation(perSecond float64) rationer.Ration {
-	return rationer.Ration{Senders: 1, PerSecond: perSecond, Burst: max(1, slackFor(perSecond)/2)}
+func soleRation(perSecond float64) rationer.Quota {
+	return rationer.Quota{Senders: 1, PerSecond: perSecond, Burst: max(1, slackFor(perSecond)/2)}
 }
 
 func later(a, b time.Time) time.Time {
@@ -309,25 +309,25 @@
 	return b
 }
 
-// Entries counts the entries that live.
-func (r *Regulator) Entries() int { return r.rationer.Entries() }
+// EntryCount counts the entries that live.
+func (r *Regulator) EntryCount() int { return r.rationer.EntryCount() }
 
-// Spared tells whether an endpoint has asked for so few calls that none should go there which can be left out.
-func (r *Regulator) Spared(endpoint string, now time.Time) bool {
+// ShouldAvoid tells whether an endpoint has asked for so few calls that none should go there which can be left out.
+func (r *Regulator) ShouldAvoid(endpoint string, now time.Time) bool {
 	_, limited := r.Limit(endpoint)
 	return limited || r.rests[endpoint].until.After(now)
 }
 
-// Sent notes a call to an endpoint that many entries send to.
-func (r *Regulator) Sent(endpoint string, now time.Time) {
+// RecordSend notes a call to an endpoint that many entries send to.
+func (r *Regulator) RecordSend(endpoint string, now time.Time) {
 	if _, limited := r.Limit(endpoint); limited {
-		r.rationer.Sent(endpoint, r.ration(endpoint, now), now)
+		r.rationer.RecordSend(endpoint, r.ration(endpoint, now), now)
 	}
 }
 
-// SentSole notes a call to an endpoint that only this entry sends to.
-func (r *Regulator) SentSole(endpoint string, now time.Time) {
+// RecordSoleSend notes a call to an endpoint that only this entry sends to.
+func (r *Regulator) RecordSoleSend(endpoint string, now time.Time) {
 	if perSecond, limited := r.Limit(endpoint); limited {
-		r.rationer.Sent(endpoint, soleRation(perSecond), now)
+		r.rationer.RecordSend(endpoint, soleRation(perSecond), now)
 	}
 }
--- a/regulator/regulator_test.go
+++ b/regulator/regulator_test.go
@@ -32,7 +32,7 @@
 	live := names(n)
 	for _, name := range live {
 		r := newRegulator(name, live)
-		r.Told(Limit{Endpoint: "a", PerSecond: perSecond, At: now})
+		r.ApplyPeerLimit(Limit{Endpoint: "a", PerSecond: perSecond, At: now})
 		if r.Allows("a", at) {
 			count++
 		}
@@ -59,83 +59,83 @@
 // Guards against an endpoint that nobody sends to since its limit is beyond what counts of entries hold.
 func TestAHugeLimitBoundsNothing(t *testing.T) {
 	r := newRegulator("entry-001", names(300))
-	r.Told(Limit{Endpoint: "a", PerSecond: 1e6, At: now})
+	r.ApplyPeerLimit(Limit{Endpoint: "a", PerSecond: 1e6, At: now})
 	for range 1000 {
 		require.True(t, r.Allows("a", now))
-		r.Sent("a", now)
+		r.RecordSend("a", now)
 	}
 }
 
 func TestASenderKeepsToItsPart(t *testing.T) {
 	e := &registrar.Endpoint{ID: "a"}
 	r := newRegulator("entry", []string{"entry"})
-	require.True(t, r.Heard(e, Notice{Limited: true, PerSecond: 2}, now).Limit)
-	require.False(t, r.Heard(e, Notice{Limited: true, PerSecond: 2}, now).Limit, "nothing new")
+	require.True(t, r.ApplyNotice(e, Notice{Limited: true, PerSecond: 2}, now).Limit)
+	require.False(t, r.ApplyNotice(e, Notice{Limited: true, PerSecond: 2}, now).Limit, "nothing new")
 	for _, way := range []struct {
 		name  string
 		free  func() time.Time
 		sent  func(string, time.Time)
 		burst int
 	}{
-		{"shared", func() time.Time { at, _ := r.FreeAt("a", now); return at }, r.Sent, 3},
-		{"sole", func() time.Time { return r.SoleFreeAt("a", now) }, r.SentSole, 4},
+		{"shared", func() time.Time { at, _ := r.NextSendTime("a", now); return at }, r.RecordSend, 3},
+		{"sole", func() time.Time { return r.SoleNextSendTime("a", now) }, r.RecordSoleSend, 4},
 	} {
 		now := now.Add(time.Minute)
 		for range way.burst {
-			at, sends := r.FreeAt("a", now)
+			at, sends := r.NextSendTime("a", now)
 			require.True(t, sends)
 			require.False(t, at.After(now), way.name)
 			way.sent("a", now)
 		}
 		require.False(t, r.Allows("a", now.Add(400*time.Millisecond)), way.name)
 		require.True(t, r.Allows("a", now.Add(500*time.Millisecond)), way.name)
-		require.Equal(t, now.Add(500*time.Millisecond), r.SoleFreeAt("a", now), way.name)
+		require.Equal(t, now.Add(500*time.Millisecond), r.SoleNextSendTime("a", now), way.name)
 		r.rationer = rationer.New("entry")
 	}
 	require.True(t, r.Allows("b", now), "an endpoint without a limit")
-	require.False(t, r.SoleFreeAt("b", now).After(now))
+	require.False(t, r.SoleNextSendTime("b", now).After(now))
 }
 
 func TestWhatEndsALimit(t *testing.T) {
 	started := time.UnixMilli(1000)
 	limited := func() *Regulator {
 		r := newRegulator("entry-001", names(300))
-		require.True(t, r.Heard(&registrar.Endpoint{ID: "a", Started: started}, Notice{Limited: true, PerSecond: 1}, now).Limit)
-		require.Len(t, r.Limited(), 1)
+		require.True(t, r.ApplyNotice(&registrar.Endpoint{ID: "a", Started: started}, Notice{Limited: true, PerSecond: 1}, now).Limit)
+		require.Len(t, r.LimitedEndpoints(), 1)
 		return r
 	}
 	t.Run("an answer without one", func(t *testing.T) {
 		r := limited()
-		require.True(t, r.Heard(&registrar.Endpoint{ID: "a", Started: started}, Notice{}, now.Add(time.Second)).Limit)
-		require.Empty(t, r.Limited())
+		require.True(t, r.ApplyNotice(&registrar.Endpoint{ID: "a", Started: started}, Notice{}, now.Add(time.Second)).Limit)
+		require.Empty(t, r.LimitedEndpoints())
 		require.True(t, r.Allows("a", now.Add(time.Second)))
 	})
 	t.Run("a peer's word on such an answer", func(t *testing.T) {
 		r := limited()
-		require.True(t, r.Told(Limit{Endpoint: "a", Started: started, At: now.Add(time.Second)}))
-		require.Empty(t, r.Limited())
+		require.True(t, r.ApplyPeerLimit(Limit{Endpoint: "a", Started: started, At: now.Add(time.Second)}))
+		require.Empty(t, r.LimitedEndpoints())
 	})
 	t.Run("not an older word", func(t *testing.T) {
 		r := limited()
-		require.False(t, r.Told(Limit{Endpoint: "a", Started: started, At: now.Add(-time.Second)}))
-		require.Len(t, r.Limited(), 1)
+		require.False(t, r.ApplyPeerLimit(Limit{Endpoint: "a", Started: started, At: now.Add(-time.Second)}))
+		require.Len(t, r.LimitedEndpoints(), 1)
 	})
 	t.Run("not the word of an earlier start", func(t *testing.T) {
 		r := limited()
-		require.False(t, r.Told(Limit{Endpoint: "a", Started: started.Add(-time.Hour), At: now.Add(time.Second)}))
-		require.Len(t, r.Limited(), 1)
+		require.False(t, r.ApplyPeerLimit(Limit{Endpoint: "a", Started: started.Add(-time.Hour), At: now.Add(time.Second)}))
+		require.Len(t, r.LimitedEndpoints(), 1)
 	})
 	t.Run("a new start", func(t *testing.T) {
 		r := limited()
-		r.Keep(listed("a", started))
-		require.Len(t, r.Limited(), 1)
-		r.Keep(listed("a", started.Add(time.Second)))
-		require.Empty(t, r.Limited())
+		r.Retain(listed("a", started))
+		require.Len(t, r.LimitedEndpoints(), 1)
+		r.Retain(listed("a", started.Add(time.Second)))
+		require.Empty(t, r.LimitedEndpoints())
 	})
 	t.Run("the endpoint's end", func(t *testing.T) {
 		r := limited()
-		r.Keep(listed("b", started))
-		require.Empty(t, r.Limited())
+		r.Retain(listed("b", started))
+		require.Empty(t, r.LimitedEndpoints())
 	})
 }
 
@@ -151,9 +151,9 @@
 	r := newRegulator("entry", []string{"entry"})
 	require.Empty(t, r.Limits(now))
 	e := &registrar.Endpoint{ID: "a"}
-	r.Heard(e, Notice{Limited: true, PerSecond: 1}, now)
+	r.ApplyNotice(e, Notice{Limited: true, PerSecond: 1}, now)
 	require.Equal(t, []Limit{{Endpoint: "a", PerSecond: 1, At: now}}, r.Limits(now.Add(time.Minute)))
-	r.Heard(e, Notice{}, now)
+	r.ApplyNotice(e, Notice{}, now)
 	require.Equal(t, []Limit{{Endpoint: "a", At: now}}, r.Limits(now.Add(endedLife-1)))
 	require.Empty(t, r.Limits(now.Add(endedLife)))
 }
--- a/regulator/returns.go
+++ b/regulator/returns.go
@@ -10,17 +10,17 @@
 	maxReturn = 5 * time.Second
 )
 
-// Returns gives the callers that are refused for a service times to come back, one after the other, so that they do not come
+// ReturnSchedule gives the callers that are refused for a service times to come back, one after the other, so that they do not come
 // back together. Callers of an urgent class do not stand behind those of others.
-type Returns struct {
+type ReturnSchedule struct {
 	// urgent and all are the last times that were given to urgent callers and to any.
 	urgent time.Time
 	all    time.Time
 }
 
-// After gives how long a caller is to stay away where the service takes a call again at a time, and then perSecond calls a
+// RetryAfter gives how long a caller is to stay away where the service takes a call again at a time, and then perSecond calls a
 // second from those that come back to this entry; 0 says that it takes as many as before.
-func (r *Returns) After(free time.Time, perSecond float64, urgent bool, now time.Time) time.Duration {
+func (r *ReturnSchedule) RetryAfter(free time.Time, perSecond float64, urgent bool, now time.Time) time.Duration {
 	spacing := returnSpacing
 	if perSecond > 0 {
 		spacing = max(spacing, time.Duration(float64(time.Second)/perSecond))
--- a/regulator/returns_test.go
+++ b/regulator/returns_test.go
@@ -8,23 +8,23 @@
 )
 
 func TestRefusedCallersReturnOneAfterTheOther(t *testing.T) {
-	var r Returns
+	var r ReturnSchedule
 	free := now.Add(time.Second)
-	require.Equal(t, time.Second, r.After(free, 2, false, now))
-	require.Equal(t, 1500*time.Millisecond, r.After(free, 2, false, now))
-	require.Equal(t, time.Second, r.After(free, 2, true, now), "an urgent caller does not stand behind them")
-	require.Equal(t, 1500*time.Millisecond, r.After(free, 2, true, now))
-	require.Equal(t, 2*time.Second, r.After(free, 2, false, now), "all others stand behind it")
+	require.Equal(t, time.Second, r.RetryAfter(free, 2, false, now))
+	require.Equal(t, 1500*time.Millisecond, r.RetryAfter(free, 2, false, now))
+	require.Equal(t, time.Second, r.RetryAfter(free, 2, true, now), "an urgent caller does not stand behind them")
+	require.Equal(t, 1500*time.Millisecond, r.RetryAfter(free, 2, true, now))
+	require.Equal(t, 2*time.Second, r.RetryAfter(free, 2, false, now), "all others stand behind it")
 	for range 100 {
-		require.LessOrEqual(t, r.After(free, 2, false, now), maxReturn)
+		require.LessOrEqual(t, r.RetryAfter(free, 2, false, now), maxReturn)
 	}
 	later := now.Add(time.Minute)
-	require.Zero(t, r.After(later, 2, false, later))
+	require.Zero(t, r.RetryAfter(later, 2, false, later))
 }
 
 func TestAPoolThatHasRestedTakesItsCallersBackSoon(t *testing.T) {
-	var r Returns
+	var r ReturnSchedule
 	free := now.Add(3 * time.Second)
-	require.Equal(t, 3*time.Second, r.After(free, 0, false, now))
-	require.Equal(t, 3*time.Second+returnSpacing, r.After(free, 0, false, now))
+	require.Equal(t, 3*time.Second, r.RetryAfter(free, 0, false, now))
+	require.Equal(t, 3*time.Second+returnSpacing, r.RetryAfter(free, 0, false, now))
 }
--- a/retrier/retrier.go
+++ b/retrier/retrier.go
@@ -20,8 +20,8 @@
 	BusyRatio float64
 	// Reserve is the most extra calls that quiet times may save up.
 	Reserve float64
-	// Attempts is the most attempts of one stage.
-	Attempts int
+	// MaxAttempts is the most attempts of one stage.
+	MaxAttempts int
 }
 
 // Retrier holds the budgets.
@@ -43,8 +43,8 @@
 	if cfg.Reserve == 0 {
 		cfg.Reserve = defaultReserve
 	}
-	if cfg.Attempts == 0 {
-		cfg.Attempts = defaultAttempts
+	if cfg.MaxAttempts == 0 {
+		cfg.MaxAttempts = defaultAttempts
 	}
 	return &Retrier{cfg: cfg, budgets: map[string]*budget{}}
 }
@@ -67,9 +67,9 @@
 	return b
 }
 
-// First notes a first attempt, which earns a part of an extra call: hardly any while the pool is
+// RecordFirstAttempt notes a first attempt, which earns a part of an extra call: hardly any while the pool is
 // busy, since there each extra call takes the place of a first one.
-func (r *Retrier) First(pool string, busy bool, _ time.Time) {
+func (r *Retrier) RecordFirstAttempt(pool string, busy bool, _ time.Time) {
 	ratio := r.cfg.Ratio
 	if busy {
 		ratio = r.cfg.BusyRatio
@@ -78,25 +78,25 @@
 	b.left = min(b.left+ratio, r.cfg.Reserve)
 }
 
-// Allows tells whether Retry would allow one more attempt now.
-func (r *Retrier) Allows(pool string, attempts int) bool {
-	return attempts < r.cfg.Attempts && r.budget(pool).left >= 1
+// CanRetry tells whether Retry would allow one more attempt now.
+func (r *Retrier) CanRetry(pool string, attempts int) bool {
+	return attempts < r.cfg.MaxAttempts && r.budget(pool).left >= 1
 }
 
-// Retry spends one extra call of the pool's budget, if attempts so far and the budget allow it.
+// TakeRetry spends one extra call of the pool's budget, if attempts so far and the budget allow it.
 // Without the budget a pool that comes back is met by all the retries of its absence at once.
-func (r *Retrier) Retry(pool string, attempts int, _ time.Time) bool {
-	if !r.Allows(pool, attempts) {
+func (r *Retrier) TakeRetry(pool string, attempts int, _ time.Time) bool {
+	if !r.CanRetry(pool, attempts) {
 		return false
 	}
 	r.budget(pool).left--
 	return true
 }
 
-// Hedge spends one extra call on a second call beside a silent one. A busy pool has none to spare,
+// TakeHedge spends one extra call on a second call beside a silent one. A busy pool has none to spare,
 // and half of the reserve is left for calls that failed.
-func (r *Retrier) Hedge(pool string, attempts int, busy bool, _ time.Time) bool {
-	if busy || attempts >= r.cfg.Attempts {
+func (r *Retrier) TakeHedge(pool string, attempts int, busy bool, _ time.Time) bool {
+	if busy || attempts >= r.cfg.MaxAttempts {
 		return false
 	}
 	b := r.budget(pool)
--- a/retrier/retrier_test.go
+++ b/retrier/retrier_test.go
@@ -16,11 +16,11 @@
 	now := time.Time{}
 	spend := func(calls int, busy bool) (retries, hedges int) {
 		for range calls {
-			r.First("pool", busy, now)
-			if r.Hedge("pool", 1, busy, now) {
+			r.RecordFirstAttempt("pool", busy, now)
+			if r.TakeHedge("pool", 1, busy, now) {
 				hedges++
 			}
-			if r.Retry("pool", 1, now) {
+			if r.TakeRetry("pool", 1, now) {
 				retries++
 			}
 		}
@@ -32,26 +32,26 @@
 	retries, hedges = spend(1000, true)
 	require.LessOrEqual(t, retries, 5)
 	require.Zero(t, hedges)
-	require.False(t, r.Retry("pool", 3, now))
-	require.False(t, r.Allows("other", 3))
-	require.True(t, r.Allows("other", 1))
+	require.False(t, r.TakeRetry("pool", 3, now))
+	require.False(t, r.CanRetry("other", 3))
+	require.True(t, r.CanRetry("other", 1))
 }
 
 // Four of five entries are found to share the bound: what this one had saved for itself alone must not be spent.
 func TestSetReserveTakesBackWhatWasSaved(t *testing.T) {
-	r := retrier.New(retrier.Config{Ratio: 0.2, Reserve: 10, Attempts: 100})
-	require.True(t, r.Retry("a", 1, time.Time{}))
+	r := retrier.New(retrier.Config{Ratio: 0.2, Reserve: 10, MaxAttempts: 100})
+	require.True(t, r.TakeRetry("a", 1, time.Time{}))
 	r.SetReserve(2)
-	require.True(t, r.Retry("a", 1, time.Time{}))
-	require.True(t, r.Retry("a", 1, time.Time{}))
-	require.False(t, r.Retry("a", 1, time.Time{}))
-	require.True(t, r.Retry("b", 1, time.Time{}))
-	require.True(t, r.Retry("b", 1, time.Time{}))
-	require.False(t, r.Retry("b", 1, time.Time{}))
+	require.True(t, r.TakeRetry("a", 1, time.Time{}))
+	require.True(t, r.TakeRetry("a", 1, time.Time{}))
+	require.False(t, r.TakeRetry("a", 1, time.Time{}))
+	require.True(t, r.TakeRetry("b", 1, time.Time{}))
+	require.True(t, r.TakeRetry("b", 1, time.Time{}))
+	require.False(t, r.TakeRetry("b", 1, time.Time{}))
 	for range 100 {
-		r.First("a", false, time.Time{})
+		r.RecordFirstAttempt("a", false, time.Time{})
 	}
-	require.True(t, r.Retry("a", 1, time.Time{}))
-	require.True(t, r.Retry("a", 1, time.Time{}))
-	require.False(t, r.Retry("a", 1, time.Time{}))
+	require.True(t, r.TakeRetry("a", 1, time.Time{}))
+	require.True(t, r.TakeRetry("a", 1, time.Time{}))
+	require.False(t, r.TakeRetry("a", 1, time.Time{}))
 }
--- a/router/call.go
+++ b/router/call.go
@@ -63,12 +63,12 @@
 
 func (r *Router) judge(e *endpoint, end End, now time.Time) bool {
 	doubted := e.peerEjected > 0
-	var verdict ejector.End
+	var verdict ejector.Outcome
 	switch end.Result {
 	case Succeeded:
 		e.succeeded = now
 		e.pool.observe(end.Took)
-		verdict = e.pool.health.Took(&e.health, end.Took, end.Expected)
+		verdict = e.pool.health.RecordDuration(&e.health, end.Took, end.Expected)
 	case Failed:
 		verdict = ejector.Bad
 	case Unreachable:
@@ -80,7 +80,7 @@
 	default:
 		return false
 	}
-	changed := e.pool.health.Ended(&e.health, verdict, doubted, now)
+	changed := e.pool.health.RecordOutcome(&e.health, verdict, doubted, now)
 	return changed && e.health.State() == ejector.Ejected
 }
 
@@ -102,7 +102,7 @@
 	if !known {
 		return false
 	}
-	changed := e.pool.health.Ended(&e.health, ejector.Bad, e.peerEjected > 0, now)
+	changed := e.pool.health.RecordOutcome(&e.health, ejector.Bad, e.peerEjected > 0, now)
 	r.refresh(e)
 	return changed && e.health.State() == ejector.Ejected
 }
--- a/router/pool.go
+++ b/router/pool.go
@@ -145,7 +145,7 @@
 	p.scannedAt = now
 	p.advanceAt = time.Time{}
 	for _, e := range p.out {
-		p.health.Advance(&e.health, now)
+		p.health.StartDueProbe(&e.health, now)
 		r.refresh(e)
 	}
 }
@@ -155,7 +155,7 @@
 func (r *Router) restoreAll(p *pool, now time.Time) {
 	p.scannedAt = now
 	for _, e := range p.out {
-		p.health.Restore(&e.health, now)
+		p.health.ProbeEarly(&e.health, now)
 		r.refresh(e)
 	}
 }
@@ -196,7 +196,7 @@
 	if !known {
 		return 0
 	}
-	return p.health.Patience(expected)
+	return p.health.SilenceTimeout(expected)
 }
 
 // active is the list of endpoints that peers are told of.
--- a/router/report.go
+++ b/router/report.go
@@ -39,7 +39,7 @@
 	if report.Slots > 0 {
 		e.slots = report.Slots
 	}
-	e.pool.health.Alive(&e.health)
+	e.pool.health.RecordAlive(&e.health)
 	r.takeLeavingWord(e, report, now)
 	over := float64(report.Running+report.Waiting) - e.past.at(report.AsOf, e.calls())
 	e.foreign += foreignWeight * (over - e.foreign)
--- a/selector/bench_test.go
+++ b/selector/bench_test.go
@@ -14,8 +14,8 @@
 			for b.Loop() {
 				own++
 				choice, _ := s.Choose(Query{Service: "pool", Parts: prompt(own%40, 1000+own)}, now)
-				s.Started(choice, prompt(own%40, 1000+own), now)
-				s.Cancelled(choice)
+				s.RecordStart(choice, prompt(own%40, 1000+own), now)
+				s.RecordCancel(choice)
 			}
 		})
 	}
--- a/selector/pace.go
+++ b/selector/pace.go
@@ -13,8 +13,8 @@
 	leastTokens = 1000
 )
 
-// Observe takes the time from a call's sending to its first event.
-func (s *Selector) Observe(choice Choice, took time.Duration) {
+// ObserveFirstEvent takes the time from a call's sending to its first event.
+func (s *Selector) ObserveFirstEvent(choice Choice, took time.Duration) {
 	e, known := s.chosen(&choice)
 	if !known || choice.Tokens < leastTokens || took <= firstStep {
 		return
@@ -23,8 +23,8 @@
 	e.pool.pace += paceWeight * (seen - e.pool.pace)
 }
 
-// FirstEvent predicts the time to the first event of a prompt whose shared parts are held.
-func (s *Selector) FirstEvent(service string, parts []Part) time.Duration {
+// PredictFirstEvent predicts the time to the first event of a prompt whose shared parts are held.
+func (s *Selector) PredictFirstEvent(service string, parts []Part) time.Duration {
 	pace := float64(usualPace)
 	if p, known := s.pools[service]; known {
 		pace = p.pace
--- a/selector/refusal.go
+++ b/selector/refusal.go
@@ -12,23 +12,23 @@
 
 // refusedPauses are how long an endpoint that has refused a call gets none while another one takes them. An endpoint that has
 // room again has its share again within the longest one.
-var refusedPauses = regulator.Pauses{First: 80 * time.Millisecond, Longest: time.Second}
+var refusedPauses = regulator.BackoffBounds{Initial: 80 * time.Millisecond, Max: time.Second}
 
-// Refused takes the end of a call that its endpoint has refused unrun, and tells whether the endpoint was let back by it. With
+// RecordRefusal takes the end of a call that its endpoint has refused unrun, and tells whether the endpoint was let back by it. With
 // its calls ended at once it looks idle, and would draw the pool's work.
-func (s *Selector) Refused(choice Choice, now time.Time) bool {
+func (s *Selector) RecordRefusal(choice Choice, now time.Time) bool {
 	e, known := s.chosen(&choice)
 	if !known {
 		return false
 	}
-	e.backoff.Refused(refusedPauses, now)
+	e.backoff.RecordRefusal(refusedPauses, now)
 	s.refusing[e] = true
 	if e.health.State() != ejector.Probing {
-		s.Cancelled(choice)
+		s.RecordCancel(choice)
 		return false
 	}
 	// It answers, which is what the probe was to find out.
-	return s.Ended(choice, ejector.Good, now)
+	return s.RecordEnd(choice, ejector.Good, now)
 }
 
 // Refusal is an endpoint that refuses calls.
@@ -46,21 +46,21 @@
 func (s *Selector) Refusals(now time.Time) []Refusal {
 	var list []Refusal
 	for e := range s.refusing {
-		if now.Sub(e.backoff.At()) >= refusedPauses.Longest {
+		if now.Sub(e.backoff.LastRefusal()) >= refusedPauses.Max {
 			delete(s.refusing, e)
 			continue
 		}
-		if e.backoff.InRow() >= persistentRefusals {
-			list = append(list, Refusal{Endpoint: e.Endpoint, At: e.backoff.At()})
+		if e.backoff.ConsecutiveRefusals() >= persistentRefusals {
+			list = append(list, Refusal{Endpoint: e.Endpoint, At: e.backoff.LastRefusal()})
 		}
 	}
 	slices.SortFunc(list, func(a, b Refusal) int { return strings.Compare(a.Endpoint.ID, b.Endpoint.ID) })
 	return list
 }
 
-// ToldRefusal notes that an endpoint refuses a peer's calls, as of a time: while others can, it takes none from here either.
-func (s *Selector) ToldRefusal(endpoint string, at time.Time) {
+// RecordPeerRefusal notes that an endpoint refuses a peer's calls, as of a time: while others can, it takes none from here either.
+func (s *Selector) RecordPeerRefusal(endpoint string, at time.Time) {
 	if e, known := s.byID[endpoint]; known {
-		e.backoff.Told(refusedPauses, at)
+		e.backoff.RecordPeerRefusal(refusedPauses, at)
 	}
 }
--- a/selector/selector.go
+++ b/selector/selector.go
@@ -20,9 +20,9 @@
 	// DefaultCallTokens is what a call counts beside its prompt: it delays the tokens of all calls beside it
 	// about as much as this many prompt tokens, at a step of 5 ms and 40 prompt tokens a millisecond.
 	DefaultCallTokens = 400
-	// DefaultFarTokens is what a megabyte of stage results that must cross availability zones counts, in prompt
+	// DefaultCrossZoneTokens is what a megabyte of stage results that must cross availability zones counts, in prompt
 	// tokens: the users' sheets price the crossing of a megabyte like the reading of some 450 tokens.
-	DefaultFarTokens = 450
+	DefaultCrossZoneTokens = 450
 	// rereadWeight is what the reading of a shared token counts more than a token that waits: a prompt of 13,000
 	// shared tokens goes to the endpoint that holds it until some 30,000 tokens, under a second, wait there.
 	rereadWeight = 2.5
@@ -46,8 +46,8 @@
 	Service string
 	// Parts are the prompt's parts in order; empty for plain calls.
 	Parts []Part
-	// Avoid are the endpoints that were tried already.
-	Avoid []string
+	// Exclude are the endpoints that were tried already.
+	Exclude []string
 	// NoProbe keeps the call from an endpoint on probe: the failure of a call that must not be repeated would
 	// reach its caller.
 	NoProbe bool
@@ -72,13 +72,13 @@
 // Config sets a Selector up. Zero fields take the defaults above.
 type Config struct {
 	// Gate bounds the calls to endpoints that bear few; nil sends to them as to any other.
-	Gate       Gate
-	Rand       *rand.Rand
-	CallTokens int
-	FarTokens  int
-	Ejector    ejector.Config
-	// Off are the mechanisms that are switched off.
-	Off switcher.Off
+	Gate            Gate
+	Rand            *rand.Rand
+	CallTokens      int
+	CrossZoneTokens int
+	Ejector         ejector.Config
+	// Disabled are the mechanisms that are switched off.
+	Disabled switcher.Off
 }
 
 // Selector knows the endpoints of all services and the work under way at each.
@@ -123,8 +123,8 @@
 	if cfg.CallTokens == 0 {
 		cfg.CallTokens = DefaultCallTokens
 	}
-	if cfg.FarTokens == 0 {
-		cfg.FarTokens = DefaultFarTokens
+	if cfg.CrossZoneTokens == 0 {
+		cfg.CrossZoneTokens = DefaultCrossZoneTokens
 	}
 	return &Selector{
 		cfg:   cfg,
@@ -162,8 +162,8 @@
 	}
 }
 
-// SetCold takes how many calls a second a cold endpoint of the service bears.
-func (s *Selector) SetCold(service string, perSecond float64) {
+// SetColdRate takes how many calls a second a cold endpoint of the service bears.
+func (s *Selector) SetColdRate(service string, perSecond float64) {
 	s.pool(service).coldPerSecond = perSecond
 }
 
@@ -214,8 +214,8 @@
 	return e, true
 }
 
-// Count tells how many endpoints of the service may get work.
-func (s *Selector) Count(service string) int {
+// EndpointCount tells how many endpoints of the service may get work.
+func (s *Selector) EndpointCount(service string) int {
 	p, known := s.pools[service]
 	if !known {
 		return 0
@@ -223,8 +223,8 @@
 	return len(p.endpoints)
 }
 
-// Endpoints lists the ids of the service's endpoints that may get work.
-func (s *Selector) Endpoints(service string) []string {
+// EndpointIDs lists the ids of the service's endpoints that may get work.
+func (s *Selector) EndpointIDs(service string) []string {
 	p, known := s.pools[service]
 	if !known {
 		return nil
@@ -236,8 +236,8 @@
 	return ids
 }
 
-// Cold counts the endpoints that are in their slow start.
-func (s *Selector) Cold(now time.Time) (n int) {
+// ColdCount counts the endpoints that are in their slow start.
+func (s *Selector) ColdCount(now time.Time) (n int) {
 	for _, e := range s.byID {
 		if e.Cold(now) {
 			n++
@@ -272,7 +272,7 @@
 
 // allowed tells whether the call may go to the endpoint at all.
 func (p *pool) allowed(e *endpoint, query *Query, gate Gate, now time.Time) bool {
-	if slices.Contains(query.Avoid, e.ID) || query.Regions != nil && !slices.Contains(query.Regions, e.Region) {
+	if slices.Contains(query.Exclude, e.ID) || query.Regions != nil && !slices.Contains(query.Regions, e.Region) {
 		return false
 	}
 	return gate == nil || gate.Allows(&e.Endpoint, p.coldPerSecond, now)
@@ -282,12 +282,12 @@
 func (p *pool) candidates(query *Query, gate Gate, now time.Time) []*endpoint {
 	var usable, refusing, probing, out []*endpoint
 	for _, e := range p.endpoints {
-		p.health.Advance(&e.health, now)
+		p.health.StartDueProbe(&e.health, now)
 		if !p.allowed(e, query, gate, now) {
 			continue
 		}
 		switch {
-		case e.health.State() == ejector.InUse && e.backoff.Holds(now):
+		case e.health.State() == ejector.InUse && e.backoff.Active(now):
 			refusing = append(refusing, e)
 		case e.health.State() == ejector.InUse:
 			usable = append(usable, e)
@@ -298,7 +298,7 @@
 		}
 	}
 	switch {
-	case len(probing) > 0 && !query.NoProbe && len(query.Avoid) == 0:
+	case len(probing) > 0 && !query.NoProbe && len(query.Exclude) == 0:
 		// A quiet pool would never try it again if better ones always went first.
 		return probing[:1]
 	case len(usable) > 0:
@@ -330,17 +330,17 @@
 	score := float64(e.tokens+e.peerTokens+own) + (rereadWeight-1)*float64(shared-cached)
 	score *= e.health.Slowness()
 	for zone, n := range query.ZoneBytes {
-		if zone != e.Zone && !s.cfg.Off.Has(switcher.NearResults) {
-			score += float64(n) / 1e6 * float64(s.cfg.FarTokens)
+		if zone != e.Zone && !s.cfg.Disabled.Has(switcher.NearResults) {
+			score += float64(n) / 1e6 * float64(s.cfg.CrossZoneTokens)
 		}
 	}
-	return Choice{Endpoint: e.Endpoint, Tokens: own, Cached: cached, turn: e.turn, refusals: e.backoff.Total()}, score
+	return Choice{Endpoint: e.Endpoint, Tokens: own, Cached: cached, turn: e.turn, refusals: e.backoff.TotalRefusals()}, score
 }
 
 // homesOf gives the endpoints at which the prompt's largest shared beginning is kept, in their order. An endpoint that bears
 // few of the calls that would come for the parts is none.
 func (s *Selector) homesOf(p *pool, query *Query, keys []uint64, now time.Time) []*endpoint {
-	if len(keys) < 2 || s.cfg.Off.Has(switcher.PromptHomes) {
+	if len(keys) < 2 || s.cfg.Disabled.Has(switcher.PromptHomes) {
 		return nil
 	}
 	key := keys[largestShared(query.Parts)]
@@ -380,22 +380,22 @@
 	return home[0].Zone
 }
 
-// Started counts a call at an endpoint, and takes its prompt parts as held there from now on.
-func (s *Selector) Started(choice Choice, parts []Part, now time.Time) {
+// RecordStart counts a call at an endpoint, and takes its prompt parts as held there from now on.
+func (s *Selector) RecordStart(choice Choice, parts []Part, now time.Time) {
 	e, known := s.chosen(&choice)
 	if !known {
 		return
 	}
 	if s.cfg.Gate != nil {
-		s.cfg.Gate.Sent(&e.Endpoint, e.pool.coldPerSecond, now)
+		s.cfg.Gate.RecordSend(&e.Endpoint, e.pool.coldPerSecond, now)
 	}
 	e.calls++
 	s.addWork(e, choice.Tokens)
 	e.cache.remember(chainKeys(parts))
 }
 
-// Read notes that the call's prompt has been read: only its own running is still work.
-func (s *Selector) Read(choice *Choice) {
+// RecordPromptRead notes that the call's prompt has been read: only its own running is still work.
+func (s *Selector) RecordPromptRead(choice *Choice) {
 	e, known := s.chosen(choice)
 	left := min(choice.Tokens, s.cfg.CallTokens)
 	if known {
@@ -404,40 +404,40 @@
 	choice.Tokens = left
 }
 
-// Ended takes a call's end and tells whether the endpoint was ejected, or let back, by it.
-func (s *Selector) Ended(choice Choice, end ejector.End, now time.Time) bool {
+// RecordEnd takes a call's end and tells whether the endpoint was ejected, or let back, by it.
+func (s *Selector) RecordEnd(choice Choice, end ejector.Outcome, now time.Time) bool {
 	e, known := s.chosen(&choice)
 	if !known {
 		return false
 	}
-	if choice.refusals == e.backoff.Total() {
+	if choice.refusals == e.backoff.TotalRefusals() {
 		// It has refused nothing since the call was sent.
-		e.backoff.Served()
+		e.backoff.RecordSuccess()
 	}
 	e.calls--
 	s.addWork(e, -choice.Tokens)
-	return e.pool.health.Ended(&e.health, end, false, now)
+	return e.pool.health.RecordOutcome(&e.health, end, false, now)
 }
 
-// Cancelled takes the end of a call that says nothing of its endpoint.
-func (s *Selector) Cancelled(choice Choice) {
+// RecordCancel takes the end of a call that says nothing of its endpoint.
+func (s *Selector) RecordCancel(choice Choice) {
 	if e, known := s.chosen(&choice); known {
 		e.calls--
 		s.addWork(e, -choice.Tokens)
 	}
 }
 
-// Judge compares the time of a good call with its pool's.
-func (s *Selector) Judge(choice Choice, took, expected time.Duration) ejector.End {
+// ClassifyDuration compares the time of a good call with its pool's.
+func (s *Selector) ClassifyDuration(choice Choice, took, expected time.Duration) ejector.Outcome {
 	e, known := s.chosen(&choice)
 	if !known {
 		return ejector.Good
 	}
-	return e.pool.health.Took(&e.health, took, expected)
+	return e.pool.health.RecordDuration(&e.health, took, expected)
 }
 
-// Work gives the tokens of this entry's calls by endpoint, for peers.
-func (s *Selector) Work() map[string]int {
+// OwnWork gives the tokens of this entry's calls by endpoint, for peers.
+func (s *Selector) OwnWork() map[string]int {
 	work := make(map[string]int, len(s.busy))
 	for e := range s.busy {
 		work[e.ID] = e.tokens
@@ -456,8 +456,8 @@
 	}
 }
 
-// SetPeer takes the work that a peer has under way. A peer that has ended has none.
-func (s *Selector) SetPeer(peer string, work map[string]int) {
+// SetPeerWork takes the work that a peer has under way. A peer that has ended has none.
+func (s *Selector) SetPeerWork(peer string, work map[string]int) {
 	for id, tokens := range s.peers[peer] {
 		if e, known := s.byID[id]; known {
 			e.peerTokens -= tokens
--- a/selector/selector_test.go
+++ b/selector/selector_test.go
@@ -60,7 +60,7 @@
 	for own := range uint64(30) {
 		choice, found := s.Choose(Query{Service: "pool", Parts: prompt(7, 100+own)}, now)
 		require.True(t, found)
-		s.Started(choice, prompt(7, 100+own), now)
+		s.RecordStart(choice, prompt(7, 100+own), now)
 		used[choice.Endpoint.ID]++
 	}
 	require.GreaterOrEqual(t, len(used), 2)
@@ -69,13 +69,13 @@
 
 func TestPeersWorkCounts(t *testing.T) {
 	s := newSelector(3)
-	s.SetPeer("peer", map[string]int{"e0": 50_000, "e1": 50_000})
+	s.SetPeerWork("peer", map[string]int{"e0": 50_000, "e1": 50_000})
 	for range 20 {
 		choice, found := s.Choose(Query{Service: "pool"}, now)
 		require.True(t, found)
 		require.Equal(t, "e2", choice.Endpoint.ID)
 	}
-	s.SetPeer("peer", nil)
+	s.SetPeerWork("peer", nil)
 	seen := map[string]bool{}
 	for range 50 {
 		choice, _ := s.Choose(Query{Service: "pool"}, now)
@@ -95,10 +95,10 @@
 
 func TestTriedEndpointsAreAvoided(t *testing.T) {
 	s := newSelector(2)
-	choice, found := s.Choose(Query{Service: "pool", Avoid: []string{"e0"}}, now)
+	choice, found := s.Choose(Query{Service: "pool", Exclude: []string{"e0"}}, now)
 	require.True(t, found)
 	require.Equal(t, "e1", choice.Endpoint.ID)
-	_, found = s.Choose(Query{Service: "pool", Avoid: []string{"e0", "e1"}}, now)
+	_, found = s.Choose(Query{Service: "pool", Exclude: []string{"e0", "e1"}}, now)
 	require.False(t, found)
 	_, found = s.Choose(Query{Service: "unknown"}, now)
 	require.False(t, found)
@@ -109,8 +109,8 @@
 func TestARefusingEndpointIsPassedOver(t *testing.T) {
 	s := newSelector(3)
 	down := s.callTo("e1", 0)
-	s.Started(down, nil, now)
-	require.True(t, s.Ended(down, ejector.Down, now))
+	s.RecordStart(down, nil, now)
+	require.True(t, s.RecordEnd(down, ejector.Down, now))
 	for range 50 {
 		choice, found := s.Choose(Query{Service: "pool", NoProbe: true}, now.Add(2*time.Second))
 		require.True(t, found)
@@ -123,12 +123,12 @@
 func TestWorkIsGivenBack(t *testing.T) {
 	s := newSelector(1)
 	choice, _ := s.Choose(Query{Service: "pool", Parts: prompt(1, 2)}, now)
-	s.Started(choice, prompt(1, 2), now)
-	require.Equal(t, choice.Tokens, s.Work()["e0"])
-	s.Read(&choice)
-	require.Equal(t, DefaultCallTokens, s.Work()["e0"])
-	s.Ended(choice, ejector.Good, now)
-	require.Empty(t, s.Work())
+	s.RecordStart(choice, prompt(1, 2), now)
+	require.Equal(t, choice.Tokens, s.OwnWork()["e0"])
+	s.RecordPromptRead(&choice)
+	require.Equal(t, DefaultCallTokens, s.OwnWork()["e0"])
+	s.RecordEnd(choice, ejector.Good, now)
+	require.Empty(t, s.OwnWork())
 }
 
 func TestMemoryIsBounded(t *testing.T) {
@@ -143,15 +143,15 @@
 // The engines are four times as slow as assumed: predictions follow what calls have shown.
 func TestFirstEventFollowsThePace(t *testing.T) {
 	s := newSelector(1)
-	before := s.FirstEvent("pool", prompt(1, 2))
+	before := s.PredictFirstEvent("pool", prompt(1, 2))
 	choice := s.callTo("e0", 10_000)
 	for range 60 {
-		s.Observe(choice, time.Second+firstStep)
+		s.ObserveFirstEvent(choice, time.Second+firstStep)
 	}
-	after := s.FirstEvent("pool", prompt(1, 2))
+	after := s.PredictFirstEvent("pool", prompt(1, 2))
 	require.InDelta(t, 4, float64(after-firstStep)/float64(before-firstStep), 0.2)
-	s.Observe(s.callTo("e0", 10), time.Minute)
-	require.Equal(t, after, s.FirstEvent("pool", prompt(1, 2)), "a short prompt tells nothing of the pace")
+	s.ObserveFirstEvent(s.callTo("e0", 10), time.Minute)
+	require.Equal(t, after, s.PredictFirstEvent("pool", prompt(1, 2)), "a short prompt tells nothing of the pace")
 }
 
 // An endpoint crashes under load and starts again under the same id. It holds no prompt parts and has no calls; what ends
@@ -161,23 +161,23 @@
 	query := Query{Service: "pool", Parts: prompt(7, 100)}
 	before, found := s.Choose(query, now)
 	require.True(t, found)
-	s.Started(before, query.Parts, now)
-	s.SetPeer("peer", map[string]int{"e0": 5_000})
+	s.RecordStart(before, query.Parts, now)
+	s.SetPeerWork("peer", map[string]int{"e0": 5_000})
 	for range 20 {
-		s.Ended(before, ejector.Bad, now)
-		s.Started(before, query.Parts, now)
+		s.RecordEnd(before, ejector.Bad, now)
+		s.RecordStart(before, query.Parts, now)
 	}
 	again := before.Endpoint
 	again.Started = now.Add(time.Second)
 	s.SetEndpoints([]registrar.Endpoint{again})
 	s.SetEndpoints([]registrar.Endpoint{again})
-	require.Empty(t, s.Work())
+	require.Empty(t, s.OwnWork())
 	require.Zero(t, s.byID["e0"].peerTokens)
 	require.Equal(t, ejector.InUse, s.byID["e0"].health.State())
 	require.Zero(t, s.byID["e0"].cache.held(chainKeys(query.Parts), query.Parts))
-	require.False(t, s.Ended(before, ejector.Bad, now))
-	s.Cancelled(before)
-	s.SetPeer("peer", nil)
+	require.False(t, s.RecordEnd(before, ejector.Bad, now))
+	s.RecordCancel(before)
+	s.SetPeerWork("peer", nil)
 	require.Zero(t, s.byID["e0"].calls)
 	require.Zero(t, s.byID["e0"].peerTokens)
 }
@@ -188,11 +188,11 @@
 	s := newSelector(2)
 	all := []registrar.Endpoint{s.byID["e0"].Endpoint, s.byID["e1"].Endpoint}
 	before := s.callTo("e0", 1000)
-	s.Started(before, nil, now)
+	s.RecordStart(before, nil, now)
 	s.SetEndpoints(all[1:])
-	require.Zero(t, s.Count("pool")-1)
+	require.Zero(t, s.EndpointCount("pool")-1)
 	s.SetEndpoints(all)
-	s.Ended(before, ejector.Good, now)
+	s.RecordEnd(before, ejector.Good, now)
 	require.Zero(t, s.byID["e0"].calls)
 	require.Zero(t, s.byID["e0"].tokens)
 }
@@ -204,11 +204,13 @@
 	return !e.Cold(now) || g.left > 0
 }
 
-func (g *gate) FreeAt(*registrar.Endpoint, time.Time) (time.Time, bool) { return time.Time{}, true }
+func (g *gate) NextSendTime(*registrar.Endpoint, time.Time) (time.Time, bool) {
+	return time.Time{}, true
+}
 
-func (g *gate) BearsFew(*registrar.Endpoint) bool { return false }
+func (g *gate) Limited(*registrar.Endpoint) bool { return false }
 
-func (g *gate) Sent(e *registrar.Endpoint, _ float64, now time.Time) {
+func (g *gate) RecordSend(e *registrar.Endpoint, _ float64, now time.Time) {
 	if e.Cold(now) {
 		g.left--
 	}
@@ -223,8 +225,8 @@
 	query := Query{Service: "pool", Parts: prompt(7, 100)}
 	first, found := s.Choose(query, now)
 	require.True(t, found)
-	s.Started(first, query.Parts, now)
-	s.Ended(first, ejector.Good, now)
+	s.RecordStart(first, query.Parts, now)
+	s.RecordEnd(first, ejector.Good, now)
 	all := make([]registrar.Endpoint, 0, 9)
 	for _, e := range s.byID {
 		all = append(all, e.Endpoint)
@@ -235,7 +237,7 @@
 		}
 	}
 	s.SetEndpoints(all)
-	require.Equal(t, 1, s.Cold(now))
+	require.Equal(t, 1, s.ColdCount(now))
 	require.Zero(t, s.byID[first.Endpoint.ID].cache.held(chainKeys(query.Parts), query.Parts))
 	second, found := s.Choose(query, now)
 	require.True(t, found)
@@ -244,7 +246,7 @@
 	for range 40 {
 		choice, found := s.Choose(Query{Service: "pool", Parts: prompt(8, 100)}, now)
 		require.True(t, found)
-		s.Started(choice, nil, now)
+		s.RecordStart(choice, nil, now)
 	}
 	require.Equal(t, 0, g.left, "what the gate allows is used, and no more")
 	require.Equal(t, 1, s.byID[first.Endpoint.ID].calls)
--- a/warmer/warmer.go
+++ b/warmer/warmer.go
@@ -54,13 +54,13 @@
 	return w.rationer.Allows(endpoint, w.ration(perSecond), now)
 }
 
-func (w *Warmer) ration(perSecond float64) rationer.Ration {
-	return rationer.Ration{Senders: max(1, int(w.cfg.Slack/views)), PerSecond: w.cfg.Excess * perSecond / views, Burst: 1}
+func (w *Warmer) ration(perSecond float64) rationer.Quota {
+	return rationer.Quota{Senders: max(1, int(w.cfg.Slack/views)), PerSecond: w.cfg.Excess * perSecond / views, Burst: 1}
 }
 
-// Sent notes a call to a cold endpoint that bears so many calls a second.
-func (w *Warmer) Sent(endpoint string, perSecond float64, now time.Time) {
+// RecordSend notes a call to a cold endpoint that bears so many calls a second.
+func (w *Warmer) RecordSend(endpoint string, perSecond float64, now time.Time) {
 	if perSecond > 0 {
-		w.rationer.Sent(endpoint, w.ration(perSecond), now)
+		w.rationer.RecordSend(endpoint, w.ration(perSecond), now)
 	}
 }
--- a/warmer/warmer_test.go
+++ b/warmer/warmer_test.go
@@ -48,7 +48,7 @@
 		for k := range endpoints {
 			id := fmt.Sprintf("endpoint-%d", (first+k)%endpoints)
 			if w.Allows(id, bears, now) {
-				w.Sent(id, bears, now)
+				w.RecordSend(id, bears, now)
 				z.arrivals[id] = append(z.arrivals[id], at)
 				served++
 				break
@@ -136,7 +136,7 @@
 	now := time.Unix(1000, 0)
 	for range 20 {
 		require.True(t, w.Allows("endpoint", 0, now))
-		w.Sent("endpoint", 0, now)
+		w.RecordSend("endpoint", 0, now)
 	}
 	require.False(t, w.Allows("endpoint", bears, now))
 }
