--- a/cataloger/cataloger.go
+++ b/cataloger/cataloger.go
@@ -32,13 +32,13 @@
 
 // StageError tells of a stage that takes results of a stage that does not come before it.
 type StageError struct {
-	Route string
-	Stage int
-	After int
+	Route     string
+	Stage     int
+	DependsOn int
 }
 
 func (e *StageError) Error() string {
-	return fmt.Sprintf("route %s: stage %d takes results of stage %d, which is not before it", e.Route, e.Stage, e.After)
+	return fmt.Sprintf("route %s: stage %d takes results of stage %d, which is not before it", e.Route, e.Stage, e.DependsOn)
 }
 
 // TargetError tells of a route without a service.
@@ -84,9 +84,9 @@
 		return &TargetError{Route: r.Name}
 	}
 	for i, s := range r.Stages {
-		for _, after := range s.After {
+		for _, after := range s.DependsOn {
 			if after < 0 || after >= i {
-				return &StageError{Route: r.Name, Stage: i, After: after}
+				return &StageError{Route: r.Name, Stage: i, DependsOn: after}
 			}
 		}
 	}
@@ -101,10 +101,10 @@
 
 // Homes gives the regions that a host's routes may be served in, in the order of their names; none where all of them may be
 // in any.
-func (c *Catalog) Homes(host string) []string {
+func (c *Catalog) AllowedRegions(host string) []string {
 	var homes []string
 	for _, r := range c.byHost[strings.ToLower(host)] {
-		homes = append(homes, r.Homes...)
+		homes = append(homes, r.AllowedRegions...)
 	}
 	slices.Sort(homes)
 	return slices.Compact(homes)
@@ -143,4 +143,4 @@
 }
 
 // NeedsKeys tells whether requests must carry a key, except on anonymous routes.
-func (c *Catalog) NeedsKeys() bool { return len(c.byKey) > 0 }
+func (c *Catalog) RequiresKeys() bool { return len(c.byKey) > 0 }
--- a/cataloger/cataloger_test.go
+++ b/cataloger/cataloger_test.go
@@ -50,19 +50,19 @@
 }
 
 func TestLastStagesAreThoseThatNothingFollows(t *testing.T) {
-	r := Route{Stages: []Stage{{}, {}, {After: []int{1}}, {After: []int{2}}}}
-	require.Equal(t, []int{0, 3}, r.LastStages([]int{2, 1, 6, 16}))
-	require.Equal(t, []int{3}, r.LastStages([]int{0, 1, 6, 16}))
-	require.Equal(t, []int{0, 2}, r.LastStages([]int{2, 1, 6, 0}))
+	r := Route{Stages: []Stage{{}, {}, {DependsOn: []int{1}}, {DependsOn: []int{2}}}}
+	require.Equal(t, []int{0, 3}, r.FinalStages([]int{2, 1, 6, 16}))
+	require.Equal(t, []int{3}, r.FinalStages([]int{0, 1, 6, 16}))
+	require.Equal(t, []int{0, 2}, r.FinalStages([]int{2, 1, 6, 0}))
 }
 
 func TestNewRefusesWhatCannotBeCarriedOut(t *testing.T) {
 	bad := route("r", "/a/")
-	bad.Stages = []Stage{{Service: "s", After: []int{0}}}
+	bad.Stages = []Stage{{Service: "s", DependsOn: []int{0}}}
 	_, err := New(Config{Routes: []Route{bad}})
 	var stage *StageError
 	require.ErrorAs(t, err, &stage)
-	require.Equal(t, &StageError{Route: "r", Stage: 0, After: 0}, stage)
+	require.Equal(t, &StageError{Route: "r", Stage: 0, DependsOn: 0}, stage)
 
 	_, err = New(Config{Routes: []Route{{Name: "empty"}}})
 	var target *TargetError
@@ -86,7 +86,7 @@
 
 func TestKeysNameAccounts(t *testing.T) {
 	c := newCatalog(t, Config{Accounts: []Account{{Name: "small", Keys: []string{"k1", "k2"}}}})
-	require.True(t, c.NeedsKeys())
+	require.True(t, c.RequiresKeys())
 	a, known := c.Account("k2")
 	require.True(t, known)
 	require.Equal(t, "small", a.Name)
@@ -95,6 +95,6 @@
 }
 
 func TestCallDuration(t *testing.T) {
-	p := StagePool{CallTime: 150 * time.Millisecond, ItemTime: 16 * time.Millisecond}
+	p := StagePool{CallOverhead: 150 * time.Millisecond, PieceTime: 16 * time.Millisecond}
 	require.Equal(t, 278*time.Millisecond, p.CallDuration(8))
 }
--- a/cataloger/route.go
+++ b/cataloger/route.go
@@ -30,7 +30,7 @@
 type Stage struct {
 	Service string
 	// After are the stages whose results this one takes as its input.
-	After []int
+	DependsOn []int
 	// ResultBytes is the usual size of one result.
 	ResultBytes int64
 }
@@ -60,10 +60,10 @@
 	// EventGap is the longest pause between events for which a stream counts as on time.
 	EventGap time.Duration
 	// Homes are the regions that requests of the route may be served in; empty where all are.
-	Homes []string
+	AllowedRegions []string
 	// FirstEventPatience is how long callers wait for a stream's first event before they leave; 0 where they wait until
 	// their deadline.
-	FirstEventPatience time.Duration
+	FirstEventTimeout time.Duration
 }
 
 // Repeatable tells whether a request may be sent again after it may have run.
@@ -92,13 +92,13 @@
 
 // LastStages gives the stages whose results no other stage takes. With counts, stages that have no piece in this
 // request are passed over, and the stages before them take their place only if nothing else follows them.
-func (r *Route) LastStages(counts []int) []int {
+func (r *Route) FinalStages(counts []int) []int {
 	followed := make([]bool, len(r.Stages))
 	for i, s := range r.Stages {
 		if counts[i] == 0 {
 			continue
 		}
-		for _, before := range s.After {
+		for _, before := range s.DependsOn {
 			followed[before] = true
 		}
 	}
--- a/cataloger/service.go
+++ b/cataloger/service.go
@@ -10,27 +10,27 @@
 	// Batch is the most pieces of one call.
 	Batch int
 	// CallTime is what a call takes besides its pieces, ItemTime what a piece adds.
-	CallTime time.Duration
-	ItemTime time.Duration
+	CallOverhead time.Duration
+	PieceTime    time.Duration
 	// RoomBytes is the space for results that have not been freed.
-	RoomBytes int64
+	ResultSpaceBytes int64
 	// ResultTTL is how long a result is kept that is not freed.
 	ResultTTL time.Duration
 	// LinkBytes is what an endpoint's link carries in a second; 0 where the configuration does not say.
-	LinkBytes int64
+	LinkBytesPerSecond int64
 }
 
 // CallDuration is the usual time of a call with n pieces.
 func (p *StagePool) CallDuration(n int) time.Duration {
-	return p.CallTime + time.Duration(n)*p.ItemTime
+	return p.CallOverhead + time.Duration(n)*p.PieceTime
 }
 
 // FetchTime is how long an endpoint takes to fetch inputs of so many bytes; 0 where its link is not known.
 func (p *StagePool) FetchTime(bytes int64) time.Duration {
-	if p.LinkBytes <= 0 {
+	if p.LinkBytesPerSecond <= 0 {
 		return 0
 	}
-	return time.Duration(float64(bytes) / float64(p.LinkBytes) * float64(time.Second))
+	return time.Duration(float64(bytes) / float64(p.LinkBytesPerSecond) * float64(time.Second))
 }
 
 // ModelPool says what a model engine holds.
@@ -74,5 +74,5 @@
 	Priority    int
 	HasPriority bool
 	// Homes are the regions that the account's requests may be served in; empty where all are.
-	Homes []string
+	AllowedRegions []string
 }
--- a/collector/bench_test.go
+++ b/collector/bench_test.go
@@ -20,12 +20,12 @@
 				}
 			}
 			for i := range n + 3 {
-				w.pool.Reduce(Arrived{Group: ask(fmt.Sprint(i))}, start)
+				w.pool.Reduce(GroupArrived{Group: ask(fmt.Sprint(i))}, start)
 			}
 			g := ask("one more")
 			for b.Loop() {
-				w.pool.Reduce(Arrived{Group: g}, start)
-				w.pool.Reduce(Withdrawn{ID: g.ID}, start)
+				w.pool.Reduce(GroupArrived{Group: g}, start)
+				w.pool.Reduce(GroupWithdrawn{ID: g.ID}, start)
 			}
 		})
 	}
--- a/collector/call.go
+++ b/collector/call.go
@@ -106,7 +106,7 @@
 // fillCall takes waiting pieces in their order for as long as the call and the endpoint's space have room.
 func (p *Pool) fillCall(e *endpoint, waiting []*group, now time.Time) {
 	waiting = allowedAt(e, waiting)
-	room := int64(roomShare*float64(p.cfg.Stage.RoomBytes)) - e.used
+	room := int64(roomShare*float64(p.cfg.Stage.ResultSpaceBytes)) - e.used
 	if p.waitsForRoom(e, waiting, room, now) {
 		return
 	}
@@ -116,8 +116,8 @@
 	inputBytes := int64(0)
 	ahead := make(map[string]int)
 	for _, g := range p.nearFirst(e, waiting) {
-		before := ahead[g.Zone]
-		ahead[g.Zone] += len(g.waiting)
+		before := ahead[g.PreferredZone]
+		ahead[g.PreferredZone] += len(g.waiting)
 		if p.waitsForZone(g, e, before, now) {
 			continue
 		}
@@ -135,9 +135,9 @@
 			inputBytes += g.InputBytes
 			c.pieces = append(c.pieces, member{id: g.ID, segment: segment, bytes: g.ResultBytes})
 			pieces = append(pieces, g.piece(segment))
-			if g.Zone == "" {
+			if g.PreferredZone == "" {
 				// The group's other pieces should be made beside these.
-				g.Zone = e.Zone
+				g.PreferredZone = e.Zone
 			}
 		}
 		if len(g.waiting) > 0 && len(pieces) < p.cfg.Stage.Batch && g.ResultBytes > room {
@@ -162,7 +162,7 @@
 	if p.cfg.Gate != nil {
 		p.cfg.Gate.SentSole(e.ID, now)
 	}
-	p.emit(SendCall{Call: c.id, Endpoint: e.Endpoint, Pieces: pieces, Timeout: timeoutFactor * c.expected, Free: left})
+	p.emit(SendCall{Call: c.id, Endpoint: e.Endpoint, Pieces: pieces, Timeout: timeoutFactor * c.expected, RemainingResults: left})
 }
 
 // allowedAt leaves the groups whose pieces may be made at the endpoint.
@@ -190,7 +190,7 @@
 			break
 		}
 		window -= len(g.waiting)
-		if g.started() || g.FarBytes < HeavyBytes || g.Zone == "" || g.Zone == e.Zone {
+		if g.started() || g.CrossZoneBytes < ZoneAffinityBytes || g.PreferredZone == "" || g.PreferredZone == e.Zone {
 			near = append(near, g)
 			continue
 		}
@@ -258,14 +258,14 @@
 	delete(p.calls, e.Call)
 	c.endpoint.calls--
 	c.endpoint.used -= c.bytes
-	if e.End == Answered && len(e.Results) == len(c.pieces) {
+	if e.Outcome == Answered && len(e.Results) == len(c.pieces) {
 		p.takeResults(c, e.Results, now)
 		return
 	}
-	p.judgeFailure(c, e.End, now)
+	p.judgeFailure(c, e.Outcome, now)
 	for _, m := range c.pieces {
 		if g, known := p.groups[m.id]; known {
-			if e.End == Refused || e.End == Unreachable || e.End == Unanswered {
+			if e.Outcome == Refused || e.Outcome == Unreachable || e.Outcome == Unanswered {
 				// The endpoint took no work on, so the try does not count.
 				g.tries[m.segment]--
 			}
@@ -274,7 +274,7 @@
 	}
 }
 
-func (p *Pool) judgeFailure(c *call, end CallEnd, now time.Time) {
+func (p *Pool) judgeFailure(c *call, end CallOutcome, now time.Time) {
 	switch end {
 	case Refused:
 		c.endpoint.backoff.Refused(refusedPauses, now)
@@ -287,12 +287,12 @@
 	}
 }
 
-func (p *Pool) judge(e *endpoint, end ejector.End, why CallEnd, now time.Time) {
+func (p *Pool) judge(e *endpoint, end ejector.End, why CallOutcome, now time.Time) {
 	if e.gone {
 		return
 	}
 	if p.health.Ended(&e.health, end, false, now) {
-		p.emit(Judged{Endpoint: e.Endpoint, Out: e.health.State() != ejector.InUse, Why: why})
+		p.emit(HealthChanged{Endpoint: e.Endpoint, OutOfUse: e.health.State() != ejector.InUse, Cause: why})
 	}
 }
 
@@ -334,7 +334,7 @@
 // pool knows nothing of.
 func noneFits(results []PieceResult) bool {
 	for _, r := range results {
-		if r.Reason != NoRoom {
+		if r.Reason != NoSpace {
 			return false
 		}
 	}
@@ -350,7 +350,7 @@
 	case InputGone, Late:
 		p.dropWaiting(g, segment)
 		p.deliver(g, segment, PieceResult{Reason: why}, nil)
-	case NoRoom:
+	case NoSpace:
 		// The endpoint took no work on, so the try does not count.
 		g.tries[segment]--
 		p.requeue(g, segment, why)
@@ -370,7 +370,7 @@
 
 // free gives results back, one call for each maker. Results that another entry collected are freed at their maker too:
 // after a change of the collecting entry nobody else knows of them.
-func (p *Pool) free(made []Made) {
+func (p *Pool) free(made []ResultRef) {
 	byMaker := make(map[string][]string)
 	var order []string
 	for _, m := range made {
@@ -386,7 +386,7 @@
 
 // takeFreed counts the space of freed results as free, and not before: a call that is sent at the same time as the free
 // would reach the endpoint first, and its pieces would find no space.
-func (p *Pool) takeFreed(made []Made) {
+func (p *Pool) takeFreed(made []ResultRef) {
 	for _, m := range made {
 		if r, known := p.results[m.Handle]; known {
 			r.maker.used -= r.bytes
--- a/collector/collector.go
+++ b/collector/collector.go
@@ -35,7 +35,7 @@
 	// piece: one that is sent with the few pieces that find space costs more of the endpoint than the wait.
 	roomWait = 100 * time.Millisecond
 	// HeavyBytes is what must cross zones for a group to wait for an endpoint of its own zone.
-	HeavyBytes = 500_000
+	ZoneAffinityBytes = 500_000
 	// zoneSlack is how many calls must fit before the results are due for a group to wait for an endpoint of its
 	// zone: the wait for the next free one takes half a call at most times, and one is for the call itself.
 	zoneSlack = 2.5
@@ -126,22 +126,22 @@
 // Reduce takes an event and gives what is to be done.
 func (p *Pool) Reduce(ev Event, now time.Time) []Effect {
 	p.effects = nil
-	p.waiting = p.Waiting()
+	p.waiting = p.WaitingPieces()
 	switch e := ev.(type) {
-	case Arrived:
+	case GroupArrived:
 		p.takeGroup(e.Group, now)
 		if p.evacuated {
 			p.giveUpAll(Evacuated, everyGroup, now)
 		}
-	case Withdrawn:
+	case GroupWithdrawn:
 		p.withdraw(func(id GroupID) bool { return id == e.ID })
 	case OriginLost:
 		p.withdraw(func(id GroupID) bool { return id.Origin == e.Origin })
 	case CallEnded:
 		p.takeEnd(e, now)
-	case Freed:
+	case ResultsReleased:
 		p.free(e.Results)
-	case FreeEnded:
+	case FreeCallEnded:
 		p.takeFreed(e.Results)
 	case EndpointsChanged:
 		p.setEndpoints(e.Endpoints)
@@ -149,9 +149,9 @@
 		if p.evacuated {
 			p.giveUpAll(Evacuated, everyGroup, now)
 		}
-	case Closing:
+	case Stopping:
 		p.closing = true
-	case HandedBack:
+	case Reassigned:
 		p.giveUpAll(Moved, notKept, now)
 	case Ticked:
 		p.tick(now)
@@ -166,7 +166,7 @@
 func (p *Pool) emit(e Effect) { p.effects = append(p.effects, e) }
 
 // Waiting is how many pieces are in no call.
-func (p *Pool) Waiting() int {
+func (p *Pool) WaitingPieces() int {
 	n := 0
 	for _, g := range p.groups {
 		n += len(g.waiting)
@@ -175,13 +175,13 @@
 }
 
 // Wait predicts how long a piece that comes now, no more urgent than others, would wait for its call to begin.
-func (p *Pool) Wait(now time.Time) time.Duration {
-	return max(p.queueTime(p.Waiting(), p.capacity()), p.heldUntil(now).Sub(now))
+func (p *Pool) PredictedWait(now time.Time) time.Duration {
+	return max(p.queueTime(p.WaitingPieces(), p.capacity()), p.heldUntil(now).Sub(now))
 }
 
 // Over tells for how long more has come than can be made: groups were given up since others went before them. It is zero
 // once none has been for a while.
-func (p *Pool) Over(now time.Time) time.Duration {
+func (p *Pool) OverloadedFor(now time.Time) time.Duration {
 	if p.overAt.IsZero() || now.Sub(p.overAt) >= overLife {
 		return 0
 	}
--- a/collector/collector_test.go
+++ b/collector/collector_test.go
@@ -32,7 +32,7 @@
 		{"due sooner before due later", func(g *Group) { g.Due = start.Add(time.Second) }, nil},
 		{"on time before late", func(g *Group) { g.Priority = 5 }, late},
 		{"late but holding space before on time and less urgent",
-			func(g *Group) { late(g); g.Holding = true }, func(g *Group) { g.Priority = 1 }},
+			func(g *Group) { late(g); g.HoldsSpace = true }, func(g *Group) { g.Priority = 1 }},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			w := newWorld(usualStage(), 1)
@@ -49,7 +49,7 @@
 // parts of many groups would take all space, none would be whole, and all would lapse.
 func TestStartedGroupsAreFinishedFirst(t *testing.T) {
 	stage := usualStage()
-	stage.RoomBytes = 21 * 60_000
+	stage.ResultSpaceBytes = 21 * 60_000
 	w := newWorld(stage, 1)
 	w.keepFor = 400 * time.Millisecond
 	rng := rand.New(rand.NewPCG(3, 4))
@@ -78,19 +78,19 @@
 // A call that is sent while a free is on its way reaches the endpoint first, and its pieces find no space.
 func TestSpaceIsFreeOnceTheFreeIsAnswered(t *testing.T) {
 	stage := usualStage()
-	stage.RoomBytes = 9 * 8_000
+	stage.ResultSpaceBytes = 9 * 8_000
 	w := newWorld(stage, 1)
 	w.keepFor = -1
 	w.arrive(0, "a", 8, nil)
 	b := w.arrive(time.Millisecond, "b", 8, nil)
 	w.run(time.Second)
 	require.Equal(t, 0, w.made(b), "no space")
-	var made []Made
+	var made []ResultRef
 	for _, d := range w.got {
-		made = append(made, Made{Handle: d.Result.Handle, Address: d.Address})
+		made = append(made, ResultRef{Handle: d.Result.Handle, Address: d.Address})
 	}
 	sent := len(w.calls)
-	w.reduce(Freed{Results: made})
+	w.reduce(ResultsReleased{Results: made})
 	require.Len(t, w.calls, sent)
 	w.run(2 * time.Second)
 	require.Equal(t, 8, w.made(b))
@@ -99,7 +99,7 @@
 // A little space is left while many pieces wait: a call for two of them would take as long as one for seven.
 func TestAnEndpointWaitsForSpaceForHalfACall(t *testing.T) {
 	stage := usualStage()
-	stage.RoomBytes = 11 * 8_000
+	stage.ResultSpaceBytes = 11 * 8_000
 	w := newWorld(stage, 1)
 	w.keepFor = 40 * time.Millisecond
 	w.arrive(0, "a", 8, nil)
@@ -111,7 +111,7 @@
 
 func TestResultsThatAreNeverFreedGiveTheirSpaceBackWhenTheyLapse(t *testing.T) {
 	stage := usualStage()
-	stage.RoomBytes = 9 * 8_000
+	stage.ResultSpaceBytes = 9 * 8_000
 	w := newWorld(stage, 1)
 	w.keepFor = -1
 	w.arrive(0, "a", 8, nil)
@@ -146,7 +146,7 @@
 }
 
 func TestAFullOrUnreachableEndpointCostsNoTry(t *testing.T) {
-	for _, end := range []CallEnd{Refused, Unreachable, Unanswered} {
+	for _, end := range []CallOutcome{Refused, Unreachable, Unanswered} {
 		w := newWorld(usualStage(), 2)
 		w.ends["e0"] = end
 		id := w.arrive(0, "a", 4, nil)
@@ -182,7 +182,7 @@
 func TestResultsForNobodyAreFreed(t *testing.T) {
 	w := newWorld(usualStage(), 1)
 	id := w.arrive(0, "a", 3, nil)
-	w.plan(w.at(50*time.Millisecond), Withdrawn{ID: id})
+	w.plan(w.at(50*time.Millisecond), GroupWithdrawn{ID: id})
 	w.run(time.Second)
 	require.Empty(t, w.got)
 	require.Len(t, w.freed, 1)
@@ -222,8 +222,8 @@
 			w := newWorld(usualStage(), 2)
 			w.arrive(0, "busy", 8, nil)
 			id := w.arrive(time.Millisecond, "a", 4, func(g *Group) {
-				g.Zone = "z0"
-				g.FarBytes = 3_000_000
+				g.PreferredZone = "z0"
+				g.CrossZoneBytes = 3_000_000
 				g.Due = start.Add(tc.due)
 			})
 			w.run(time.Second)
@@ -308,7 +308,7 @@
 	require.Len(t, w.reasons(id), 8)
 	require.Equal(t, Overload, w.reasons(id)[0])
 	require.Less(t, w.gotAt[id].Sub(start), 200*time.Millisecond)
-	require.Greater(t, w.pool.Wait(w.now), 5*time.Second)
+	require.Greater(t, w.pool.PredictedWait(w.now), 5*time.Second)
 }
 
 // The entry that collects is told to stop while pieces wait. They are asked for elsewhere at once; what is in a call is
@@ -317,7 +317,7 @@
 	w := newWorld(usualStage(), 1)
 	inCall := w.arrive(0, "a", 8, nil)
 	waiting := w.arrive(time.Millisecond, "b", 3, nil)
-	w.plan(w.at(20*time.Millisecond), Closing{})
+	w.plan(w.at(20*time.Millisecond), Stopping{})
 	after := w.arrive(30*time.Millisecond, "c", 2, nil)
 	w.run(time.Second)
 	require.Equal(t, 8, w.made(inCall))
@@ -346,8 +346,8 @@
 func TestAGroupDoesNotWaitForAZoneWithoutEndpoints(t *testing.T) {
 	w := newWorld(usualStage(), 2)
 	id := w.arrive(0, "a", 4, func(g *Group) {
-		g.Zone = "evacuated"
-		g.FarBytes = 3_000_000
+		g.PreferredZone = "evacuated"
+		g.CrossZoneBytes = 3_000_000
 		g.Due = start.Add(2 * time.Second)
 	})
 	w.run(time.Second)
@@ -403,13 +403,13 @@
 		w.arrive(at, fmt.Sprint("surge", at), 8, func(g *Group) { g.Deadline = w.at(at + time.Second) })
 	}
 	w.run(200 * time.Millisecond)
-	require.Zero(t, w.pool.Over(w.now), "nothing is given up yet")
+	require.Zero(t, w.pool.OverloadedFor(w.now), "nothing is given up yet")
 	w.run(3 * time.Second)
-	early := w.pool.Over(w.now)
+	early := w.pool.OverloadedFor(w.now)
 	w.run(5 * time.Second)
-	require.InDelta(t, 2, (w.pool.Over(w.now) - early).Seconds(), 0.2)
+	require.InDelta(t, 2, (w.pool.OverloadedFor(w.now) - early).Seconds(), 0.2)
 	w.run(9 * time.Second)
-	require.Zero(t, w.pool.Over(w.now))
+	require.Zero(t, w.pool.OverloadedFor(w.now))
 }
 
 // One large account sends ten times what each of four small ones does, all together twice what the pool can do. The small
@@ -462,7 +462,7 @@
 // the pool would send it no call until they lapse, four seconds later.
 func TestAnEndpointThatStartsAgainHasAllItsSpace(t *testing.T) {
 	stage := usualStage()
-	stage.RoomBytes = 8 * 60_000
+	stage.ResultSpaceBytes = 8 * 60_000
 	w := newWorld(stage, 1)
 	w.keepFor = -1
 	large := func(g *Group) { g.ResultBytes = 60_000; g.Due = w.at(9 * time.Second) }
@@ -485,7 +485,7 @@
 	w.arrive(time.Millisecond, "less urgent", 8, func(g *Group) { g.Priority = 1 })
 	urgent := w.arrive(2*time.Millisecond, "urgent", 8, func(g *Group) {
 		g.Due = w.at(100 * time.Millisecond)
-		g.Latest = w.at(800 * time.Millisecond)
+		g.LatestDue = w.at(800 * time.Millisecond)
 	})
 	w.run(2 * time.Second)
 	require.Equal(t, 1, w.made(urgent)/8)
--- a/collector/event.go
+++ b/collector/event.go
@@ -24,28 +24,28 @@
 	Inputs []string
 	// Due is when the results are needed for an answer on time at the usual pace of the later stages, Latest at their
 	// fastest; it is Due where it is not set. Deadline is when they are of no use any more.
-	Due      time.Time
-	Latest   time.Time
-	Deadline time.Time
-	Priority int
-	Account  string
+	Due       time.Time
+	LatestDue time.Time
+	Deadline  time.Time
+	Priority  int
+	Account   string
 	// ResultBytes is the size of one result.
 	ResultBytes int64
 	// Zone is where the pieces should be made: where their inputs lie or their results are wanted. It is empty where
 	// that is all the same.
-	Zone string
+	PreferredZone string
 	// Kept groups stay here though another entry is said to have the duty: that one left their origin without an answer.
-	Kept bool
+	Pinned bool
 	// Regions are those where the pieces may be made; empty where all are.
 	Regions []string
 	// FarBytes are what crosses availability zones if the pieces are made in another one, or in several.
-	FarBytes int64
+	CrossZoneBytes int64
 	// InputBytes is the size of all inputs of one piece.
 	InputBytes int64
 	// TellRead asks for an InputsRead.
-	TellRead bool
+	NotifyInputsFetched bool
 	// Holding groups keep much of the space of the endpoints that made their inputs.
-	Holding bool
+	HoldsSpace bool
 }
 
 // Piece is one piece within a call.
@@ -69,7 +69,7 @@
 	// InputGone pieces need a result that is no longer there.
 	InputGone
 	// NoRoom pieces found no space for their result.
-	NoRoom
+	NoSpace
 	// Failed pieces were tried as often as allowed.
 	Failed
 	// Overload pieces would wait longer than their deadline allows.
@@ -79,7 +79,7 @@
 	// Evacuated pieces have no endpoint that may get new work.
 	Evacuated
 	// HeldBack pieces have no endpoint that takes calls before their deadline: all have asked for fewer.
-	HeldBack
+	Throttled
 )
 
 // String gives the reason as logs and metrics name it.
@@ -89,7 +89,7 @@
 		return "late"
 	case InputGone:
 		return "inputGone"
-	case NoRoom:
+	case NoSpace:
 		return "noRoom"
 	case Failed:
 		return "failed"
@@ -99,7 +99,7 @@
 		return "moved"
 	case Evacuated:
 		return "evacuated"
-	case HeldBack:
+	case Throttled:
 		return "heldBack"
 	default:
 		return "none"
@@ -113,12 +113,12 @@
 }
 
 // CallEnd tells how a call went.
-type CallEnd uint8
+type CallOutcome uint8
 
 // The ends of calls.
 const (
 	// Answered calls have a result or a reason for each piece.
-	Answered CallEnd = iota
+	Answered CallOutcome = iota
 	// Refused calls were turned away unrun by an endpoint that is full or leaving.
 	Refused
 	// Unreachable endpoints refuse connections.
@@ -130,7 +130,7 @@
 )
 
 // String gives the end as logs name it.
-func (e CallEnd) String() string {
+func (e CallOutcome) String() string {
 	switch e {
 	case Answered:
 		return "answered"
@@ -149,30 +149,30 @@
 type Event interface{ event() }
 
 // Arrived brings pieces to be made.
-type Arrived struct{ Group Group }
+type GroupArrived struct{ Group Group }
 
 // Withdrawn tells that pieces are not needed any more.
-type Withdrawn struct{ ID GroupID }
+type GroupWithdrawn struct{ ID GroupID }
 
 // CallEnded brings the end of a call.
 type CallEnded struct {
 	Call    uint64
-	End     CallEnd
+	Outcome CallOutcome
 	Results []PieceResult
 }
 
 // Made is a result and where it lies.
-type Made struct {
+type ResultRef struct {
 	Handle string
 	// Address is that of the endpoint that made it.
 	Address string
 }
 
 // Freed names results that are not needed any more.
-type Freed struct{ Results []Made }
+type ResultsReleased struct{ Results []ResultRef }
 
 // FreeEnded tells that a call that freed results is over, well or not.
-type FreeEnded struct{ Results []Made }
+type FreeCallEnded struct{ Results []ResultRef }
 
 // EndpointsChanged brings the endpoints that may get work.
 type EndpointsChanged struct {
@@ -186,23 +186,23 @@
 type OriginLost struct{ Origin string }
 
 // Closing tells that this entry stops: what has not begun is asked for elsewhere.
-type Closing struct{}
+type Stopping struct{}
 
 // HandedBack tells that another entry collects now: what waits is asked for there, but for what is kept here.
-type HandedBack struct{}
+type Reassigned struct{}
 
 // Ticked lets time pass.
 type Ticked struct{}
 
-func (Arrived) event()          {}
-func (Withdrawn) event()        {}
+func (GroupArrived) event()     {}
+func (GroupWithdrawn) event()   {}
 func (CallEnded) event()        {}
-func (Freed) event()            {}
-func (FreeEnded) event()        {}
+func (ResultsReleased) event()  {}
+func (FreeCallEnded) event()    {}
 func (EndpointsChanged) event() {}
 func (OriginLost) event()       {}
-func (Closing) event()          {}
-func (HandedBack) event()       {}
+func (Stopping) event()         {}
+func (Reassigned) event()       {}
 func (Ticked) event()           {}
 
 // Effect is what is to be done.
@@ -216,7 +216,7 @@
 	// Timeout is when the call is given up.
 	Timeout time.Duration
 	// Free is how many more results of the last piece's size the endpoint has space for.
-	Free int
+	RemainingResults int
 }
 
 // Deliver hands a piece's result, or the reason why there is none, to the entry that has the request.
@@ -236,17 +236,17 @@
 }
 
 // InputsRead tells the entry that has the request that the endpoints have fetched the inputs of all of a group's pieces.
-type InputsRead struct{ ID GroupID }
+type InputsFetched struct{ ID GroupID }
 
 // Judged tells that an endpoint was taken out of use or let back.
-type Judged struct {
+type HealthChanged struct {
 	Endpoint registrar.Endpoint
-	Out      bool
-	Why      CallEnd
+	OutOfUse bool
+	Cause    CallOutcome
 }
 
-func (SendCall) effect()    {}
-func (Deliver) effect()     {}
-func (FreeResults) effect() {}
-func (InputsRead) effect()  {}
-func (Judged) effect()      {}
+func (SendCall) effect()      {}
+func (Deliver) effect()       {}
+func (FreeResults) effect()   {}
+func (InputsFetched) effect() {}
+func (HealthChanged) effect() {}
--- a/collector/fetch.go
+++ b/collector/fetch.go
@@ -18,13 +18,13 @@
 )
 
 // FetchedAfter is how long after it was sent a call's inputs lie at the endpoint, which come from a stage's endpoints.
-func FetchedAfter(stage *cataloger.StagePool, inputBytes int64) time.Duration {
+func FetchDelay(stage *cataloger.StagePool, inputBytes int64) time.Duration {
 	return fetchMargin + fetchFactor*stage.FetchTime(inputBytes)
 }
 
 // fetched is when the inputs of a call that is sent now will lie at the endpoint.
 func (p *Pool) fetched(inputBytes int64, now time.Time) time.Time {
-	return now.Add(FetchedAfter(&p.cfg.Stage, inputBytes))
+	return now.Add(FetchDelay(&p.cfg.Stage, inputBytes))
 }
 
 // tellRead tells entries whose groups' inputs are all fetched, so that they can give them back. In a surge the space for a
@@ -36,7 +36,7 @@
 		}
 		c.fetched = true
 		for _, m := range c.pieces {
-			if g, known := p.groups[m.id]; known && g.TellRead {
+			if g, known := p.groups[m.id]; known && g.NotifyInputsFetched {
 				p.noteRead(g, m.segment)
 			}
 		}
@@ -49,10 +49,10 @@
 		return
 	}
 	g.readTold = true
-	p.emit(InputsRead{ID: g.ID})
+	p.emit(InputsFetched{ID: g.ID})
 }
 
 // Short tells whether space for results, and not time, held calls back lately.
-func (p *Pool) Short(now time.Time) bool {
+func (p *Pool) ShortOfSpace(now time.Time) bool {
 	return !p.shortAt.IsZero() && now.Sub(p.shortAt) < shortLife
 }
--- a/collector/fetch_test.go
+++ b/collector/fetch_test.go
@@ -14,7 +14,7 @@
 type spacePipeline struct {
 	first, second *world
 	due           map[string]time.Time
-	made          map[string][]Made
+	made          map[string][]ResultRef
 	// early frees the first's results once the second has fetched them, and not only when it is done.
 	early bool
 }
@@ -22,15 +22,15 @@
 func newSpacePipeline(early bool) *spacePipeline {
 	stage := usualStage()
 	stage.Batch = 30
-	stage.ItemTime = 6 * time.Millisecond
-	stage.LinkBytes = 1_000_000_000
+	stage.PieceTime = 6 * time.Millisecond
+	stage.LinkBytesPerSecond = 1_000_000_000
 	first := stage
-	first.RoomBytes = 36 * 60_000
+	first.ResultSpaceBytes = 36 * 60_000
 	p := &spacePipeline{
 		first:  newWorld(first, 5),
 		second: newWorld(stage, 6),
 		due:    make(map[string]time.Time),
-		made:   make(map[string][]Made),
+		made:   make(map[string][]ResultRef),
 		early:  early,
 	}
 	p.first.keepFor = -1
@@ -44,15 +44,15 @@
 		if d.Result.Handle == "" {
 			continue
 		}
-		p.made[request] = append(p.made[request], Made{Handle: d.Result.Handle, Address: d.Address})
+		p.made[request] = append(p.made[request], ResultRef{Handle: d.Result.Handle, Address: d.Address})
 		if len(p.made[request]) < 6 {
 			continue
 		}
 		p.second.arrive(p.first.now.Sub(start), request, 6, func(g *Group) {
 			g.Due = p.due[request]
 			g.InputBytes = 6 * 60_000
-			g.TellRead = p.early
-			g.Holding = true
+			g.NotifyInputsFetched = p.early
+			g.HoldsSpace = true
 		})
 	}
 	p.first.got = nil
@@ -61,12 +61,12 @@
 // giveBack frees the results of the first stage that are of no more use.
 func (p *spacePipeline) giveBack() {
 	for _, id := range p.second.read {
-		p.first.plan(p.second.now, Freed{Results: p.made[id.Request]})
+		p.first.plan(p.second.now, ResultsReleased{Results: p.made[id.Request]})
 	}
 	p.second.read = nil
 	for id := range p.second.gotAt {
 		if _, open := p.second.pool.groups[id]; !open && p.made[id.Request] != nil {
-			p.first.plan(p.second.now, Freed{Results: p.made[id.Request]})
+			p.first.plan(p.second.now, ResultsReleased{Results: p.made[id.Request]})
 			p.made[id.Request] = nil
 		}
 	}
@@ -112,9 +112,9 @@
 // Inputs are told as fetched only once the call has had the time for it, once for each group, and to those alone that ask.
 func TestInputsAreToldAsFetchedOnce(t *testing.T) {
 	stage := usualStage()
-	stage.LinkBytes = 10_000_000
+	stage.LinkBytesPerSecond = 10_000_000
 	w := newWorld(stage, 2)
-	asked := w.arrive(0, "asks", 4, func(g *Group) { g.TellRead = true; g.InputBytes = 100_000 })
+	asked := w.arrive(0, "asks", 4, func(g *Group) { g.NotifyInputsFetched = true; g.InputBytes = 100_000 })
 	w.arrive(0, "does not ask", 4, nil)
 	w.run(100 * time.Millisecond)
 	require.Empty(t, w.read, "four times 100 KB take 120 ms with what others fetch")
@@ -129,7 +129,7 @@
 	w := newWorld(usualStage(), 1)
 	id := w.arrive(0, "r", 3, nil)
 	w.run(50 * time.Millisecond)
-	w.reduce(Withdrawn{ID: id})
+	w.reduce(GroupWithdrawn{ID: id})
 	w.arrive(60*time.Millisecond, "r", 3, func(g *Group) { g.Segments = []int{2} })
 	w.run(2 * time.Second)
 	require.Equal(t, 1, w.made(id))
@@ -143,8 +143,8 @@
 	var ids []GroupID
 	for i := range 60 {
 		ids = append(ids, w.arrive(time.Duration(i)*5*time.Millisecond, fmt.Sprint(i), 3, func(g *Group) {
-			g.Zone = fmt.Sprintf("z%d", i%3)
-			g.FarBytes = HeavyBytes
+			g.PreferredZone = fmt.Sprintf("z%d", i%3)
+			g.CrossZoneBytes = ZoneAffinityBytes
 		}))
 	}
 	w.run(5 * time.Second)
@@ -165,7 +165,11 @@
 func TestOnlyWhatTheNextCallsTakeWaitsForAZone(t *testing.T) {
 	w := newWorld(usualStage(), 3)
 	for i := range 6 {
-		w.arrive(0, fmt.Sprint(i), 4, func(g *Group) { g.Zone = "z0"; g.FarBytes = HeavyBytes; g.Due = w.at(time.Minute) })
+		w.arrive(0, fmt.Sprint(i), 4, func(g *Group) {
+			g.PreferredZone = "z0"
+			g.CrossZoneBytes = ZoneAffinityBytes
+			g.Due = w.at(time.Minute)
+		})
 	}
 	w.run(20 * time.Millisecond)
 	used := make(map[string]bool)
--- a/collector/group.go
+++ b/collector/group.go
@@ -98,7 +98,7 @@
 			p.giveUp(g, Late)
 			before -= n
 		case held.After(now) && g.Deadline.Before(held.Add(p.cfg.Stage.CallDuration(1))):
-			p.giveUp(g, HeldBack)
+			p.giveUp(g, Throttled)
 			before -= n
 		case !g.started() && capacity > 0 && g.Deadline.Before(now.Add(p.queueTime(before-n, capacity)+call)):
 			p.giveUpOver(g, now)
@@ -137,11 +137,11 @@
 
 func everyGroup(*group) bool { return true }
 
-func notKept(g *group) bool { return !g.Kept }
+func notKept(g *group) bool { return !g.Pinned }
 
 // giveUpOver tells that a group's waiting pieces are not made since others go before them.
 func (p *Pool) giveUpOver(g *group, now time.Time) {
-	if p.Over(now) == 0 {
+	if p.OverloadedFor(now) == 0 {
 		p.overSince = now
 	}
 	p.overAt = now
@@ -297,11 +297,11 @@
 
 // yields tells whether a group goes behind those that can be on time.
 func (p *Pool) yields(g *group, now time.Time) bool {
-	return !g.Holding && !p.cfg.Off.Has(switcher.LateLast) && p.cannotBeInTime(g, now)
+	return !g.HoldsSpace && !p.cfg.Off.Has(switcher.LateLast) && p.cannotBeInTime(g, now)
 }
 
 func (p *Pool) cannotBeInTime(g *group, now time.Time) bool {
-	latest := g.Latest
+	latest := g.LatestDue
 	if latest.IsZero() {
 		latest = g.Due
 	}
@@ -317,13 +317,13 @@
 // waitsForZone tells whether the group should wait for an endpoint of its own zone, where so many pieces go before its own.
 // The first group of a zone may wait whatever its size: where calls are small, it fills one by itself.
 func (p *Pool) waitsForZone(g *group, e *endpoint, before int, now time.Time) bool {
-	if p.cfg.Off.Has(switcher.ZoneWait) || g.Zone == "" || g.Zone == e.Zone || g.FarBytes < HeavyBytes {
+	if p.cfg.Off.Has(switcher.ZoneWait) || g.PreferredZone == "" || g.PreferredZone == e.Zone || g.CrossZoneBytes < ZoneAffinityBytes {
 		return false
 	}
-	if p.inZone[g.Zone] == 0 {
+	if p.inZone[g.PreferredZone] == 0 {
 		return false
 	}
-	next := zoneCalls * float64(p.inZone[g.Zone]*p.cfg.Stage.Batch)
+	next := zoneCalls * float64(p.inZone[g.PreferredZone]*p.cfg.Stage.Batch)
 	if before > 0 && float64(before+len(g.waiting)) > next {
 		return false
 	}
--- a/collector/order_test.go
+++ b/collector/order_test.go
@@ -21,7 +21,7 @@
 			Priority: i % 3,
 			Account:  fmt.Sprint(i % 5),
 		}
-		p.Reduce(Arrived{Group: g}, start)
+		p.Reduce(GroupArrived{Group: g}, start)
 	}
 	for b.Loop() {
 		p.ordered(start)
--- a/collector/turnaround_test.go
+++ b/collector/turnaround_test.go
@@ -29,9 +29,9 @@
 func newPipeline(leave func(second *Pool) time.Duration) *pipeline {
 	late := usualStage()
 	late.Batch = 16
-	late.ItemTime = 8 * time.Millisecond
+	late.PieceTime = 8 * time.Millisecond
 	early := usualStage()
-	early.RoomBytes = 6 * pipelineResult
+	early.ResultSpaceBytes = 6 * pipelineResult
 	first := newWorld(early, 4)
 	first.keepFor = -1
 	return &pipeline{
@@ -64,24 +64,24 @@
 		p.second.arrive(at.Sub(start), id.Request, 16, func(g *Group) {
 			g.Due = p.due[id.Request]
 			g.Deadline = p.due[id.Request].Add(3 * pipelineObjective)
-			g.Holding = true
+			g.HoldsSpace = true
 		})
 	}
 	p.second.run(to)
 	for id, at := range p.second.gotAt {
 		if _, open := p.second.pool.groups[id]; !open && !p.ended[id] {
 			p.ended[id] = true
-			p.first.plan(at, Freed{Results: p.madeFirst(id.Request)})
+			p.first.plan(at, ResultsReleased{Results: p.madeFirst(id.Request)})
 		}
 	}
 }
 
 // madeFirst gives the results of a request's first stage.
-func (p *pipeline) madeFirst(request string) []Made {
-	var made []Made
+func (p *pipeline) madeFirst(request string) []ResultRef {
+	var made []ResultRef
 	for _, d := range p.first.got {
 		if d.ID.Request == request && d.Result.Handle != "" {
-			made = append(made, Made{Handle: d.Result.Handle, Address: d.Address})
+			made = append(made, ResultRef{Handle: d.Result.Handle, Address: d.Address})
 		}
 	}
 	return made
@@ -129,7 +129,7 @@
 	w := newWorld(stage, 1)
 	late := w.arrive(50*time.Millisecond, "late", 1, func(g *Group) {
 		g.Due = w.at(-time.Second)
-		g.Holding = true
+		g.HoldsSpace = true
 	})
 	var others []GroupID
 	for i := range 40 {
--- a/collector/world_test.go
+++ b/collector/world_test.go
@@ -20,7 +20,7 @@
 	slow   map[string]float64
 	silent map[string]bool
 	// ends lets endpoints answer otherwise than with results.
-	ends map[string]CallEnd
+	ends map[string]CallOutcome
 	// calls are all calls sent, got all deliveries.
 	calls []SendCall
 	got   []Deliver
@@ -61,13 +61,13 @@
 
 func usualStage() cataloger.StagePool {
 	return cataloger.StagePool{
-		Slots:     1,
-		Queue:     2,
-		Batch:     8,
-		CallTime:  150 * time.Millisecond,
-		ItemTime:  16 * time.Millisecond,
-		RoomBytes: 36_000_000,
-		ResultTTL: 4 * time.Second,
+		Slots:            1,
+		Queue:            2,
+		Batch:            8,
+		CallOverhead:     150 * time.Millisecond,
+		PieceTime:        16 * time.Millisecond,
+		ResultSpaceBytes: 36_000_000,
+		ResultTTL:        4 * time.Second,
 	}
 }
 
@@ -77,7 +77,7 @@
 		now:     start,
 		slow:    make(map[string]float64),
 		silent:  make(map[string]bool),
-		ends:    make(map[string]CallEnd),
+		ends:    make(map[string]CallOutcome),
 		gotAt:   make(map[GroupID]time.Time),
 		keepFor: 300 * time.Millisecond,
 	}
@@ -104,18 +104,18 @@
 			w.got = append(w.got, e)
 			w.gotAt[e.ID] = w.now
 			if e.Result.Handle != "" && w.keepFor >= 0 {
-				made := Made{Handle: e.Result.Handle, Address: e.Address}
-				w.plan(w.now.Add(w.keepFor), Freed{Results: []Made{made}})
+				made := ResultRef{Handle: e.Result.Handle, Address: e.Address}
+				w.plan(w.now.Add(w.keepFor), ResultsReleased{Results: []ResultRef{made}})
 			}
-		case InputsRead:
+		case InputsFetched:
 			w.read = append(w.read, e.ID)
 		case FreeResults:
 			w.freed = append(w.freed, e)
-			var made []Made
+			var made []ResultRef
 			for _, h := range e.Handles {
-				made = append(made, Made{Handle: h, Address: e.Address})
+				made = append(made, ResultRef{Handle: h, Address: e.Address})
 			}
-			w.plan(w.now.Add(2*time.Millisecond), FreeEnded{Results: made})
+			w.plan(w.now.Add(2*time.Millisecond), FreeCallEnded{Results: made})
 		}
 	}
 }
@@ -123,11 +123,11 @@
 func (w *world) call(e SendCall) {
 	w.calls = append(w.calls, e)
 	if w.silent[e.Endpoint.ID] {
-		w.plan(w.now.Add(e.Timeout), CallEnded{Call: e.Call, End: Broken})
+		w.plan(w.now.Add(e.Timeout), CallEnded{Call: e.Call, Outcome: Broken})
 		return
 	}
 	if end, fails := w.ends[e.Endpoint.ID]; fails {
-		w.plan(w.now.Add(2*time.Millisecond), CallEnded{Call: e.Call, End: end})
+		w.plan(w.now.Add(2*time.Millisecond), CallEnded{Call: e.Call, Outcome: end})
 		return
 	}
 	took := w.pool.cfg.Stage.CallDuration(len(e.Pieces))
@@ -146,7 +146,7 @@
 	for i, p := range e.Pieces {
 		results[i].Handle = fmt.Sprintf("%s/%d-%s-%d-%d", e.Endpoint.Address, e.Call, p.Request, p.Stage, p.Segment)
 	}
-	w.plan(w.now.Add(took), CallEnded{Call: e.Call, End: Answered, Results: results})
+	w.plan(w.now.Add(took), CallEnded{Call: e.Call, Outcome: Answered, Results: results})
 }
 
 // run lets time pass, with a tick every 10 ms.
@@ -181,7 +181,7 @@
 	if change != nil {
 		change(&g)
 	}
-	w.plan(w.at(at), Arrived{Group: g})
+	w.plan(w.at(at), GroupArrived{Group: g})
 	return g.ID
 }
 
--- a/divider/divider.go
+++ b/divider/divider.go
@@ -45,7 +45,7 @@
 }
 
 // Takes tells whether an endpoint is one of the pool's.
-func (p Pool) Takes(e *registrar.Endpoint) bool {
+func (p Pool) Contains(e *registrar.Endpoint) bool {
 	return e.Service == p.Service && (p.Zone == "" || e.Zone == p.Zone)
 }
 
@@ -77,7 +77,7 @@
 
 // Told notes that a peer says that a service is divided. An entry that starts while endpoints are few would else take it for one
 // pool beside those that know it as divided, and two would collect for each endpoint.
-func (d *Divider) Told(service string) {
+func (d *Divider) MarkDivided(service string) {
 	if d.total[service] >= joinBelow {
 		d.divided[service] = true
 	}
@@ -148,13 +148,13 @@
 type Query struct {
 	Service string
 	// Draw is the same for all stages of a request, so that they are done in one zone as far as each has endpoints there.
-	Draw uint64
+	Seed uint64
 	// Near is the zone where the results are wanted; empty where that is all the same.
-	Near string
+	PreferredZone string
 	// Allows tells whether the pieces may be made in a zone; nil where they may be in all.
-	Allows func(zone string) bool
+	ZoneAllowed func(zone string) bool
 	// Patience is how much longer the chosen pool may keep pieces waiting than the least loaded one.
-	Patience time.Duration
+	MaxExtraWait time.Duration
 }
 
 // Choose gives the pool that a request's pieces are asked for at. Each zone gets its part of the work by its number of
@@ -165,15 +165,15 @@
 	if len(pools) == 1 {
 		return pools[0]
 	}
-	if query.Allows != nil {
-		pools = slices.DeleteFunc(pools, func(p Pool) bool { return !query.Allows(p.Zone) })
+	if query.ZoneAllowed != nil {
+		pools = slices.DeleteFunc(pools, func(p Pool) bool { return !query.ZoneAllowed(p.Zone) })
 	}
 	if len(pools) == 0 {
 		// Nothing may be made anywhere: the pool of all endpoints finds none that may get the pieces.
 		return Pool{Service: query.Service}
 	}
-	chosen := d.drawn(pools, query.Draw)
-	if near := (Pool{Service: query.Service, Zone: query.Near}); slices.Contains(pools, near) {
+	chosen := d.drawn(pools, query.Seed)
+	if near := (Pool{Service: query.Service, Zone: query.PreferredZone}); slices.Contains(pools, near) {
 		chosen = near
 	}
 	best, least := chosen, wait(chosen)
@@ -182,7 +182,7 @@
 			best, least = p, w
 		}
 	}
-	if wait(chosen) > least+query.Patience {
+	if wait(chosen) > least+query.MaxExtraWait {
 		return best
 	}
 	return chosen
--- a/divider/divider_test.go
+++ b/divider/divider_test.go
@@ -51,10 +51,10 @@
 	require.Equal(t, 3, set(divideFrom/3, divideFrom/3, divideFrom/3))
 	require.Equal(t, 3, set(divideFrom/3-1, divideFrom/3, divideFrom/3), "one that leaves does not join it")
 	require.Equal(t, 1, set(2, 2, joinBelow-5))
-	d.Told("s")
+	d.MarkDivided("s")
 	require.Equal(t, 1, set(2, 2, joinBelow-5), "a peer's word does not divide what is small")
 	require.Equal(t, 1, set(joinBelow/3, joinBelow/3, joinBelow/3))
-	d.Told("s")
+	d.MarkDivided("s")
 	require.Equal(t, 3, set(joinBelow/3, joinBelow/3, joinBelow/3), "one that a peer has divided")
 	require.Equal(t, []Pool{{Service: "other"}}, d.Pools("other"))
 }
@@ -67,7 +67,7 @@
 	d.SetEndpoints(all, all[20:])
 	require.Equal(t, []Pool{{"s", "z1"}, {"s", "z2"}}, d.Pools("s"))
 	for draw := range uint64(100) {
-		require.NotEqual(t, "z0", d.Choose(Query{Service: "s", Draw: draw, Near: "z0"}, idle).Zone)
+		require.NotEqual(t, "z0", d.Choose(Query{Service: "s", Seed: draw, PreferredZone: "z0"}, idle).Zone)
 	}
 }
 
@@ -79,13 +79,13 @@
 	in := make(map[string]int)
 	const draws = 10_000
 	for draw := range uint64(draws) {
-		first := d.Choose(Query{Service: "first", Draw: draw}, idle)
-		require.Equal(t, first.Zone, d.Choose(Query{Service: "second", Draw: draw}, idle).Zone)
+		first := d.Choose(Query{Service: "first", Seed: draw}, idle)
+		require.Equal(t, first.Zone, d.Choose(Query{Service: "second", Seed: draw}, idle).Zone)
 		in[first.Zone]++
 	}
 	require.InDelta(t, draws/2, in["z0"], draws/50)
 	require.InDelta(t, draws/4, in["z1"], draws/50)
-	require.Equal(t, "z2", d.Choose(Query{Service: "first", Near: "z2"}, idle).Zone)
+	require.Equal(t, "z2", d.Choose(Query{Service: "first", PreferredZone: "z2"}, idle).Zone)
 }
 
 // A request may be served in one region, whose zones' pools are loaded. It must wait there all the same.
@@ -100,10 +100,10 @@
 		return 0
 	}
 	for draw := range uint64(50) {
-		query := Query{Service: "s", Draw: draw, Near: "z0", Allows: func(zone string) bool { return zone == "z1" }}
+		query := Query{Service: "s", Seed: draw, PreferredZone: "z0", ZoneAllowed: func(zone string) bool { return zone == "z1" }}
 		require.Equal(t, "z1", d.Choose(query, busy).Zone)
 	}
-	require.Equal(t, Pool{Service: "s"}, d.Choose(Query{Service: "s", Allows: func(string) bool { return false }}, idle))
+	require.Equal(t, Pool{Service: "s"}, d.Choose(Query{Service: "s", ZoneAllowed: func(string) bool { return false }}, idle))
 }
 
 // One zone has lost endpoints and a queue grows there. What comes goes to the others once its wait is longer by the patience,
@@ -119,7 +119,7 @@
 		}
 		return 0
 	}
-	query := Query{Service: "s", Near: "z0", Patience: 100 * time.Millisecond}
+	query := Query{Service: "s", PreferredZone: "z0", MaxExtraWait: 100 * time.Millisecond}
 	queue = 100 * time.Millisecond
 	require.Equal(t, "z0", d.Choose(query, wait).Zone)
 	queue = 101 * time.Millisecond
--- a/experimenter/endpoint.go
+++ b/experimenter/endpoint.go
@@ -46,7 +46,7 @@
 }
 
 // call takes a call; answer is called with its end.
-func (m *maker) call(e collector.SendCall, answer func(collector.CallEnd, []collector.PieceResult)) {
+func (m *maker) call(e collector.SendCall, answer func(collector.CallOutcome, []collector.PieceResult)) {
 	if m.gone {
 		answer(collector.Unreachable, nil)
 		return
@@ -76,9 +76,9 @@
 }
 
 // work fetches inputs, works, and answers.
-func (m *maker) work(e collector.SendCall, answer func(collector.CallEnd, []collector.PieceResult)) {
+func (m *maker) work(e collector.SendCall, answer func(collector.CallOutcome, []collector.PieceResult)) {
 	results := make([]collector.PieceResult, len(e.Pieces))
-	took := m.pool.stage.CallTime
+	took := m.pool.stage.CallOverhead
 	fetched := int64(0)
 	for i := range e.Pieces {
 		results[i] = m.piece(&e.Pieces[i], &took, &fetched)
@@ -119,11 +119,11 @@
 		m.w.cross(in.maker.zone, m.zone, in.bytes)
 	}
 	cfg := &r.kind.Stages[p.Stage]
-	if m.used+cfg.ResultBytes > m.pool.stage.RoomBytes {
+	if m.used+cfg.ResultBytes > m.pool.stage.ResultSpaceBytes {
 		m.pool.result.NoRoom++
-		return collector.PieceResult{Reason: collector.NoRoom}
+		return collector.PieceResult{Reason: collector.NoSpace}
 	}
-	work := time.Duration(float64(m.pool.stage.ItemTime) * float64(cfg.WorkPercent) / 100)
+	work := time.Duration(float64(m.pool.stage.PieceTime) * float64(cfg.WorkPercent) / 100)
 	*took += work
 	if m.w.random.Int64N(1000) < m.pool.cfg.FailuresPerMille {
 		return collector.PieceResult{Reason: collector.Failed}
--- a/experimenter/entry.go
+++ b/experimenter/entry.go
@@ -110,11 +110,11 @@
 			e.send(service, f)
 		case collector.Deliver:
 			e.w.after(e.wayToOrigin(f.ID), func() { e.w.deliver(service, f) })
-		case collector.InputsRead:
+		case collector.InputsFetched:
 			e.w.after(e.wayToOrigin(f.ID), func() { e.w.inputsRead(f.ID) })
 		case collector.FreeResults:
 			e.freeResults(service, f)
-		case collector.Judged:
+		case collector.HealthChanged:
 		}
 	}
 }
@@ -140,11 +140,11 @@
 	m := e.w.pools[service].byAddr[call.Endpoint.Address]
 	way := e.w.way(e.zone, m.zone)
 	e.w.after(way, func() {
-		m.call(call, func(end collector.CallEnd, results []collector.PieceResult) {
+		m.call(call, func(end collector.CallOutcome, results []collector.PieceResult) {
 			notice := m.notice
 			e.w.after(way, func() {
 				e.regulator.Heard(&call.Endpoint, notice, e.w.now)
-				e.reduce(service, collector.CallEnded{Call: call.Call, End: end, Results: results})
+				e.reduce(service, collector.CallEnded{Call: call.Call, Outcome: end, Results: results})
 			})
 		})
 	})
@@ -153,15 +153,15 @@
 func (e *entry) freeResults(service string, f collector.FreeResults) {
 	m := e.w.pools[service].byAddr[f.Address]
 	way := e.w.way(e.zone, m.zone)
-	made := make([]collector.Made, len(f.Handles))
+	made := make([]collector.ResultRef, len(f.Handles))
 	for i, handle := range f.Handles {
-		made[i] = collector.Made{Handle: handle, Address: f.Address}
+		made[i] = collector.ResultRef{Handle: handle, Address: f.Address}
 	}
 	e.w.after(way, func() {
 		for _, handle := range f.Handles {
 			e.w.free(handle)
 		}
-		e.w.after(way, func() { e.reduce(service, collector.FreeEnded{Results: made}) })
+		e.w.after(way, func() { e.reduce(service, collector.FreeCallEnded{Results: made}) })
 	})
 }
 
--- a/experimenter/request.go
+++ b/experimenter/request.go
@@ -39,25 +39,25 @@
 	r.w.requests[r.id] = r
 	e := r.entry
 	r.plan = planner.New(planner.Config{
-		Origin:    e.name,
-		Request:   r.id,
-		Stages:    r.kind.stages(),
-		Counts:    r.counts,
-		Key:       "key",
-		Priority:  int(r.kind.Priority),
-		Account:   "account",
-		Due:       r.began.Add(millis(r.kind.ObjectiveMillis)),
-		FirstBy:   r.began.Add(millis(r.kind.PatienceMillis)),
-		HomeZone:  e.selector.HomeZone(modelPool, r.parts, nil, r.w.now),
-		ModelTime: e.selector.FirstEvent(modelPool, r.parts),
-		Off:       r.w.off,
+		Origin:             e.name,
+		Request:            r.id,
+		Stages:             r.kind.stages(),
+		PieceCounts:        r.counts,
+		Key:                "key",
+		Priority:           int(r.kind.Priority),
+		Account:            "account",
+		Due:                r.began.Add(millis(r.kind.ObjectiveMillis)),
+		FirstEventDeadline: r.began.Add(millis(r.kind.PatienceMillis)),
+		HomeZone:           e.selector.HomeZone(modelPool, r.parts, nil, r.w.now),
+		ModelTime:          e.selector.FirstEvent(modelPool, r.parts),
+		Off:                r.w.off,
 	})
-	if service, over := r.plan.Overload(e, r.w.now); over {
+	if service, over := r.plan.Overloaded(e, r.w.now); over {
 		r.refuse(service)
 		return
 	}
 	id := r.id
-	r.w.after(r.plan.LastStart().Sub(r.w.now), func() {
+	r.w.after(r.plan.LatestModelStart().Sub(r.w.now), func() {
 		if r.id == id && !r.ended && !r.plan.Done() {
 			r.refuse("")
 		}
@@ -76,14 +76,14 @@
 	}
 	next, again := r.plan.Next(r.entry, r.w.now)
 	for _, stage := range next {
-		g := r.plan.Group(stage, r.entry, r.w.now)
+		g := r.plan.StartStage(stage, r.entry, r.w.now)
 		service := r.plan.Service(stage)
 		collecting := r.w.owner(service)
-		r.w.after(r.entry.wayTo(collecting), func() { collecting.reduce(service, collector.Arrived{Group: g}) })
+		r.w.after(r.entry.wayTo(collecting), func() { collecting.reduce(service, collector.GroupArrived{Group: g}) })
 	}
 	if again {
 		id := r.id
-		r.w.after(planner.LookAgain, func() {
+		r.w.after(planner.RecheckInterval, func() {
 			if r.id == id {
 				r.goOn()
 			}
@@ -95,7 +95,7 @@
 func (r *request) took(d collector.Deliver) {
 	switch {
 	case d.Result.Handle != "":
-		r.w.freeAll(r.plan.Took(d.ID.Stage, d))
+		r.w.freeAll(r.plan.AddResult(d.ID.Stage, d))
 	case d.Result.Reason == collector.InputGone && r.remake(d.ID.Stage):
 	default:
 		r.refuse(r.plan.Service(d.ID.Stage))
@@ -105,7 +105,7 @@
 }
 
 func (r *request) remake(stage int) bool {
-	ended, freed, again := r.plan.Remake(stage)
+	ended, freed, again := r.plan.RecomputeInputs(stage)
 	if !again {
 		return false
 	}
@@ -119,13 +119,13 @@
 func (r *request) withdraw(stage int) {
 	service := r.plan.Service(stage)
 	id := collector.GroupID{Origin: r.entry.name, Request: r.id, Stage: stage}
-	r.w.owner(service).reduce(service, collector.Withdrawn{ID: id})
+	r.w.owner(service).reduce(service, collector.GroupWithdrawn{ID: id})
 }
 
 // run chooses a model engine and follows its answer.
 func (r *request) run() {
 	r.ended = true
-	ask := selector.Query{Service: modelPool, Parts: r.parts, ZoneBytes: r.plan.ZoneBytes(), Avoid: r.refusedBy}
+	ask := selector.Query{Service: modelPool, Parts: r.parts, ZoneBytes: r.plan.InputBytesByZone(), Avoid: r.refusedBy}
 	choice, found := r.entry.selector.Choose(ask, r.w.now)
 	if !found {
 		r.stats.Failed++
@@ -133,7 +133,7 @@
 	}
 	r.entry.selector.Started(choice, r.parts, r.w.now)
 	engine := r.w.engines[choice.Endpoint.ID]
-	for zone, bytes := range r.plan.ZoneBytes() {
+	for zone, bytes := range r.plan.InputBytesByZone() {
 		r.w.cross(zone, engine.zone, bytes)
 	}
 	sent := r.w.now
@@ -144,8 +144,8 @@
 		r.run()
 		return
 	}
-	if after, short := r.plan.LastFetched(e); short {
-		r.w.after(way+after, func() { r.w.freeAll(r.plan.FreeLast()) })
+	if after, short := r.plan.FinalFetchDelay(e); short {
+		r.w.after(way+after, func() { r.w.freeAll(r.plan.FreeFinalResults()) })
 	}
 	r.w.after(way, func() {
 		if engine.refuses {
@@ -159,7 +159,7 @@
 			e.regulator.Heard(&choice.Endpoint, engine.notice, r.w.now)
 			e.selector.Observe(choice, r.w.now.Sub(sent))
 			e.selector.Read(&choice)
-			r.w.freeAll(r.plan.FreeLast())
+			r.w.freeAll(r.plan.FreeFinalResults())
 			r.answered()
 		}, func() { e.selector.Ended(choice, ejector.Good, r.w.now) })
 	})
@@ -183,7 +183,7 @@
 	for i := range r.kind.Stages {
 		r.withdraw(i)
 	}
-	after := planner.ReturnAfter(r.entry.Load(service), r.w.random.Float64())
+	after := planner.RetryAfter(r.entry.Load(service), r.w.random.Float64())
 	left := r.began.Add(millis(r.kind.PatienceMillis)).Sub(r.w.now)
 	if r.attempts > 1 || after > left/3 {
 		r.stats.Refused++
--- a/experimenter/scenario.go
+++ b/experimenter/scenario.go
@@ -271,14 +271,14 @@
 // stage says how the pool's endpoints take calls.
 func (p *Pool) stage() cataloger.StagePool {
 	return cataloger.StagePool{
-		Slots:     1,
-		Queue:     int(p.Queue),
-		Batch:     int(p.Batch),
-		CallTime:  millis(p.CallMillis),
-		ItemTime:  micros(p.ItemMicros),
-		RoomBytes: p.RoomBytes,
-		ResultTTL: millis(p.ResultMillis),
-		LinkBytes: p.LinkMbps * bytesPerMbit,
+		Slots:              1,
+		Queue:              int(p.Queue),
+		Batch:              int(p.Batch),
+		CallOverhead:       millis(p.CallMillis),
+		PieceTime:          micros(p.ItemMicros),
+		ResultSpaceBytes:   p.RoomBytes,
+		ResultTTL:          millis(p.ResultMillis),
+		LinkBytesPerSecond: p.LinkMbps * bytesPerMbit,
 	}
 }
 
@@ -288,7 +288,7 @@
 	for i, s := range k.Stages {
 		stages[i] = cataloger.Stage{Service: s.Pool, ResultBytes: s.ResultBytes}
 		for _, after := range s.After {
-			stages[i].After = append(stages[i].After, int(after))
+			stages[i].DependsOn = append(stages[i].DependsOn, int(after))
 		}
 	}
 	return stages
--- a/experimenter/world.go
+++ b/experimenter/world.go
@@ -200,20 +200,20 @@
 	}
 	if d.Result.Handle != "" {
 		w.result.ResultsUnused++
-		w.freeAll([]planner.Freed{{Service: service, Made: []collector.Made{{Handle: d.Result.Handle, Address: d.Address}}}})
+		w.freeAll([]planner.ReleasedResults{{Service: service, Results: []collector.ResultRef{{Handle: d.Result.Handle, Address: d.Address}}}})
 	}
 }
 
 func (w *world) inputsRead(id collector.GroupID) {
 	if r, known := w.requests[id.Request]; known && !r.ended && r.id == id.Request {
-		w.freeAll(r.plan.InputsRead(id.Stage, r.entry))
+		w.freeAll(r.plan.InputsFetched(id.Stage, r.entry))
 	}
 }
 
 // freeAll gives results back by the entry that collects for their service.
-func (w *world) freeAll(freed []planner.Freed) {
+func (w *world) freeAll(freed []planner.ReleasedResults) {
 	for _, f := range freed {
-		w.owner(f.Service).reduce(f.Service, collector.Freed{Results: f.Made})
+		w.owner(f.Service).reduce(f.Service, collector.ResultsReleased{Results: f.Results})
 	}
 }
 
--- a/forwarder/addresses.go
+++ b/forwarder/addresses.go
@@ -54,7 +54,7 @@
 		live = stopping
 	}
 	if catalog != nil {
-		live = f.nearest(live, region, catalog.Homes(host))
+		live = f.nearest(live, region, catalog.AllowedRegions(host))
 	}
 	addresses := make([]string, len(live))
 	for i, m := range live {
--- a/forwarder/availability.go
+++ b/forwarder/availability.go
@@ -89,18 +89,18 @@
 // homesOf gives the regions that a request may be served in; nil where it may be in all. Where the route and the client
 // account both have homes, both bind.
 func homesOf(route *cataloger.Route, account *cataloger.Account) []string {
-	if account == nil || len(account.Homes) == 0 {
-		if len(route.Homes) == 0 {
+	if account == nil || len(account.AllowedRegions) == 0 {
+		if len(route.AllowedRegions) == 0 {
 			return nil
 		}
-		return route.Homes
+		return route.AllowedRegions
 	}
-	if len(route.Homes) == 0 {
-		return account.Homes
+	if len(route.AllowedRegions) == 0 {
+		return account.AllowedRegions
 	}
-	both := make([]string, 0, len(route.Homes))
-	for _, region := range route.Homes {
-		if slices.Contains(account.Homes, region) {
+	both := make([]string, 0, len(route.AllowedRegions))
+	for _, region := range route.AllowedRegions {
+		if slices.Contains(account.AllowedRegions, region) {
 			both = append(both, region)
 		}
 	}
--- a/forwarder/delegation.go
+++ b/forwarder/delegation.go
@@ -102,7 +102,7 @@
 	a.sent = now
 	a.accepted = false
 	g := a.group
-	g.Kept = a.kept
+	g.Pinned = a.kept
 	g.Segments = make([]int, 0, len(a.left))
 	for _, s := range a.group.Segments {
 		if a.left[s] {
@@ -124,18 +124,18 @@
 		Key:            g.Key,
 		Inputs:         g.Inputs,
 		DueMillis:      g.Due.Sub(now).Milliseconds(),
-		LatestMillis:   g.Latest.Sub(now).Milliseconds(),
+		LatestMillis:   g.LatestDue.Sub(now).Milliseconds(),
 		DeadlineMillis: g.Deadline.Sub(now).Milliseconds(),
 		Priority:       int32(g.Priority),
 		Account:        g.Account,
 		ResultBytes:    g.ResultBytes,
-		Zone:           g.Zone,
-		FarBytes:       g.FarBytes,
-		Kept:           g.Kept,
+		Zone:           g.PreferredZone,
+		FarBytes:       g.CrossZoneBytes,
+		Kept:           g.Pinned,
 		Regions:        g.Regions,
-		Holding:        g.Holding,
+		Holding:        g.HoldsSpace,
 		InputBytes:     g.InputBytes,
-		TellRead:       g.TellRead,
+		TellRead:       g.NotifyInputsFetched,
 	}
 	for _, s := range g.Segments {
 		m.Numbers = append(m.Numbers, int32(s))
@@ -210,7 +210,7 @@
 			m := &carrier.PieceWithdraw{Service: a.service, Request: a.group.ID.Request, Stage: int32(a.group.ID.Stage)}
 			return []func(){f.sendTo(a.owner, m)}
 		}
-		return f.reduce(a.service, collector.Withdrawn{ID: a.group.ID}, now)
+		return f.reduce(a.service, collector.GroupWithdrawn{ID: a.group.ID}, now)
 	})
 }
 
@@ -263,10 +263,10 @@
 	if d.Result.Handle == "" {
 		return nil
 	}
-	made := collector.Made{Handle: d.Result.Handle, Address: d.Address}
+	made := collector.ResultRef{Handle: d.Result.Handle, Address: d.Address}
 	if from != f.cfg.Name {
 		free := &carrier.PieceFree{Service: service, Results: []carrier.MadeResult{{Handle: made.Handle, Address: made.Address}}}
 		return []func(){f.sendTo(from, free)}
 	}
-	return f.reduce(service, collector.Freed{Results: []collector.Made{made}}, time.Now())
+	return f.reduce(service, collector.ResultsReleased{Results: []collector.ResultRef{made}}, time.Now())
 }
--- a/forwarder/duty.go
+++ b/forwarder/duty.go
@@ -58,8 +58,8 @@
 			f.otherSince[service] = now
 			continue
 		}
-		if now.Sub(since) >= handBackAfter && p.Waiting() > 0 {
-			todo = append(todo, f.performAll(service, p, p.Reduce(collector.HandedBack{}, now))...)
+		if now.Sub(since) >= handBackAfter && p.WaitingPieces() > 0 {
+			todo = append(todo, f.performAll(service, p, p.Reduce(collector.Reassigned{}, now))...)
 		}
 	}
 	return todo
--- a/forwarder/duty_test.go
+++ b/forwarder/duty_test.go
@@ -161,7 +161,7 @@
 // with both. Each service has a collecting entry of its own, the same by all views; where one is avoided the next one is
 // free of the others' duties too, and with few VMs left duties are shared all the same.
 func TestEachServiceHasItsOwnCollector(t *testing.T) {
-	stage := &cataloger.StagePool{Slots: 1, Batch: 8, CallTime: time.Hour}
+	stage := &cataloger.StagePool{Slots: 1, Batch: 8, CallOverhead: time.Hour}
 	services := []cataloger.Service{{Name: "a", Stage: stage}, {Name: "b", Stage: stage}, {Name: "c", Stage: stage}}
 	catalog, err := cataloger.New(cataloger.Config{Version: 2, Services: services})
 	require.NoError(t, err)
--- a/forwarder/evacuation_test.go
+++ b/forwarder/evacuation_test.go
@@ -105,11 +105,11 @@
 		{"nothing in common", []string{"a"}, []string{"c"}, []string{}},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
-			route, account := &cataloger.Route{Homes: tc.route}, &cataloger.Account{Homes: tc.account}
+			route, account := &cataloger.Route{AllowedRegions: tc.route}, &cataloger.Account{AllowedRegions: tc.account}
 			require.Equal(t, tc.want, homesOf(route, account))
 		})
 	}
-	require.Equal(t, []string{"a"}, homesOf(&cataloger.Route{Homes: []string{"a"}}, nil))
+	require.Equal(t, []string{"a"}, homesOf(&cataloger.Route{AllowedRegions: []string{"a"}}, nil))
 }
 
 // A caller asks where to connect. An entry outside the homes of its request's route and outside its own region must not get
@@ -119,7 +119,7 @@
 	f := m.nodes["entry-0"]
 	f.cfg.Regions = map[string]string{"z0": "east", "z1": "west", "z2": "north"}
 	f.catalog, _ = cataloger.New(cataloger.Config{Version: 9, Routes: []cataloger.Route{{
-		Name: "r", Host: "h.example", Targets: []cataloger.Target{{Service: "plain"}}, Homes: []string{"north"},
+		Name: "r", Host: "h.example", Targets: []cataloger.Target{{Service: "plain"}}, AllowedRegions: []string{"north"},
 	}}})
 	for _, tc := range []struct{ host, region, want string }{
 		{"h.example", "west", "caller-entry-1"},
--- a/forwarder/handler.go
+++ b/forwarder/handler.go
@@ -157,7 +157,7 @@
 func (x *exchange) checkKey(catalog *cataloger.Catalog) *FailureError {
 	x.priority = x.route.Priority
 	x.homes = homesOf(x.route, nil)
-	if !catalog.NeedsKeys() {
+	if !catalog.RequiresKeys() {
 		x.keepKey = true
 		return nil
 	}
@@ -194,7 +194,7 @@
 	x.deadline = x.began.Add(timeout)
 	x.due = x.began.Add(x.route.Objective)
 	x.firstBy = x.deadline
-	if patience := x.route.FirstEventPatience; patience > 0 && patience < timeout {
+	if patience := x.route.FirstEventTimeout; patience > 0 && patience < timeout {
 		x.firstBy = x.began.Add(patience)
 	}
 	x.boundWrites(x.deadline)
--- a/forwarder/knowledge.go
+++ b/forwarder/knowledge.go
@@ -133,7 +133,7 @@
 	own := divider.Parse(pool)
 	changed := collector.EndpointsChanged{Evacuated: !f.availability.serves(own.Service, nil)}
 	for i := range usable {
-		if own.Takes(&usable[i]) {
+		if own.Contains(&usable[i]) {
 			changed.Endpoints = append(changed.Endpoints, usable[i])
 		}
 	}
--- a/forwarder/mesh_test.go
+++ b/forwarder/mesh_test.go
@@ -105,7 +105,7 @@
 		return nil, err
 	}
 	return cataloger.New(cataloger.Config{Version: version, Services: []cataloger.Service{
-		{Name: "encode", Stage: &cataloger.StagePool{Slots: 1, Batch: 8, CallTime: time.Hour, RoomBytes: 1 << 30, ResultTTL: time.Hour}},
+		{Name: "encode", Stage: &cataloger.StagePool{Slots: 1, Batch: 8, CallOverhead: time.Hour, ResultSpaceBytes: 1 << 30, ResultTTL: time.Hour}},
 		{Name: "plain"},
 	}})
 }
--- a/forwarder/note.go
+++ b/forwarder/note.go
@@ -107,6 +107,6 @@
 		m.Gauge(meter.EndpointsAge).Update(f.registry.Age(now).Milliseconds())
 	}
 	for service, p := range f.pools {
-		m.Gauge(meter.PieceWaiting, service).Update(int64(p.Waiting()))
+		m.Gauge(meter.PieceWaiting, service).Update(int64(p.WaitingPieces()))
 	}
 }
--- a/forwarder/piececalls.go
+++ b/forwarder/piececalls.go
@@ -27,11 +27,11 @@
 	now := time.Now()
 	f.noteCallEnd(service, e, end, results, now.Sub(began))
 	f.locked(func() []func() {
-		return f.performAll(service, p, p.Reduce(collector.CallEnded{Call: e.Call, End: end, Results: results}, now))
+		return f.performAll(service, p, p.Reduce(collector.CallEnded{Call: e.Call, Outcome: end, Results: results}, now))
 	})
 }
 
-func (f *Forwarder) exchangePieces(service string, e collector.SendCall) (collector.CallEnd, []collector.PieceResult) {
+func (f *Forwarder) exchangePieces(service string, e collector.SendCall) (collector.CallOutcome, []collector.PieceResult) {
 	body, err := f.cfg.Wire.EncodePieces(e.Pieces, time.Now())
 	if err != nil {
 		f.logPieces(service, e, err)
@@ -94,13 +94,13 @@
 		// Where nothing more may be sent, results lapse by themselves.
 		f.exchangeFree(e)
 	}
-	freed := make([]collector.Made, len(e.Handles))
+	freed := make([]collector.ResultRef, len(e.Handles))
 	for i, handle := range e.Handles {
-		freed[i] = collector.Made{Handle: handle, Address: e.Address}
+		freed[i] = collector.ResultRef{Handle: handle, Address: e.Address}
 	}
 	now := time.Now()
 	f.locked(func() []func() {
-		return f.performAll(service, p, p.Reduce(collector.FreeEnded{Results: freed}, now))
+		return f.performAll(service, p, p.Reduce(collector.FreeCallEnded{Results: freed}, now))
 	})
 }
 
--- a/forwarder/piecelog.go
+++ b/forwarder/piecelog.go
@@ -22,12 +22,12 @@
 		zap.String("endpoint", e.Endpoint.ID),
 		zap.String("zone", e.Endpoint.Zone),
 		zap.Int("pieces", len(e.Pieces)),
-		zap.Int("waiting", p.Waiting()),
-		zap.Int("space", e.Free))
+		zap.Int("waiting", p.WaitingPieces()),
+		zap.Int("space", e.RemainingResults))
 }
 
 // noteCallEnd writes a line on the end of a call.
-func (f *Forwarder) noteCallEnd(service string, e collector.SendCall, end collector.CallEnd, results []collector.PieceResult, took time.Duration) {
+func (f *Forwarder) noteCallEnd(service string, e collector.SendCall, end collector.CallOutcome, results []collector.PieceResult, took time.Duration) {
 	f.cfg.Meter.Histogram(meter.PieceCallMicros, service).Update(took.Microseconds())
 	reasons := make(map[string]int)
 	for _, r := range results {
--- a/forwarder/pieces.go
+++ b/forwarder/pieces.go
@@ -11,7 +11,7 @@
 )
 
 // freePieces gives the space of results back.
-func (f *Forwarder) freePieces(service string, made []collector.Made) {
+func (f *Forwarder) freePieces(service string, made []collector.ResultRef) {
 	if len(made) == 0 {
 		return
 	}
@@ -19,7 +19,7 @@
 	f.locked(func() []func() {
 		owner, known := f.owner(service, nil)
 		if !known || owner == f.cfg.Name {
-			return f.reduce(service, collector.Freed{Results: made}, now)
+			return f.reduce(service, collector.ResultsReleased{Results: made}, now)
 		}
 		m := &carrier.PieceFree{Service: service}
 		for _, r := range made {
@@ -31,7 +31,7 @@
 
 // collect takes pieces into the pool of this entry. The lock is held.
 func (f *Forwarder) collect(service string, g collector.Group, now time.Time) []func() {
-	return f.reduce(service, collector.Arrived{Group: g}, now)
+	return f.reduce(service, collector.GroupArrived{Group: g}, now)
 }
 
 // reduce hands an event to this entry's pool of a service. The lock is held.
@@ -66,22 +66,22 @@
 		return nil
 	}
 	g := collector.Group{
-		ID:          collector.GroupID{Origin: from, Request: m.Request, Stage: int(m.Stage)},
-		Key:         m.Key,
-		Inputs:      m.Inputs,
-		Due:         now.Add(time.Duration(m.DueMillis) * time.Millisecond),
-		Latest:      now.Add(time.Duration(m.LatestMillis) * time.Millisecond),
-		Deadline:    now.Add(time.Duration(m.DeadlineMillis) * time.Millisecond),
-		Priority:    int(m.Priority),
-		Account:     m.Account,
-		ResultBytes: m.ResultBytes,
-		Zone:        m.Zone,
-		FarBytes:    m.FarBytes,
-		Kept:        m.Kept,
-		Regions:     m.Regions,
-		Holding:     m.Holding,
-		InputBytes:  m.InputBytes,
-		TellRead:    m.TellRead,
+		ID:                  collector.GroupID{Origin: from, Request: m.Request, Stage: int(m.Stage)},
+		Key:                 m.Key,
+		Inputs:              m.Inputs,
+		Due:                 now.Add(time.Duration(m.DueMillis) * time.Millisecond),
+		LatestDue:           now.Add(time.Duration(m.LatestMillis) * time.Millisecond),
+		Deadline:            now.Add(time.Duration(m.DeadlineMillis) * time.Millisecond),
+		Priority:            int(m.Priority),
+		Account:             m.Account,
+		ResultBytes:         m.ResultBytes,
+		PreferredZone:       m.Zone,
+		CrossZoneBytes:      m.FarBytes,
+		Pinned:              m.Kept,
+		Regions:             m.Regions,
+		HoldsSpace:          m.Holding,
+		InputBytes:          m.InputBytes,
+		NotifyInputsFetched: m.TellRead,
 	}
 	for _, n := range m.Numbers {
 		g.Segments = append(g.Segments, int(n))
@@ -95,15 +95,15 @@
 		return nil
 	}
 	id := collector.GroupID{Origin: from, Request: m.Request, Stage: int(m.Stage)}
-	return f.reduce(m.Service, collector.Withdrawn{ID: id}, now)
+	return f.reduce(m.Service, collector.GroupWithdrawn{ID: id}, now)
 }
 
 func (f *Forwarder) takeFree(m *carrier.PieceFree, now time.Time) []func() {
-	made := make([]collector.Made, len(m.Results))
+	made := make([]collector.ResultRef, len(m.Results))
 	for i, r := range m.Results {
-		made[i] = collector.Made{Handle: r.Handle, Address: r.Address}
+		made[i] = collector.ResultRef{Handle: r.Handle, Address: r.Address}
 	}
-	return f.reduce(m.Service, collector.Freed{Results: made}, now)
+	return f.reduce(m.Service, collector.ResultsReleased{Results: made}, now)
 }
 
 // performAll turns a pool's effects into what is to be done after the lock. The lock is held.
@@ -117,15 +117,15 @@
 			todo = append(todo, func() { go f.callPieces(service, p, e) })
 		case collector.FreeResults:
 			todo = append(todo, func() { go f.callFree(service, p, e) })
-		case collector.InputsRead:
+		case collector.InputsFetched:
 			if e.ID.Origin == f.cfg.Name {
 				f.takeRead(e.ID)
 				continue
 			}
 			m := &carrier.PieceRead{Service: service, Request: e.ID.Request, Stage: int32(e.ID.Stage)}
 			todo = append(todo, f.sendTo(e.ID.Origin, m))
-		case collector.Judged:
-			f.logJudged(service, e.Endpoint, e.Out)
+		case collector.HealthChanged:
+			f.logJudged(service, e.Endpoint, e.OutOfUse)
 		case collector.Deliver:
 			if e.ID.Origin == f.cfg.Name {
 				todo = append(todo, f.takeDelivery(service, e, f.cfg.Name)...)
--- a/forwarder/pieces_test.go
+++ b/forwarder/pieces_test.go
@@ -95,7 +95,7 @@
 				}
 				m.step(100 * time.Millisecond)
 				for name, f := range m.nodes {
-					if p, found := f.pools["encode"]; found && p.Waiting() > 0 && name != dead {
+					if p, found := f.pools["encode"]; found && p.WaitingPieces() > 0 && name != dead {
 						collecting[name] = true
 					}
 				}
--- a/forwarder/stages.go
+++ b/forwarder/stages.go
@@ -49,19 +49,19 @@
 		pools:       make([]string, len(x.route.Stages)),
 		delegations: make([]*delegation, len(x.route.Stages)),
 		plan: planner.New(planner.Config{
-			Origin:    x.f.cfg.Name,
-			Request:   x.req.ID,
-			Stages:    x.route.Stages,
-			Counts:    x.req.PieceCounts,
-			Key:       x.req.PieceKey,
-			Priority:  x.priority,
-			Account:   x.account,
-			Regions:   x.homes,
-			Due:       x.due,
-			FirstBy:   x.firstBy,
-			HomeZone:  homeZone,
-			ModelTime: modelTime,
-			Off:       x.f.cfg.Off,
+			Origin:             x.f.cfg.Name,
+			Request:            x.req.ID,
+			Stages:             x.route.Stages,
+			PieceCounts:        x.req.PieceCounts,
+			Key:                x.req.PieceKey,
+			Priority:           x.priority,
+			Account:            x.account,
+			Regions:            x.homes,
+			Due:                x.due,
+			FirstEventDeadline: x.firstBy,
+			HomeZone:           homeZone,
+			ModelTime:          modelTime,
+			Off:                x.f.cfg.Off,
 		}),
 	}
 }
@@ -108,7 +108,7 @@
 
 const (
 	// nearCalls and farCalls are how many full calls longer than elsewhere pieces wait for the pool in the zone where they
-	// should be made: with less and with more than collector.HeavyBytes to cross zones. Two calls are most of what an
+	// should be made: with less and with more than collector.ZoneAffinityBytes to cross zones. Two calls are most of what an
 	// objective leaves beside the calls themselves.
 	nearCalls = 0.5
 	farCalls  = 2
@@ -118,14 +118,14 @@
 // held.
 func (v poolView) poolNear(service, near string, farBytes int64, now time.Time) string {
 	calls := nearCalls
-	if farBytes >= collector.HeavyBytes {
+	if farBytes >= collector.ZoneAffinityBytes {
 		calls = farCalls
 	}
 	patience := time.Duration(0)
 	if s, known := v.f.stageService(service); known {
 		patience = time.Duration(calls * float64(s.Stage.CallDuration(s.Stage.Batch)))
 	}
-	query := divider.Query{Service: service, Draw: v.draw, Near: near, Allows: v.allows, Patience: patience}
+	query := divider.Query{Service: service, Seed: v.draw, PreferredZone: near, ZoneAllowed: v.allows, MaxExtraWait: patience}
 	chosen := v.f.divider.Choose(query, func(p divider.Pool) time.Duration {
 		return v.f.poolLoad(p.String(), now).Wait
 	})
@@ -139,18 +139,18 @@
 
 // poolOf names the pool that a group of pieces of a service is asked for at.
 func (v poolView) poolOf(service string, g *collector.Group, now time.Time) string {
-	near := g.Zone
+	near := g.PreferredZone
 	if near == "" {
 		near = v.near
 	}
 	v.f.mu.Lock()
 	defer v.f.mu.Unlock()
-	return v.poolNear(service, near, g.FarBytes, now)
+	return v.poolNear(service, near, g.CrossZoneBytes, now)
 }
 
 // checkTime refuses a request whose first event can't come before its caller leaves.
 func (s *stageWork) checkTime(now time.Time) *FailureError {
-	service, over := s.plan.Overload(s.view, now)
+	service, over := s.plan.Overloaded(s.view, now)
 	if !over {
 		return nil
 	}
@@ -162,7 +162,7 @@
 	ends := make(chan stageEnd, 1)
 	quit := make(chan struct{})
 	defer close(quit)
-	late := time.NewTimer(time.Until(s.plan.LastStart()))
+	late := time.NewTimer(time.Until(s.plan.LatestModelStart()))
 	defer late.Stop()
 	for {
 		again := s.delegateNext(ends, quit)
@@ -197,12 +197,12 @@
 	if !again {
 		return nil
 	}
-	return time.After(planner.LookAgain)
+	return time.After(planner.RecheckInterval)
 }
 
 // delegateStage asks for a stage's pieces.
 func (s *stageWork) delegateStage(stage int, now time.Time) {
-	g := s.plan.Group(stage, s.view, now)
+	g := s.plan.StartStage(stage, s.view, now)
 	service := s.view.poolOf(s.plan.Service(stage), &g, now)
 	s.pools[stage] = service
 	s.view.asked[s.plan.Service(stage)] = service
@@ -213,7 +213,7 @@
 		zap.String("service", service),
 		zap.String("collector", s.x.f.ownerOf(s.delegations[stage])),
 		zap.Int("pieces", len(g.Segments)),
-		zap.String("zone", g.Zone),
+		zap.String("zone", g.PreferredZone),
 		zap.Duration("dueIn", g.Due.Sub(now)))
 }
 
@@ -247,19 +247,19 @@
 		s.freeDelivered(end.stage, end.Deliver)
 		return nil
 	case end.read:
-		s.free(s.plan.InputsRead(end.stage, s.view))
+		s.free(s.plan.InputsFetched(end.stage, s.view))
 		return nil
 	case end.Result.Reason == collector.InputGone && s.remake(end.stage):
 		return nil
 	case end.Result.Handle == "":
 		return s.failed(end)
 	}
-	s.free(s.plan.Took(end.stage, end.Deliver))
+	s.free(s.plan.AddResult(end.stage, end.Deliver))
 	if s.plan.StageDone(end.stage) {
 		s.x.f.note("stage done",
 			zap.String("request", s.x.req.ID),
 			zap.Int("stage", end.stage),
-			zap.Strings("zones", s.plan.Zones(end.stage)),
+			zap.Strings("zones", s.plan.ResultZones(end.stage)),
 			zap.Duration("since", time.Since(s.x.began)))
 	}
 	return nil
@@ -284,7 +284,7 @@
 
 // remake has lapsed inputs of a stage made again.
 func (s *stageWork) remake(stage int) bool {
-	ended, freed, again := s.plan.Remake(stage)
+	ended, freed, again := s.plan.RecomputeInputs(stage)
 	if !again {
 		return false
 	}
@@ -300,7 +300,7 @@
 // would lie there until its first event, for which the whole prompt is read, while the pool waits for space. The function ends
 // that; from then on nothing is given back by it.
 func (s *stageWork) freeFetched() (end func()) {
-	after, short := s.plan.LastFetched(s.view)
+	after, short := s.plan.FinalFetchDelay(s.view)
 	if !short {
 		return func() {}
 	}
@@ -323,22 +323,22 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.sent == sent {
-		s.free(s.plan.FreeLast())
+		s.free(s.plan.FreeFinalResults())
 	}
 }
 
 // restore has the results made again that the request itself takes, where an endpoint that broke off has had them already.
 // Without them the next endpoint would refuse the rest of the stream, and its caller would be left with the beginning.
 func (s *stageWork) restore() *FailureError {
-	if !s.plan.LastFreed() {
+	if !s.plan.FinalResultsFreed() {
 		return nil
 	}
 	now := time.Now()
 	firstBy := s.x.deadline
-	if patience := s.x.route.FirstEventPatience; patience > 0 && now.Add(patience).Before(firstBy) {
+	if patience := s.x.route.FirstEventTimeout; patience > 0 && now.Add(patience).Before(firstBy) {
 		firstBy = now.Add(patience)
 	}
-	ended, freed, again := s.plan.RemakeLast(now.Add(s.x.route.Objective), firstBy)
+	ended, freed, again := s.plan.RecomputeFinalResults(now.Add(s.x.route.Objective), firstBy)
 	if !again {
 		return notRun("stageResultGone", soon())
 	}
@@ -362,7 +362,7 @@
 		select {
 		case d := <-a.results:
 			if keep && d.Result.Handle != "" {
-				s.free(s.plan.Took(stage, d))
+				s.free(s.plan.AddResult(stage, d))
 				continue
 			}
 			s.freeDelivered(stage, d)
@@ -376,12 +376,12 @@
 	if d.Result.Handle == "" {
 		return
 	}
-	s.x.f.freePieces(s.pools[stage], []collector.Made{{Handle: d.Result.Handle, Address: d.Address}})
+	s.x.f.freePieces(s.pools[stage], []collector.ResultRef{{Handle: d.Result.Handle, Address: d.Address}})
 }
 
-func (s *stageWork) free(freed []planner.Freed) {
+func (s *stageWork) free(freed []planner.ReleasedResults) {
 	for _, f := range freed {
-		s.x.f.freePieces(s.pools[f.Stage], f.Made)
+		s.x.f.freePieces(s.pools[f.Stage], f.Results)
 	}
 }
 
--- a/forwarder/stop.go
+++ b/forwarder/stop.go
@@ -75,7 +75,7 @@
 			if _, other := f.owner(service, []string{f.cfg.Name}); !other {
 				continue
 			}
-			todo = append(todo, f.performAll(service, p, p.Reduce(collector.Closing{}, now))...)
+			todo = append(todo, f.performAll(service, p, p.Reduce(collector.Stopping{}, now))...)
 		}
 		return todo
 	})
--- a/forwarder/stream.go
+++ b/forwarder/stream.go
@@ -56,7 +56,7 @@
 		if failure := stages.restore(); failure != nil {
 			return x.giveUp(failure.Reason)
 		}
-		choice, found := x.choose(selector.Query{Parts: x.req.Parts, ZoneBytes: stages.plan.ZoneBytes()})
+		choice, found := x.choose(selector.Query{Parts: x.req.Parts, ZoneBytes: stages.plan.InputBytesByZone()})
 		if !found {
 			return x.noEndpoint()
 		}
@@ -74,7 +74,7 @@
 	x.sends++
 	x.tried = append(x.tried, choice.Endpoint.ID)
 	info := x.callInfo(choice.Endpoint, began)
-	info.Inputs = s.stages.plan.Inputs()
+	info.Inputs = s.stages.plan.RequestInputs()
 	if s.hasLast {
 		x.f.cfg.Meter.Counter(meter.ForwardResumes).Inc(1)
 		info.LastEvent = strconv.FormatInt(s.last, 10)
@@ -122,7 +122,7 @@
 		s.x.f.log.Debug("refusal cut short", zap.String("request", s.x.req.ID), zap.Error(err))
 	}
 	s.x.endRefused(choice)
-	if info.InputGone && !s.stages.plan.LastFreed() {
+	if info.InputGone && !s.stages.plan.FinalResultsFreed() {
 		return true, s.x.giveUp("stageResultGone")
 	}
 	return false, nil
@@ -204,7 +204,7 @@
 	x.f.selector.Observe(*choice, time.Since(sent))
 	x.f.selector.Read(choice)
 	x.f.mu.Unlock()
-	s.stages.free(s.stages.plan.FreeLast())
+	s.stages.free(s.stages.plan.FreeFinalResults())
 	s.head(answer)
 }
 
--- a/forwarder/wait.go
+++ b/forwarder/wait.go
@@ -46,8 +46,8 @@
 		Service:          service,
 		Millis:           int32(load.Wait.Milliseconds()),
 		TurnaroundMillis: int32(load.Turnaround.Milliseconds()),
-		Short:            load.Short,
-		OverMillis:       int32(load.Over.Milliseconds()),
+		Short:            load.ShortOfSpace,
+		OverMillis:       int32(load.OverloadedFor.Milliseconds()),
 		AgeMillis:        uint32(age.Milliseconds()),
 	}
 }
@@ -57,17 +57,17 @@
 func (f *Forwarder) takeStageWaits(list []carrier.StageWait, now time.Time) {
 	for _, s := range list {
 		if pool := divider.Parse(s.Service); pool.Zone != "" {
-			f.divider.Told(pool.Service)
+			f.divider.MarkDivided(pool.Service)
 		}
 		at := now.Add(-time.Duration(s.AgeMillis) * time.Millisecond)
 		if known, found := f.waits[s.Service]; found && !at.After(known.at) {
 			continue
 		}
 		f.waits[s.Service] = stageWait{at: at, load: planner.Load{
-			Wait:       time.Duration(s.Millis) * time.Millisecond,
-			Turnaround: time.Duration(s.TurnaroundMillis) * time.Millisecond,
-			Short:      s.Short,
-			Over:       time.Duration(s.OverMillis) * time.Millisecond,
+			Wait:          time.Duration(s.Millis) * time.Millisecond,
+			Turnaround:    time.Duration(s.TurnaroundMillis) * time.Millisecond,
+			ShortOfSpace:  s.Short,
+			OverloadedFor: time.Duration(s.OverMillis) * time.Millisecond,
 		}}
 	}
 }
@@ -90,7 +90,7 @@
 // comeBack tells when a refused caller should come back: once what waits now is done, spread so that callers who were
 // refused together do not come back together.
 func (v poolView) comeBack(service string) time.Duration {
-	return planner.ReturnAfter(v.Load(service), rand.Float64())
+	return planner.RetryAfter(v.Load(service), rand.Float64())
 }
 
 // urgentPriority is up to which priority callers come back before all others.
@@ -137,8 +137,8 @@
 	if f.storeLost || now.Sub(f.began) >= storeAnswers {
 		load.Wait = storeAwayReturn
 	}
-	return planner.ReturnAfter(load, rand.Float64())
+	return planner.RetryAfter(load, rand.Float64())
 }
 
 // soon tells a caller to come back within a moment.
-func soon() time.Duration { return planner.ReturnAfter(planner.Load{}, rand.Float64()) }
+func soon() time.Duration { return planner.RetryAfter(planner.Load{}, rand.Float64()) }
--- a/planner/plan.go
+++ b/planner/plan.go
@@ -22,7 +22,7 @@
 	Request string
 	Stages  []cataloger.Stage
 	// Counts are the numbers of the stages' pieces; a stage that has none named has one.
-	Counts []int
+	PieceCounts []int
 	// Key is the input of the first stages' pieces.
 	Key      string
 	Priority int
@@ -30,8 +30,8 @@
 	// Regions are those where the stages may be done; empty where all are.
 	Regions []string
 	// Due is when the first event is on time, FirstBy when the caller leaves that has none.
-	Due     time.Time
-	FirstBy time.Time
+	Due                time.Time
+	FirstEventDeadline time.Time
 	// HomeZone is where the model engine that holds the prompt's shared parts is.
 	HomeZone string
 	// ModelTime is what the model engine is predicted to take after the last stage.
@@ -55,21 +55,21 @@
 	// Turnaround is how long groups of pieces take there.
 	Turnaround time.Duration
 	// Short tells that it is short of space for results.
-	Short bool
+	ShortOfSpace bool
 	// Over is for how long more has come there than can be made.
-	Over time.Duration
+	OverloadedFor time.Duration
 }
 
 // LoadOf gives the load of a pool at the entry that collects for it.
 func LoadOf(p *collector.Pool, now time.Time) Load {
-	return Load{Wait: max(0, p.Wait(now)), Turnaround: p.Turnaround(), Short: p.Short(now), Over: p.Over(now)}
+	return Load{Wait: max(0, p.PredictedWait(now)), Turnaround: p.Turnaround(), ShortOfSpace: p.ShortOfSpace(now), OverloadedFor: p.OverloadedFor(now)}
 }
 
 // Freed are results of one stage that nothing needs any more.
-type Freed struct {
+type ReleasedResults struct {
 	Service string
 	Stage   int
-	Made    []collector.Made
+	Results []collector.ResultRef
 }
 
 // stage is how far one stage of a request is.
@@ -78,7 +78,7 @@
 	count   int
 	missing int
 	// made and zones hold the results and where they lie, by segment.
-	made  []collector.Made
+	made  []collector.ResultRef
 	zones []string
 	// asked is set while its pieces are asked for, since askedAt.
 	asked   bool
@@ -100,8 +100,8 @@
 	p := &Plan{cfg: cfg, stages: make([]stage, len(cfg.Stages))}
 	for i := range p.stages {
 		p.stages[i].count = 1
-		if i < len(cfg.Counts) {
-			p.stages[i].count = cfg.Counts[i]
+		if i < len(cfg.PieceCounts) {
+			p.stages[i].count = cfg.PieceCounts[i]
 		}
 		p.stages[i].clear()
 	}
@@ -113,7 +113,7 @@
 	*t = stage{
 		count:   t.count,
 		missing: t.count,
-		made:    make([]collector.Made, t.count),
+		made:    make([]collector.ResultRef, t.count),
 		zones:   make([]string, t.count),
 	}
 }
@@ -122,7 +122,7 @@
 func (p *Plan) Service(stage int) string { return p.cfg.Stages[stage].Service }
 
 // Zones are where the results of a stage lie, by piece.
-func (p *Plan) Zones(stage int) []string { return p.stages[stage].zones }
+func (p *Plan) ResultZones(stage int) []string { return p.stages[stage].zones }
 
 // StageDone tells whether all pieces of a stage are made.
 func (p *Plan) StageDone(stage int) bool { return p.stages[stage].missing == 0 }
@@ -149,7 +149,7 @@
 // last are the stages whose results the request itself takes.
 func (p *Plan) last() []int {
 	route := cataloger.Route{Stages: p.cfg.Stages}
-	return route.LastStages(p.counts())
+	return route.FinalStages(p.counts())
 }
 
 // Next lists the stages whose pieces should be asked for now: those whose inputs are all made, unless their results would
@@ -170,7 +170,7 @@
 }
 
 func (p *Plan) ready(stage int) bool {
-	for _, before := range p.cfg.Stages[stage].After {
+	for _, before := range p.cfg.Stages[stage].DependsOn {
 		if p.stages[before].missing > 0 {
 			return false
 		}
@@ -179,7 +179,7 @@
 }
 
 // Group gives the pieces of a stage that are to be asked for, and takes them as asked for.
-func (p *Plan) Group(stage int, view View, now time.Time) collector.Group {
+func (p *Plan) StartStage(stage int, view View, now time.Time) collector.Group {
 	t := &p.stages[stage]
 	t.asked = true
 	t.askedAt = now
@@ -187,48 +187,48 @@
 	g := collector.Group{
 		ID:          collector.GroupID{Origin: p.cfg.Origin, Request: p.cfg.Request, Stage: stage},
 		Due:         p.cfg.Due.Add(-p.cfg.ModelTime - p.usualAfter(stage, view)),
-		Deadline:    p.LastStart().Add(-p.leastAfter(stage, view)),
+		Deadline:    p.LatestModelStart().Add(-p.leastAfter(stage, view)),
 		Priority:    p.cfg.Priority,
 		Account:     p.cfg.Account,
 		Regions:     p.cfg.Regions,
 		ResultBytes: cfg.ResultBytes,
-		Holding:     p.holding(stage, view),
+		HoldsSpace:  p.holding(stage, view),
 	}
-	g.Zone, g.FarBytes = p.wantedZone(stage)
+	g.PreferredZone, g.CrossZoneBytes = p.wantedZone(stage)
 	for n, made := range t.made {
 		if made.Handle == "" {
 			g.Segments = append(g.Segments, n)
 		}
 	}
-	g.Latest = g.Due
-	if len(cfg.After) == 0 {
+	g.LatestDue = g.Due
+	if len(cfg.DependsOn) == 0 {
 		// Later stages take the most urgent first, so that what groups take there at present says little of one that comes
 		// late. Judged by it, first stages put most groups last under a surge.
 		g.Key = p.cfg.Key
-		g.Latest = p.cfg.Due.Add(-p.cfg.ModelTime - p.leastAfter(stage, view))
+		g.LatestDue = p.cfg.Due.Add(-p.cfg.ModelTime - p.leastAfter(stage, view))
 	}
 	p.addInputs(&g, stage, view)
 	return g
 }
 
 func (p *Plan) addInputs(g *collector.Group, stage int, view View) {
-	for _, before := range p.cfg.Stages[stage].After {
+	for _, before := range p.cfg.Stages[stage].DependsOn {
 		for _, made := range p.stages[before].made {
 			g.Inputs = append(g.Inputs, made.Handle)
 			g.InputBytes += p.cfg.Stages[before].ResultBytes
 		}
-		short := view.Load(p.Service(before)).Short && !p.cfg.Off.Has(switcher.FetchedFreed)
-		g.TellRead = g.TellRead || short
+		short := view.Load(p.Service(before)).ShortOfSpace && !p.cfg.Off.Has(switcher.FetchedFreed)
+		g.NotifyInputsFetched = g.NotifyInputsFetched || short
 	}
 }
 
 // Took takes a piece's result.
-func (p *Plan) Took(stage int, d collector.Deliver) []Freed {
+func (p *Plan) AddResult(stage int, d collector.Deliver) []ReleasedResults {
 	t := &p.stages[stage]
 	if t.made[d.Segment].Handle != "" {
-		return p.give(stage, collector.Made{Handle: d.Result.Handle, Address: d.Address})
+		return p.give(stage, collector.ResultRef{Handle: d.Result.Handle, Address: d.Address})
 	}
-	t.made[d.Segment] = collector.Made{Handle: d.Result.Handle, Address: d.Address}
+	t.made[d.Segment] = collector.ResultRef{Handle: d.Result.Handle, Address: d.Address}
 	t.zones[d.Segment] = d.Zone
 	t.missing--
 	if t.missing > 0 {
@@ -240,7 +240,7 @@
 // InputsRead notes that the inputs of a stage were fetched. They are of no more use unless a piece fails, one in some
 // hundred; they are then made again. While more waits at the stage than its next calls take they are kept all the same:
 // the space that they take keeps the stage before from making more than this one can use, for groups that will be late.
-func (p *Plan) InputsRead(stage int, view View) []Freed {
+func (p *Plan) InputsFetched(stage int, view View) []ReleasedResults {
 	if view.Load(p.Service(stage)).Wait > 0 {
 		return nil
 	}
@@ -251,7 +251,7 @@
 // Remake has a stage's inputs made again that have lapsed, and then what is missing of the stage itself. Without it a
 // request that waited for longer than results are kept would fail, although there is time left. It lists the stages that
 // are no longer asked for, and tells whether it may be done.
-func (p *Plan) Remake(stage int) (ended []int, freed []Freed, again bool) {
+func (p *Plan) RecomputeInputs(stage int) (ended []int, freed []ReleasedResults, again bool) {
 	if p.remakes >= maxRemakes {
 		return nil, nil, false
 	}
@@ -264,40 +264,40 @@
 
 // LastFetched is how long after the request was sent the model engine has fetched the results that it takes, and whether
 // space for them is so short that they should be given back as soon as it has.
-func (p *Plan) LastFetched(view View) (after time.Duration, short bool) {
+func (p *Plan) FinalFetchDelay(view View) (after time.Duration, short bool) {
 	for _, i := range p.last() {
 		pool, known := view.Pool(p.Service(i))
 		if !known {
 			continue
 		}
 		bytes := p.cfg.Stages[i].ResultBytes * int64(p.stages[i].count)
-		after = max(after, collector.FetchedAfter(&pool, bytes))
-		short = short || view.Load(p.Service(i)).Short
+		after = max(after, collector.FetchDelay(&pool, bytes))
+		short = short || view.Load(p.Service(i)).ShortOfSpace
 	}
 	return after, short && !p.cfg.Off.Has(switcher.FetchedFreed)
 }
 
 // LastFreed tells whether results that the request itself takes were given back: another endpoint can't be sent it before they
 // are made again.
-func (p *Plan) LastFreed() bool {
+func (p *Plan) FinalResultsFreed() bool {
 	return slices.ContainsFunc(p.last(), func(i int) bool { return p.stages[i].freed })
 }
 
 // RemakeLast has the results made again that the request itself takes and that were given back, to be due by other times than
 // before. It lists the stages that are no longer asked for, and tells whether it may be done.
-func (p *Plan) RemakeLast(due, firstBy time.Time) (ended []int, freed []Freed, again bool) {
+func (p *Plan) RecomputeFinalResults(due, firstBy time.Time) (ended []int, freed []ReleasedResults, again bool) {
 	if p.remakes >= maxRemakes {
 		return nil, nil, false
 	}
 	p.remakes++
-	p.cfg.Due, p.cfg.FirstBy = due, firstBy
+	p.cfg.Due, p.cfg.FirstEventDeadline = due, firstBy
 	for _, stage := range p.last() {
 		if !p.stages[stage].freed {
 			continue
 		}
 		ended = append(ended, stage)
 		p.stages[stage].clear()
-		if slices.ContainsFunc(p.cfg.Stages[stage].After, func(i int) bool { return p.stages[i].freed }) {
+		if slices.ContainsFunc(p.cfg.Stages[stage].DependsOn, func(i int) bool { return p.stages[i].freed }) {
 			moreEnded, moreFreed := p.resetInputs(stage)
 			ended = append(ended, moreEnded...)
 			freed = append(freed, moreFreed...)
@@ -307,12 +307,12 @@
 }
 
 // resetInputs has the inputs of a stage made anew, and theirs where those were given back already.
-func (p *Plan) resetInputs(stage int) (ended []int, freed []Freed) {
-	for _, before := range p.cfg.Stages[stage].After {
+func (p *Plan) resetInputs(stage int) (ended []int, freed []ReleasedResults) {
+	for _, before := range p.cfg.Stages[stage].DependsOn {
 		ended = append(ended, before)
 		freed = append(freed, p.free(before)...)
 		p.stages[before].clear()
-		if slices.ContainsFunc(p.cfg.Stages[before].After, func(i int) bool { return p.stages[i].freed }) {
+		if slices.ContainsFunc(p.cfg.Stages[before].DependsOn, func(i int) bool { return p.stages[i].freed }) {
 			moreEnded, moreFreed := p.resetInputs(before)
 			ended = append(ended, moreEnded...)
 			freed = append(freed, moreFreed...)
@@ -322,9 +322,9 @@
 }
 
 // freeInputs gives back the results that only a stage which is done, or has fetched them, has needed.
-func (p *Plan) freeInputs(stage int) []Freed {
-	var freed []Freed
-	for _, before := range p.cfg.Stages[stage].After {
+func (p *Plan) freeInputs(stage int) []ReleasedResults {
+	var freed []ReleasedResults
+	for _, before := range p.cfg.Stages[stage].DependsOn {
 		if !p.needed(before) {
 			freed = append(freed, p.free(before)...)
 		}
@@ -336,14 +336,14 @@
 func (p *Plan) needed(stage int) bool {
 	for i, next := range p.cfg.Stages {
 		t := &p.stages[i]
-		if t.missing > 0 && !t.read && slices.Contains(next.After, stage) {
+		if t.missing > 0 && !t.read && slices.Contains(next.DependsOn, stage) {
 			return true
 		}
 	}
 	return false
 }
 
-func (p *Plan) free(stage int) []Freed {
+func (p *Plan) free(stage int) []ReleasedResults {
 	t := &p.stages[stage]
 	if t.freed {
 		return nil
@@ -353,17 +353,17 @@
 }
 
 // give lists results to be given back; pieces that were not made have none.
-func (p *Plan) give(stage int, made ...collector.Made) []Freed {
-	made = slices.DeleteFunc(slices.Clone(made), func(m collector.Made) bool { return m.Handle == "" })
+func (p *Plan) give(stage int, made ...collector.ResultRef) []ReleasedResults {
+	made = slices.DeleteFunc(slices.Clone(made), func(m collector.ResultRef) bool { return m.Handle == "" })
 	if len(made) == 0 {
 		return nil
 	}
-	return []Freed{{Service: p.Service(stage), Stage: stage, Made: made}}
+	return []ReleasedResults{{Service: p.Service(stage), Stage: stage, Results: made}}
 }
 
 // FreeLast gives back what the request itself took.
-func (p *Plan) FreeLast() []Freed {
-	var freed []Freed
+func (p *Plan) FreeFinalResults() []ReleasedResults {
+	var freed []ReleasedResults
 	for _, stage := range p.last() {
 		freed = append(freed, p.free(stage)...)
 	}
@@ -371,8 +371,8 @@
 }
 
 // FreeAll gives everything back: nothing of the stages is needed any more.
-func (p *Plan) FreeAll() []Freed {
-	var freed []Freed
+func (p *Plan) FreeAll() []ReleasedResults {
+	var freed []ReleasedResults
 	for i := range p.stages {
 		freed = append(freed, p.free(i)...)
 	}
@@ -380,7 +380,7 @@
 }
 
 // Inputs lists the results that the request itself takes.
-func (p *Plan) Inputs() []string {
+func (p *Plan) RequestInputs() []string {
 	var handles []string
 	for _, stage := range p.last() {
 		for _, m := range p.stages[stage].made {
@@ -391,7 +391,7 @@
 }
 
 // ZoneBytes tells where the inputs of the request itself lie.
-func (p *Plan) ZoneBytes() map[string]int64 {
+func (p *Plan) InputBytesByZone() map[string]int64 {
 	zones := make(map[string]int64)
 	for _, stage := range p.last() {
 		for _, zone := range p.stages[stage].zones {
--- a/planner/plan_test.go
+++ b/planner/plan_test.go
@@ -17,8 +17,8 @@
 
 func (pools) Pool(service string) (cataloger.StagePool, bool) {
 	return cataloger.StagePool{
-		Slots: 1, Batch: 8, CallTime: 150 * time.Millisecond, ItemTime: 16 * time.Millisecond,
-		RoomBytes: 36_000_000, ResultTTL: 4 * time.Second,
+		Slots: 1, Batch: 8, CallOverhead: 150 * time.Millisecond, PieceTime: 16 * time.Millisecond,
+		ResultSpaceBytes: 36_000_000, ResultTTL: 4 * time.Second,
 	}, service != "unknown"
 }
 
@@ -28,21 +28,21 @@
 // ranked. A call for the images takes 182 ms, for the lookup 166 ms, for the ranking 246 ms.
 func withImages(imageBytes int64) *Plan {
 	return New(Config{
-		Origin: "entry", Request: "r", Key: "key", Counts: []int{2, 1, 6},
-		Due: start.Add(1500 * time.Millisecond), FirstBy: start.Add(6 * time.Second), ModelTime: 100 * time.Millisecond,
+		Origin: "entry", Request: "r", Key: "key", PieceCounts: []int{2, 1, 6},
+		Due: start.Add(1500 * time.Millisecond), FirstEventDeadline: start.Add(6 * time.Second), ModelTime: 100 * time.Millisecond,
 		Stages: []cataloger.Stage{
 			{Service: "images", ResultBytes: imageBytes},
 			{Service: "lookup", ResultBytes: 700_000},
-			{Service: "rank", After: []int{1}, ResultBytes: 8_000},
+			{Service: "rank", DependsOn: []int{1}, ResultBytes: 8_000},
 		},
 	})
 }
 
 // makeAll delivers all pieces of a group, made in a zone, and gives what may be freed for it.
-func makeAll(p *Plan, g collector.Group, zone string) []Freed {
-	var freed []Freed
+func makeAll(p *Plan, g collector.Group, zone string) []ReleasedResults {
+	var freed []ReleasedResults
 	for _, n := range g.Segments {
-		freed = append(freed, p.Took(g.ID.Stage, collector.Deliver{
+		freed = append(freed, p.AddResult(g.ID.Stage, collector.Deliver{
 			ID: g.ID, Segment: n, Result: collector.PieceResult{Handle: handle(g.ID.Stage, n)}, Address: "maker", Zone: zone,
 		})...)
 	}
@@ -74,7 +74,7 @@
 			p := withImages(c.bytes)
 			view := pools{}
 			if c.asked > 0 || c.done {
-				g := p.Group(1, view, start.Add(-c.asked))
+				g := p.StartStage(1, view, start.Add(-c.asked))
 				if c.done {
 					makeAll(p, g, "z")
 				}
@@ -91,20 +91,20 @@
 func TestAGroupIsDueAtTheUsualPaceAndLateAtTheFastest(t *testing.T) {
 	p := withImages(8_000)
 	view := pools{"rank": {Turnaround: 600 * time.Millisecond}}
-	g := p.Group(1, view, start)
+	g := p.StartStage(1, view, start)
 	due := start.Add(1400 * time.Millisecond)
 	require.Equal(t, due.Add(-600*time.Millisecond), g.Due)
-	require.Equal(t, due.Add(-246*time.Millisecond), g.Latest)
+	require.Equal(t, due.Add(-246*time.Millisecond), g.LatestDue)
 	require.Equal(t, start.Add(5900*time.Millisecond-246*time.Millisecond), g.Deadline)
 	require.Equal(t, "key", g.Key)
 	makeAll(p, g, "z")
-	rank := p.Group(2, view, start)
+	rank := p.StartStage(2, view, start)
 	require.Equal(t, due, rank.Due)
-	require.Equal(t, rank.Due, rank.Latest)
+	require.Equal(t, rank.Due, rank.LatestDue)
 	require.Equal(t, []string{handle(1, 0)}, rank.Inputs)
 	require.Equal(t, int64(700_000), rank.InputBytes)
-	require.Equal(t, "z", rank.Zone, "each of its pieces fetches the inputs")
-	require.Equal(t, int64(6*700_000), rank.FarBytes)
+	require.Equal(t, "z", rank.PreferredZone, "each of its pieces fetches the inputs")
+	require.Equal(t, int64(6*700_000), rank.CrossZoneBytes)
 }
 
 // The lookup's pool is short of space. Its results are given back as soon as the ranking has fetched them. Then a piece of
@@ -112,48 +112,48 @@
 // would be made twice.
 func TestFetchedInputsAreFreedAndMadeAgainForWhatFails(t *testing.T) {
 	p := withImages(8_000)
-	view := pools{"lookup": {Short: true}}
-	makeAll(p, p.Group(1, view, start), "z")
-	rank := p.Group(2, view, start)
-	require.True(t, rank.TellRead)
-	require.Empty(t, p.InputsRead(2, pools{"rank": {Wait: time.Millisecond}}), "the ranking has a backlog")
-	freed := p.InputsRead(2, view)
-	require.Equal(t, []Freed{{Service: "lookup", Stage: 1, Made: []collector.Made{{Handle: handle(1, 0), Address: "maker"}}}}, freed)
+	view := pools{"lookup": {ShortOfSpace: true}}
+	makeAll(p, p.StartStage(1, view, start), "z")
+	rank := p.StartStage(2, view, start)
+	require.True(t, rank.NotifyInputsFetched)
+	require.Empty(t, p.InputsFetched(2, pools{"rank": {Wait: time.Millisecond}}), "the ranking has a backlog")
+	freed := p.InputsFetched(2, view)
+	require.Equal(t, []ReleasedResults{{Service: "lookup", Stage: 1, Results: []collector.ResultRef{{Handle: handle(1, 0), Address: "maker"}}}}, freed)
 	rank.Segments = rank.Segments[:5]
 	require.Empty(t, makeAll(p, rank, "z"))
-	ended, freed, again := p.Remake(2)
+	ended, freed, again := p.RecomputeInputs(2)
 	require.True(t, again)
 	require.ElementsMatch(t, []int{1, 2}, ended)
 	require.Empty(t, freed, "they were given back")
 	next, _ := p.Next(view, start)
 	require.Equal(t, []int{0, 1}, next)
-	makeAll(p, p.Group(1, view, start), "z")
-	once := p.Group(2, view, start)
+	makeAll(p, p.StartStage(1, view, start), "z")
+	once := p.StartStage(2, view, start)
 	require.Equal(t, []int{5}, once.Segments)
 	require.NotEmpty(t, makeAll(p, once, "z"))
 	require.True(t, p.StageDone(2))
-	require.Len(t, p.Inputs(), 8, "six of the ranking and two images to come")
+	require.Len(t, p.RequestInputs(), 8, "six of the ranking and two images to come")
 }
 
 // The results of the second of three stages have lapsed, and those of the first were given back when the second was done.
 // Both are made again at once: asked with inputs that are gone, the second would fail, and a second remaking be needed.
 func TestInputsOfInputsAreMadeAgainWithThem(t *testing.T) {
-	p := New(Config{Counts: []int{1, 2, 3}, Stages: []cataloger.Stage{
-		{Service: "a", ResultBytes: 8}, {Service: "b", After: []int{0}, ResultBytes: 8}, {Service: "c", After: []int{1}, ResultBytes: 8},
+	p := New(Config{PieceCounts: []int{1, 2, 3}, Stages: []cataloger.Stage{
+		{Service: "a", ResultBytes: 8}, {Service: "b", DependsOn: []int{0}, ResultBytes: 8}, {Service: "c", DependsOn: []int{1}, ResultBytes: 8},
 	}})
 	view := pools{}
-	makeAll(p, p.Group(0, view, start), "z")
-	require.NotEmpty(t, makeAll(p, p.Group(1, view, start), "z"))
-	p.Group(2, view, start)
-	_, _, again := p.Remake(2)
+	makeAll(p, p.StartStage(0, view, start), "z")
+	require.NotEmpty(t, makeAll(p, p.StartStage(1, view, start), "z"))
+	p.StartStage(2, view, start)
+	_, _, again := p.RecomputeInputs(2)
 	require.True(t, again)
 	next, _ := p.Next(view, start)
 	require.Equal(t, []int{0}, next)
 	for range maxRemakes - 1 {
-		_, _, again = p.Remake(2)
+		_, _, again = p.RecomputeInputs(2)
 		require.True(t, again)
 	}
-	_, _, again = p.Remake(2)
+	_, _, again = p.RecomputeInputs(2)
 	require.False(t, again, "not without end")
 }
 
@@ -168,7 +168,7 @@
 		"there is no time": {wait: 5600 * time.Millisecond, over: true},
 	} {
 		t.Run(name, func(t *testing.T) {
-			service, over := p.Overload(pools{"rank": {Wait: c.wait}}, start)
+			service, over := p.Overloaded(pools{"rank": {Wait: c.wait}}, start)
 			require.Equal(t, c.over, over)
 			if over {
 				require.Equal(t, "rank", service)
@@ -187,19 +187,19 @@
 	}{
 		"nothing waits":        {to: 2 * shortReturn, from: shortReturn},
 		"something waits":      {load: Load{Wait: time.Second}, from: time.Second + shortReturn, to: time.Second + 2*shortReturn},
-		"too much comes":       {load: Load{Wait: time.Second, Over: time.Second}, from: 2*time.Second + shortReturn, to: 2*time.Second + 2*shortReturn},
-		"and has for a minute": {load: Load{Over: time.Minute}, from: maxOver + shortReturn, to: maxOver + 2*shortReturn},
+		"too much comes":       {load: Load{Wait: time.Second, OverloadedFor: time.Second}, from: 2*time.Second + shortReturn, to: 2*time.Second + 2*shortReturn},
+		"and has for a minute": {load: Load{OverloadedFor: time.Minute}, from: maxOver + shortReturn, to: maxOver + 2*shortReturn},
 	} {
-		require.Equal(t, c.from, ReturnAfter(c.load, 0), name)
-		require.Equal(t, c.to, ReturnAfter(c.load, 1), name)
+		require.Equal(t, c.from, RetryAfter(c.load, 0), name)
+		require.Equal(t, c.to, RetryAfter(c.load, 1), name)
 	}
 }
 
 func TestAllIsGivenBackOnce(t *testing.T) {
 	p := withImages(8_000)
 	view := pools{}
-	makeAll(p, p.Group(0, view, start), "z")
+	makeAll(p, p.StartStage(0, view, start), "z")
 	require.Len(t, p.FreeAll(), 1)
 	require.Empty(t, p.FreeAll())
-	require.Equal(t, map[string]int64{"z": 16_000, "": 48_000}, p.ZoneBytes())
+	require.Equal(t, map[string]int64{"z": 16_000, "": 48_000}, p.InputBytesByZone())
 }
--- a/planner/timing.go
+++ b/planner/timing.go
@@ -14,7 +14,7 @@
 	// of ten groups take at most about twice the usual time.
 	earlyFactor = 1.5
 	// LookAgain is how often a stage that waits for others should be looked at: a tenth of what a call takes at least.
-	LookAgain = 15 * time.Millisecond
+	RecheckInterval = 15 * time.Millisecond
 	// shortReturn is when a caller may come back that was refused for what is over in a moment: a start, a full endpoint.
 	// It is spread by as much again, so that callers refused together do not come back together.
 	shortReturn = 250 * time.Millisecond
@@ -27,17 +27,17 @@
 // ReturnAfter is when a refused caller should come back: after what waits now is done, and, where more comes than can be
 // made, after as long again as that has lasted. How long a surge will go on nobody knows; it has as often as not as long
 // again to go as it has lasted. The draw is from 0 to 1.
-func ReturnAfter(load Load, draw float64) time.Duration {
-	return load.Wait + min(load.Over, maxOver) + shortReturn + time.Duration(draw*float64(shortReturn))
+func RetryAfter(load Load, draw float64) time.Duration {
+	return load.Wait + min(load.OverloadedFor, maxOver) + shortReturn + time.Duration(draw*float64(shortReturn))
 }
 
 // LastStart is when the model engine must have the request for its first event to find the caller still there. Results
 // that come later are of no use to anybody, and a caller that is told before it leaves can still come back.
-func (p *Plan) LastStart() time.Time { return p.cfg.FirstBy.Add(-p.cfg.ModelTime) }
+func (p *Plan) LatestModelStart() time.Time { return p.cfg.FirstEventDeadline.Add(-p.cfg.ModelTime) }
 
 // Overload tells whether the first event can't come before the caller leaves, by what waits at the stages on its way, and
 // names the service where most waits.
-func (p *Plan) Overload(view View, now time.Time) (service string, over bool) {
+func (p *Plan) Overloaded(view View, now time.Time) (service string, over bool) {
 	if p.cfg.Off.Has(switcher.OverloadRefused) {
 		return "", false
 	}
@@ -50,11 +50,11 @@
 		if wait := view.Load(stage.Service).Wait; wait > longest {
 			longest, service = wait, stage.Service
 		}
-		if len(stage.After) == 0 {
+		if len(stage.DependsOn) == 0 {
 			total = max(total, p.cfg.ModelTime+p.callTime(i, view)+p.leastAfter(i, view))
 		}
 	}
-	return service, longest > 0 && !now.Add(total+longest).Before(p.cfg.FirstBy)
+	return service, longest > 0 && !now.Add(total+longest).Before(p.cfg.FirstEventDeadline)
 }
 
 // wantedZone gives the zone where a stage's pieces should be made and what crosses zones if they are made elsewhere.
@@ -66,7 +66,7 @@
 	results := p.cfg.Stages[stage].ResultBytes * count
 	readers := int64(0)
 	for i, next := range p.cfg.Stages {
-		if slices.Contains(next.After, stage) {
+		if slices.Contains(next.DependsOn, stage) {
 			readers += int64(p.stages[i].count)
 		}
 	}
@@ -90,7 +90,7 @@
 // inputZones gives the bytes of a stage's inputs by the zone where they lie.
 func (p *Plan) inputZones(stage int) map[string]int64 {
 	zones := make(map[string]int64)
-	for _, before := range p.cfg.Stages[stage].After {
+	for _, before := range p.cfg.Stages[stage].DependsOn {
 		for _, zone := range p.stages[before].zones {
 			zones[zone] += p.cfg.Stages[before].ResultBytes
 		}
@@ -100,17 +100,17 @@
 
 // holding tells whether the stage's inputs hold much of the space of their makers.
 func (p *Plan) holding(stage int, view View) bool {
-	return slices.ContainsFunc(p.cfg.Stages[stage].After, func(before int) bool { return p.large(before, view) })
+	return slices.ContainsFunc(p.cfg.Stages[stage].DependsOn, func(before int) bool { return p.large(before, view) })
 }
 
 // large tells whether a stage's results take much of an endpoint's space.
 func (p *Plan) large(stage int, view View) bool {
 	pool, known := view.Pool(p.Service(stage))
-	if !known || pool.RoomBytes <= 0 {
+	if !known || pool.ResultSpaceBytes <= 0 {
 		return false
 	}
 	bytes := p.cfg.Stages[stage].ResultBytes * int64(p.stages[stage].count)
-	return float64(bytes) > holdingShare*float64(pool.RoomBytes)
+	return float64(bytes) > holdingShare*float64(pool.ResultSpaceBytes)
 }
 
 // tooEarly tells whether a stage's results would only take space until other stages of the request are done. Made as soon
@@ -157,7 +157,7 @@
 func (p *Plan) longestAfter(stage int, timeOf func(stage int) time.Duration) time.Duration {
 	longest := time.Duration(0)
 	for i, next := range p.cfg.Stages {
-		if p.stages[i].count > 0 && slices.Contains(next.After, stage) {
+		if p.stages[i].count > 0 && slices.Contains(next.DependsOn, stage) {
 			longest = max(longest, timeOf(i)+p.longestAfter(i, timeOf))
 		}
 	}
