--- a/admitter/admitter.go
+++ b/admitter/admitter.go
@@ -12,16 +12,16 @@
 type Config struct {
 	// Window is the length of each of the rotated windows that service times are kept in.
 	Window time.Duration
-	// WaitPart is the part of a request's slack, the time left beyond its service, that it may
+	// WaitFraction is the part of a request's slack, the time left beyond its service, that it may
 	// be expected to wait. A deeper queue serves no more, and when another account takes
 	// up its share, what waits already would be late.
-	WaitPart float64
-	// WorstPart is the part of the slack that a request may be expected to wait even if every
+	WaitFraction float64
+	// WorstWaitFraction is the part of the slack that a request may be expected to wait even if every
 	// account takes up its share. An account within its share is admitted by this, when the
 	// queue is otherwise long.
-	WorstPart float64
-	// LongestReturn bounds the time after which a refused caller is told to come back.
-	LongestReturn time.Duration
+	WorstWaitFraction float64
+	// MaxRetryAfter bounds the time after which a refused caller is told to come back.
+	MaxRetryAfter time.Duration
 	// MaxStages bounds the stages that are remembered.
 	MaxStages int
 }
@@ -31,19 +31,19 @@
 	defaultWindow        = 20 * time.Second
 	defaultWaitPart      = 0.4
 	defaultWorstPart     = 0.8
-	DefaultLongestReturn = 30 * time.Second
+	DefaultMaxRetryAfter = 30 * time.Second
 	defaultMaxStages     = 2048
 )
 
-// StageAsk is what a stage that is still to run asks of its pool.
-type StageAsk struct {
+// PendingStage is what a stage that is still to run asks of its pool.
+type PendingStage struct {
 	Stage, Pool string
 	// Expected is the service time to assume while none has been observed.
 	Expected time.Duration
-	// Ahead is the cost that the pool serves first, in endpoint milliseconds.
-	Ahead float64
-	// Worst is Ahead for the case that every account takes up its share; 0 if not known.
-	Worst float64
+	// WorkAhead is the cost that the pool serves first, in endpoint milliseconds.
+	WorkAhead float64
+	// WorstWorkAhead is Ahead for the case that every account takes up its share; 0 if not known.
+	WorstWorkAhead float64
 	// Capacity is the cost a millisecond that this entry may count on in the pool.
 	Capacity float64
 }
@@ -61,14 +61,14 @@
 	if cfg.Window <= 0 {
 		cfg.Window = defaultWindow
 	}
-	if cfg.WaitPart <= 0 {
-		cfg.WaitPart = defaultWaitPart
+	if cfg.WaitFraction <= 0 {
+		cfg.WaitFraction = defaultWaitPart
 	}
-	if cfg.WorstPart <= 0 {
-		cfg.WorstPart = defaultWorstPart
+	if cfg.WorstWaitFraction <= 0 {
+		cfg.WorstWaitFraction = defaultWorstPart
 	}
-	if cfg.LongestReturn <= 0 {
-		cfg.LongestReturn = DefaultLongestReturn
+	if cfg.MaxRetryAfter <= 0 {
+		cfg.MaxRetryAfter = DefaultMaxRetryAfter
 	}
 	if cfg.MaxStages <= 0 {
 		cfg.MaxStages = defaultMaxStages
@@ -95,9 +95,9 @@
 	p.waited += waitWeight * (float64(waited) - p.waited)
 }
 
-// Wait is the recent mean of the waits in a pool's queue, for operators. Decisions don't
+// MeanWait is the recent mean of the waits in a pool's queue, for operators. Decisions don't
 // rest on it: it is a mean over accounts whose waits differ by what they send.
-func (a *Admitter) Wait(name string) time.Duration {
+func (a *Admitter) MeanWait(name string) time.Duration {
 	p, ok := a.pools[name]
 	if !ok {
 		return 0
@@ -106,11 +106,11 @@
 }
 
 // Admit tells whether a request with these stages is expected to finish by the deadline.
-func (a *Admitter) Admit(stages []StageAsk, deadline time.Time, now time.Time) Verdict {
+func (a *Admitter) Admit(stages []PendingStage, deadline time.Time, now time.Time) Decision {
 	f := a.forecast(stages)
 	slack := float64(deadline.Sub(now)) - f.service - math.Sqrt(f.above)
-	excess := f.wait - a.cfg.WaitPart*slack
-	if excess <= 0 || f.worst <= a.cfg.WorstPart*slack {
+	excess := f.wait - a.cfg.WaitFraction*slack
+	if excess <= 0 || f.worst <= a.cfg.WorstWaitFraction*slack {
 		return Admitted{}
 	}
 	return refuse(a.comeBack(stages, time.Duration(excess), now))
@@ -118,7 +118,7 @@
 
 // Budget gives the time that the first of the stages may take so that the ones after it
 // are still expected to finish by the deadline. The last stage gets all that is left.
-func (a *Admitter) Budget(stages []StageAsk, deadline, now time.Time) time.Duration {
+func (a *Admitter) Budget(stages []PendingStage, deadline, now time.Time) time.Duration {
 	left := deadline.Sub(now)
 	if len(stages) <= 1 {
 		return max(left, 0)
@@ -127,8 +127,8 @@
 	return max(left-time.Duration(rest.service+rest.wait), 0)
 }
 
-// Hopeless tells that the stages can't finish by the deadline even if they go well.
-func (a *Admitter) Hopeless(stages []StageAsk, deadline, now time.Time) bool {
+// CannotFinish tells that the stages can't finish by the deadline even if they go well.
+func (a *Admitter) CannotFinish(stages []PendingStage, deadline, now time.Time) bool {
 	f := a.forecast(stages)
 	best := f.service + f.wait - math.Sqrt(f.below)
 	return best > float64(deadline.Sub(now))
@@ -157,12 +157,12 @@
 // forecast adds up the stages. What is ahead in a pool now is worked off while the request is still at earlier
 // stages: counted in full, a pool at half its load would seem to have a queue, made of requests that reach
 // it one by one.
-func (a *Admitter) forecast(stages []StageAsk) forecast {
+func (a *Admitter) forecast(stages []PendingStage) forecast {
 	var f forecast
 	for i := range stages {
 		low, mean, high := a.service(&stages[i])
 		f.wait += max(0, stages[i].wait()-f.service-f.wait)
-		f.worst += max(0, stages[i].waitFor(max(stages[i].Ahead, stages[i].Worst))-f.service-f.worst)
+		f.worst += max(0, stages[i].waitFor(max(stages[i].WorkAhead, stages[i].WorstWorkAhead))-f.service-f.worst)
 		f.service += mean
 		f.above += (high - mean) * (high - mean)
 		f.below += (mean - low) * (mean - low)
@@ -170,7 +170,7 @@
 	return f
 }
 
-func (a *Admitter) service(ask *StageAsk) (low, mean, high float64) {
+func (a *Admitter) service(ask *PendingStage) (low, mean, high float64) {
 	s, ok := a.stages[ask.Stage]
 	if !ok || s.count == 0 {
 		expected := float64(ask.Expected)
--- a/admitter/admitter_test.go
+++ b/admitter/admitter_test.go
@@ -19,10 +19,10 @@
 	return a
 }
 
-func chat(ahead, worst float64) []admitter.StageAsk {
-	return []admitter.StageAsk{
+func chat(ahead, worst float64) []admitter.PendingStage {
+	return []admitter.PendingStage{
 		{Stage: "chat/encode", Pool: "encode", Expected: time.Second, Capacity: 4},
-		{Stage: "chat/generate", Pool: "generate", Expected: time.Second, Ahead: ahead, Worst: worst, Capacity: 40},
+		{Stage: "chat/generate", Pool: "generate", Expected: time.Second, WorkAhead: ahead, WorstWorkAhead: worst, Capacity: 40},
 	}
 }
 
@@ -31,7 +31,7 @@
 func TestAdmit(t *testing.T) {
 	scenarios := []struct {
 		testName string
-		asks     []admitter.StageAsk
+		asks     []admitter.PendingStage
 		deadline time.Duration
 		admitted bool
 	}{
@@ -40,8 +40,8 @@
 		{"a long wait", chat(12000, 40000), time.Second, false},
 		{"a long wait within the account's share", chat(12000, 13000), time.Second, true},
 		{"service alone takes too long", chat(0, 0), 400 * time.Millisecond, false},
-		{"a pool without capacity", []admitter.StageAsk{{Stage: "chat/encode", Pool: "encode", Ahead: 1}}, time.Minute, false},
-		{"no stage observed", []admitter.StageAsk{{Stage: "new", Pool: "new", Expected: 2 * time.Second}}, time.Second, false},
+		{"a pool without capacity", []admitter.PendingStage{{Stage: "chat/encode", Pool: "encode", WorkAhead: 1}}, time.Minute, false},
+		{"no stage observed", []admitter.PendingStage{{Stage: "new", Pool: "new", Expected: 2 * time.Second}}, time.Second, false},
 	}
 	for _, s := range scenarios {
 		t.Run(s.testName, func(t *testing.T) {
@@ -73,7 +73,7 @@
 	}
 	require.IsIncreasing(t, []time.Duration{waits[0], waits[crowd/4], waits[crowd/2], waits[crowd-1]})
 	require.InEpsilon(t, (crowd * 7500 * time.Microsecond).Seconds(), waits[crowd-1].Seconds(), 0.2)
-	require.LessOrEqual(t, waits[crowd-1], admitter.DefaultLongestReturn*12/10)
+	require.LessOrEqual(t, waits[crowd-1], admitter.DefaultMaxRetryAfter*12/10)
 }
 
 // TestBudgetAndHopeless follow a request through its stages.
@@ -85,8 +85,8 @@
 	require.InDelta(t, 600*time.Millisecond, a.Budget(asks, left(time.Second), began), float64(40*time.Millisecond))
 	require.Equal(t, time.Second, a.Budget(asks[1:], left(time.Second), began), "the last stage has all that is left")
 	require.Zero(t, a.Budget(asks, left(-time.Second), began))
-	require.False(t, a.Hopeless(asks, left(600*time.Millisecond), began))
-	require.True(t, a.Hopeless(asks, left(400*time.Millisecond), began))
+	require.False(t, a.CannotFinish(asks, left(600*time.Millisecond), began))
+	require.True(t, a.CannotFinish(asks, left(400*time.Millisecond), began))
 }
 
 // TestExpectedCost forgets nothing at once and prefers what was observed.
--- a/admitter/bench_test.go
+++ b/admitter/bench_test.go
@@ -21,7 +21,7 @@
 // history is an admitter that has observed many stages.
 type history struct {
 	a    *admitter.Admitter
-	asks []admitter.StageAsk
+	asks []admitter.PendingStage
 	now  time.Time
 	n    int
 }
@@ -30,7 +30,7 @@
 	h := &history{a: admitter.New(admitter.Config{}), now: began}
 	for i := range stages {
 		name := fmt.Sprintf("pipeline/stage%d", i)
-		h.asks = append(h.asks, admitter.StageAsk{Stage: name, Pool: name, Expected: time.Second, Ahead: 100, Worst: 200, Capacity: 40})
+		h.asks = append(h.asks, admitter.PendingStage{Stage: name, Pool: name, Expected: time.Second, WorkAhead: 100, WorstWorkAhead: 200, Capacity: 40})
 		for k := range 100 {
 			h.a.Observe(name, time.Duration(50+k)*time.Millisecond, 60, h.now)
 		}
@@ -44,7 +44,7 @@
 	h.n = (h.n + pipelineLength) % len(h.asks)
 	asks := h.asks[h.n : h.n+pipelineLength]
 	h.a.Admit(asks, h.now.Add(time.Duration(h.n%7)*time.Second), h.now)
-	h.a.Hopeless(asks, h.now.Add(time.Second), h.now)
+	h.a.CannotFinish(asks, h.now.Add(time.Second), h.now)
 	h.a.Budget(asks, h.now.Add(time.Second), h.now)
 }
 
--- a/admitter/usual.go
+++ b/admitter/usual.go
@@ -2,9 +2,9 @@
 
 import "time"
 
-// Usual gives the mean and the high quantile of a stage's service time, or the fallback for both while
+// ServiceTime gives the mean and the high quantile of a stage's service time, or the fallback for both while
 // none has been observed.
-func (a *Admitter) Usual(name string, fallback time.Duration) (mean, high time.Duration) {
+func (a *Admitter) ServiceTime(name string, fallback time.Duration) (mean, high time.Duration) {
 	s, ok := a.stages[name]
 	if !ok || s.count == 0 {
 		return fallback, fallback
--- a/admitter/verdict.go
+++ b/admitter/verdict.go
@@ -6,8 +6,8 @@
 	"geraniumline/pacer"
 )
 
-// Verdict is Admitted or Refused.
-type Verdict interface{ verdict() }
+// Decision is Admitted or Refused.
+type Decision interface{ verdict() }
 
 // Admitted tells that the request is expected to finish by its deadline.
 type Admitted struct{}
@@ -23,14 +23,14 @@
 // refusals holds every refusal as a ready interface value, so that none is allocated.
 var refusals = makeRefusals()
 
-func makeRefusals() []Verdict {
-	var made []Verdict
+func makeRefusals() []Decision {
+	var made []Decision
 	for step := range pacer.Count() {
 		made = append(made, Refused{RetryAfter: pacer.At(step)})
 	}
 	return made
 }
 
-func refuse(wait time.Duration) Verdict {
+func refuse(wait time.Duration) Decision {
 	return refusals[pacer.StepFor(wait)]
 }
--- a/admitter/wait.go
+++ b/admitter/wait.go
@@ -27,13 +27,13 @@
 }
 
 // wait is the expected time in the queue, in nanoseconds: the cost ahead over the capacity.
-func (ask *StageAsk) wait() float64 { return ask.waitFor(ask.Ahead) }
+func (ask *PendingStage) wait() float64 { return ask.waitFor(ask.WorkAhead) }
 
 // rounding is the cost that sums of announcements made and withdrawn may be off by. Taken for work ahead of
 // a pool without capacity, it would refuse everything for good.
 const rounding = 1e-6
 
-func (ask *StageAsk) waitFor(ahead float64) float64 {
+func (ask *PendingStage) waitFor(ahead float64) float64 {
 	if ahead <= rounding {
 		return 0
 	}
@@ -46,7 +46,7 @@
 // comeBack gives each refused caller a place in a queue outside the door, at the pool that
 // it would wait for longest. If all were told just the excess wait, a crowd of ten times
 // what can be served would be back together in a few milliseconds.
-func (a *Admitter) comeBack(stages []StageAsk, excess time.Duration, now time.Time) time.Duration {
+func (a *Admitter) comeBack(stages []PendingStage, excess time.Duration, now time.Time) time.Duration {
 	longest := &stages[0]
 	for i := range stages {
 		if stages[i].wait() > longest.wait() {
@@ -63,7 +63,7 @@
 		p.returnAt = earliest
 	}
 	p.returnAt = p.returnAt.Add(time.Duration(turn))
-	latest := now.Add(a.cfg.LongestReturn)
+	latest := now.Add(a.cfg.MaxRetryAfter)
 	if p.returnAt.After(latest) {
 		p.returnAt = latest
 	}
--- a/limiter/account.go
+++ b/limiter/account.go
@@ -90,7 +90,7 @@
 }
 
 // admit decides and, when it admits, takes.
-func (a *account) admit(cost float64) Verdict {
+func (a *account) admit(cost float64) Decision {
 	slot := a.slot()
 	if slot == fromNothing {
 		return refuse(ReasonConcurrency, retryConcurrency)
--- a/limiter/bench_test.go
+++ b/limiter/bench_test.go
@@ -33,7 +33,7 @@
 
 func newCrowd(accounts int, limits limiter.Limits) *crowd {
 	c := &crowd{l: limiter.New(limiter.Config{Entry: "a"}), now: began}
-	c.l.SetPeers(benchPeers+1, c.now)
+	c.l.SetEntryCount(benchPeers+1, c.now)
 	uses := make([]carrier.AccountUse, 0, accounts)
 	for i := range accounts {
 		name := fmt.Sprintf("account%d", i)
@@ -42,7 +42,7 @@
 		uses = append(uses, carrier.AccountUse{Account: name, Rate: 10, Demand: 20, CostRate: 100, InFlight: 1})
 	}
 	for i := range benchPeers {
-		c.l.PeerUses(fmt.Sprintf("peer%d", i), uses, c.now)
+		c.l.UpdatePeerUsage(fmt.Sprintf("peer%d", i), uses, c.now)
 	}
 	return c
 }
@@ -103,7 +103,7 @@
 				}
 				c.now = c.now.Add(200 * time.Millisecond)
 				b.StartTimer()
-				c.l.Uses(c.now)
+				c.l.UsageReports(c.now)
 			}
 		})
 	}
@@ -146,7 +146,7 @@
 			b.ReportAllocs()
 			for b.Loop() {
 				c.now = c.now.Add(30 * time.Millisecond)
-				c.l.PeerUses("peer1", uses, c.now)
+				c.l.UpdatePeerUsage("peer1", uses, c.now)
 			}
 		})
 	}
--- a/limiter/limiter.go
+++ b/limiter/limiter.go
@@ -26,18 +26,18 @@
 	// FloorShare is the part of each limit that is always split evenly over the entries, so
 	// that an entry with no known demand can answer its first requests.
 	FloorShare float64
-	// PeerSilence is how long a peer may be unheard before its part is set aside for it.
-	PeerSilence time.Duration
+	// PeerTimeout is how long a peer may be unheard before its part is set aside for it.
+	PeerTimeout time.Duration
 	// PeerDecay is how long a silent peer's part takes to become an even one after that.
 	PeerDecay time.Duration
 	// Heartbeat is how often peers report; borrowing is bounded for each.
 	Heartbeat time.Duration
-	// UseLifetime is how long a peer's report on an account holds without being repeated.
-	UseLifetime time.Duration
-	// UseRefresh is how often an unchanged use is repeated to peers.
-	UseRefresh time.Duration
-	// MaxUses bounds the uses in one heartbeat.
-	MaxUses int
+	// UsageTTL is how long a peer's report on an account holds without being repeated.
+	UsageTTL time.Duration
+	// UsageRefresh is how often an unchanged use is repeated to peers.
+	UsageRefresh time.Duration
+	// MaxReportedAccounts bounds the uses in one heartbeat.
+	MaxReportedAccounts int
 }
 
 // The defaults of Config.
@@ -55,8 +55,8 @@
 	if cfg.FloorShare <= 0 {
 		cfg.FloorShare = defaultFloorShare
 	}
-	if cfg.PeerSilence <= 0 {
-		cfg.PeerSilence = defaultPeerSilence
+	if cfg.PeerTimeout <= 0 {
+		cfg.PeerTimeout = defaultPeerSilence
 	}
 	if cfg.PeerDecay <= 0 {
 		cfg.PeerDecay = defaultPeerDecay
@@ -64,14 +64,14 @@
 	if cfg.Heartbeat <= 0 {
 		cfg.Heartbeat = defaultHeartbeat
 	}
-	if cfg.UseLifetime <= 0 {
-		cfg.UseLifetime = defaultUseLifetime
+	if cfg.UsageTTL <= 0 {
+		cfg.UsageTTL = defaultUseLifetime
 	}
-	if cfg.UseRefresh <= 0 {
-		cfg.UseRefresh = defaultUseRefresh
+	if cfg.UsageRefresh <= 0 {
+		cfg.UsageRefresh = defaultUseRefresh
 	}
-	if cfg.MaxUses <= 0 {
-		cfg.MaxUses = defaultMaxUses
+	if cfg.MaxReportedAccounts <= 0 {
+		cfg.MaxReportedAccounts = defaultMaxUses
 	}
 	return cfg
 }
@@ -120,8 +120,8 @@
 	}
 }
 
-// Remove forgets an account. Its requests in flight end without a Release counting.
-func (l *Limiter) Remove(name string) {
+// RemoveAccount forgets an account. Its requests in flight end without a Release counting.
+func (l *Limiter) RemoveAccount(name string) {
 	delete(l.limits, name)
 	if a, ok := l.accounts[name]; ok {
 		delete(l.accounts, name)
@@ -162,7 +162,7 @@
 
 // Admit decides on one request of the account with the expected cost in endpoint
 // milliseconds. An admitted request counts as in flight until Release.
-func (l *Limiter) Admit(name string, cost float64, now time.Time) Verdict {
+func (l *Limiter) Admit(name string, cost float64, now time.Time) Decision {
 	a := l.account(name, now)
 	if a == nil {
 		return refuse(ReasonUnknownAccount, retryUnknownAccount)
--- a/limiter/limiter_test.go
+++ b/limiter/limiter_test.go
@@ -55,14 +55,14 @@
 // come to an even part each. Only word that the peer has ended frees its part at once.
 func TestShareOfSilentPeer(t *testing.T) {
 	l := limiter.New(limiter.Config{Entry: "a"})
-	l.SetPeers(2, began)
+	l.SetEntryCount(2, began)
 	l.SetLimits(account, limiter.Limits{RatePerSecond: 100, Burst: 10}, began)
 	now := began
 	step := func(d time.Duration, heard bool) float64 {
 		for end := now.Add(d); now.Before(end); now = now.Add(10 * time.Millisecond) {
 			l.Admit(account, 1, now)
 			if heard {
-				l.PeerUses("b", []carrier.AccountUse{{Account: account, Demand: 300, Rate: 75}}, now)
+				l.UpdatePeerUsage("b", []carrier.AccountUse{{Account: account, Demand: 300, Rate: 75}}, now)
 			}
 		}
 		share, _, _ := l.Share(account, now)
@@ -71,15 +71,15 @@
 	require.InDelta(t, 0.26, step(2*time.Second, true), 0.03, "in proportion to demand, above a floor")
 	require.InDelta(t, 0.26, step(time.Second, false), 0.06, "the peer's last part is set aside")
 	require.InDelta(t, 0.5, step(10*time.Second, false), 0.01, "an even part after the decay")
-	l.PeerGone("b", now)
-	l.SetPeers(1, now)
+	l.RemovePeer("b", now)
+	l.SetEntryCount(1, now)
 	require.InDelta(t, 1, step(time.Second, false), 0.01, "all of it once the peer has ended")
 }
 
 // TestReportsReachEveryAccount bounds the heartbeat to fewer accounts than are active.
 func TestReportsReachEveryAccount(t *testing.T) {
 	const accounts, bound = 10, 3
-	l := limiter.New(limiter.Config{MaxUses: bound})
+	l := limiter.New(limiter.Config{MaxReportedAccounts: bound})
 	now := began
 	told := map[string]bool{}
 	for range 2 * accounts {
@@ -89,7 +89,7 @@
 			l.SetLimits(name, limiter.Limits{RatePerSecond: 100, Burst: 10}, now)
 			l.Admit(name, 1, now)
 		}
-		uses := l.Uses(now)
+		uses := l.UsageReports(now)
 		require.LessOrEqual(t, len(uses), bound)
 		for _, use := range uses {
 			told[use.Account] = true
@@ -108,7 +108,7 @@
 			Concurrency:   rapid.IntRange(0, 10).Draw(t, "concurrency"),
 		}
 		l := limiter.New(limiter.Config{})
-		l.SetPeers(3, began)
+		l.SetEntryCount(3, began)
 		l.SetLimits(account, limits, began)
 		now, admitted, inFlight := began, 0, 0
 		t.Repeat(map[string]func(*rapid.T){
@@ -129,10 +129,10 @@
 			},
 			"hear": func(t *rapid.T) {
 				use := carrier.AccountUse{Account: account, Demand: rapid.Float32Range(0, 500).Draw(t, "demand"), InFlight: rapid.Int32Range(0, 5).Draw(t, "inFlight")}
-				l.PeerUses(rapid.SampledFrom([]string{"b", "c"}).Draw(t, "peer"), []carrier.AccountUse{use}, now)
+				l.UpdatePeerUsage(rapid.SampledFrom([]string{"b", "c"}).Draw(t, "peer"), []carrier.AccountUse{use}, now)
 			},
-			"gone":   func(_ *rapid.T) { l.PeerGone("b", now) },
-			"report": func(_ *rapid.T) { l.Uses(now) },
+			"gone":   func(_ *rapid.T) { l.RemovePeer("b", now) },
+			"report": func(_ *rapid.T) { l.UsageReports(now) },
 			"": func(t *rapid.T) {
 				share, _, counted := l.Share(account, now)
 				require.GreaterOrEqual(t, share, 0.0)
--- a/limiter/peers.go
+++ b/limiter/peers.go
@@ -30,9 +30,9 @@
 	counted bool
 }
 
-// PeerUses takes in what a peer reports in a heartbeat. An account that it leaves out is
+// UpdatePeerUsage takes in what a peer reports in a heartbeat. An account that it leaves out is
 // unchanged; a report that is not repeated lapses after Config.UseLifetime.
-func (l *Limiter) PeerUses(name string, uses []carrier.AccountUse, now time.Time) {
+func (l *Limiter) UpdatePeerUsage(name string, uses []carrier.AccountUse, now time.Time) {
 	p, ok := l.peers[name]
 	if !ok {
 		p = &peer{name: name}
@@ -44,14 +44,14 @@
 	for i := range uses {
 		if a := l.account(uses[i].Account, now); a != nil {
 			l.update(a, now)
-			a.learn(p, &uses[i], l.cfg.UseRefresh, now)
+			a.learn(p, &uses[i], l.cfg.UsageRefresh, now)
 		}
 	}
 }
 
-// PeerGone drops a peer that is known to have ended: its part is free at once. Silence is
+// RemovePeer drops a peer that is known to have ended: its part is free at once. Silence is
 // not enough to call it, or both sides of a partition would take the whole limit.
-func (l *Limiter) PeerGone(name string, _ time.Time) {
+func (l *Limiter) RemovePeer(name string, _ time.Time) {
 	p, ok := l.peers[name]
 	if !ok {
 		return
@@ -62,9 +62,9 @@
 	l.listenedAt = time.Time{}
 }
 
-// SetPeers sets how many entries there are, this one included: those that are live and
+// SetEntryCount sets how many entries there are, this one included: those that are live and
 // those that are silent but not known to have ended.
-func (l *Limiter) SetPeers(n int, _ time.Time) {
+func (l *Limiter) SetEntryCount(n int, _ time.Time) {
 	l.entries = max(n, 1)
 	l.listenedAt = time.Time{}
 }
@@ -80,7 +80,7 @@
 	l.listenedAt = now
 	l.silent = l.silent[:0]
 	for _, p := range l.order {
-		p.silent = now.Sub(p.heardAt) >= l.cfg.PeerSilence
+		p.silent = now.Sub(p.heardAt) >= l.cfg.PeerTimeout
 		if p.silent {
 			l.silent = append(l.silent, p)
 		}
--- a/limiter/report.go
+++ b/limiter/report.go
@@ -22,10 +22,10 @@
 	inFlight int
 }
 
-// Uses gives what peers have to know of this entry's use: accounts whose use has changed or
+// UsageReports gives what peers have to know of this entry's use: accounts whose use has changed or
 // was not repeated for Config.UseRefresh, at most Config.MaxUses of them. It is called once
 // for each heartbeat, which then goes to all peers.
-func (l *Limiter) Uses(now time.Time) []carrier.AccountUse {
+func (l *Limiter) UsageReports(now time.Time) []carrier.AccountUse {
 	var uses []carrier.AccountUse
 	kept := l.used[:0]
 	var late []*account
@@ -34,11 +34,11 @@
 			continue
 		}
 		if l.due(a, now) {
-			if len(uses) == l.cfg.MaxUses {
+			if len(uses) == l.cfg.MaxReportedAccounts {
 				late = append(late, a)
 				continue
 			}
-			uses = append(uses, a.tell(l.cfg.UseRefresh, now))
+			uses = append(uses, a.tell(l.cfg.UsageRefresh, now))
 		}
 		if a.quiet() && l.rest(a, now) {
 			continue
@@ -77,7 +77,7 @@
 	if a.quiet() && a.requests.used == 0 && a.demandNow(now) == 0 {
 		return false
 	}
-	if now.Sub(a.told.at) >= l.cfg.UseRefresh || a.inFlight != a.told.inFlight {
+	if now.Sub(a.told.at) >= l.cfg.UsageRefresh || a.inFlight != a.told.inFlight {
 		return true
 	}
 	worth := changeWorthTelling * math.Max(a.told.demand, a.limits.RatePerSecond/float64(l.entries))
--- a/limiter/share.go
+++ b/limiter/share.go
@@ -32,7 +32,7 @@
 		if u.peer.gone || u.peer.silent {
 			a.uncount(u)
 		}
-		if u.peer.gone || u.peer.heardAt.Sub(u.at) >= l.cfg.UseLifetime || now.Sub(u.peer.heardAt) >= forgetPeer {
+		if u.peer.gone || u.peer.heardAt.Sub(u.at) >= l.cfg.UsageTTL || now.Sub(u.peer.heardAt) >= forgetPeer {
 			a.uncount(u)
 			continue
 		}
@@ -149,7 +149,7 @@
 			last = a.peerUses[i].usual
 		}
 	}
-	silence := now.Sub(p.heardAt) - l.cfg.PeerSilence
+	silence := now.Sub(p.heardAt) - l.cfg.PeerTimeout
 	decayed := math.Min(1, float64(silence)/float64(l.cfg.PeerDecay))
 	return last + (even-last)*decayed
 }
--- a/limiter/verdict.go
+++ b/limiter/verdict.go
@@ -33,8 +33,8 @@
 	}
 }
 
-// Verdict is Admitted or Refused.
-type Verdict interface{ verdict() }
+// Decision is Admitted or Refused.
+type Decision interface{ verdict() }
 
 // Admitted tells that the request may go on and counts as in flight until Release.
 type Admitted struct{}
@@ -52,8 +52,8 @@
 // refusals, and converting a Refused anew would allocate for each.
 var refusals = makeRefusals()
 
-func makeRefusals() [reasonCount][]Verdict {
-	var made [reasonCount][]Verdict
+func makeRefusals() [reasonCount][]Decision {
+	var made [reasonCount][]Decision
 	for reason := range reasonCount {
 		for step := range pacer.Count() {
 			made[reason] = append(made[reason], Refused{Reason: reason, RetryAfter: pacer.At(step)})
@@ -62,6 +62,6 @@
 	return made
 }
 
-func refuse(reason Reason, wait time.Duration) Verdict {
+func refuse(reason Reason, wait time.Duration) Decision {
 	return refusals[reason][pacer.StepFor(wait)]
 }
--- a/measurer/dispatchers_test.go
+++ b/measurer/dispatchers_test.go
@@ -37,17 +37,17 @@
 }
 
 // asks describes the stages that are still to run; queued stages have their backlog ahead.
-func (p *policy) asks(j *job, from int, queued bool, now time.Time) []admitter.StageAsk {
-	var asks []admitter.StageAsk
+func (p *policy) asks(j *job, from int, queued bool, now time.Time) []admitter.PendingStage {
+	var asks []admitter.PendingStage
 	for i := from; i < len(pipeline); i++ {
 		spec := pipeline[i]
-		ask := admitter.StageAsk{Stage: spec.name, Pool: spec.name, Expected: spec.mean, Capacity: p.belief * float64(spec.slots)}
-		if drain := p.scheduler.Drain(spec.name, now); drain > 0 {
+		ask := admitter.PendingStage{Stage: spec.name, Pool: spec.name, Expected: spec.mean, Capacity: p.belief * float64(spec.slots)}
+		if drain := p.scheduler.DrainRate(spec.name, now); drain > 0 {
 			ask.Capacity = drain
 		}
 		if queued || i > from {
-			ahead := p.scheduler.Ahead(spec.name, p.item(j, i))
-			ask.Ahead, ask.Worst = ahead.Present, ahead.Worst
+			ahead := p.scheduler.WorkAhead(spec.name, p.item(j, i))
+			ask.WorkAhead, ask.WorstWorkAhead = ahead.Current, ahead.WorstCase
 		}
 		asks = append(asks, ask)
 	}
@@ -105,7 +105,7 @@
 		}
 		j := p.jobs[item.ID]
 		p.admitter.ObserveWait(name, s.clock.now.Sub(j.entered), s.clock.now)
-		if p.admitter.Hopeless(p.asks(j, j.stage, false, s.clock.now), j.deadline, s.clock.now) {
+		if p.admitter.CannotFinish(p.asks(j, j.stage, false, s.clock.now), j.deadline, s.clock.now) {
 			p.scheduler.Charge(name, item.Account, -item.Cost)
 			s.finish(j, lost)
 			continue
--- a/measurer/limits_test.go
+++ b/measurer/limits_test.go
@@ -95,7 +95,7 @@
 		return newBucketGate(tr.limits, 1)
 	default:
 		l := limiter.New(limiter.Config{Entry: entryName(i)})
-		l.SetPeers(entryCount, tr.clock.now)
+		l.SetEntryCount(entryCount, tr.clock.now)
 		l.SetLimits(limitedAccount, tr.limits, tr.clock.now)
 		tr.limiters = append(tr.limiters, l)
 		phase := heartbeat * time.Duration(i) / entryCount
@@ -111,13 +111,13 @@
 	if tr.dead[from] {
 		return
 	}
-	uses := tr.limiters[from].Uses(tr.clock.now)
+	uses := tr.limiters[from].UsageReports(tr.clock.now)
 	for to := range tr.limiters {
 		if to == from || tr.side[to] != tr.side[from] || tr.dead[to] {
 			continue
 		}
 		tr.clock.after(heartbeatDelay, func() {
-			tr.limiters[to].PeerUses(entryName(from), uses, tr.clock.now)
+			tr.limiters[to].UpdatePeerUsage(entryName(from), uses, tr.clock.now)
 		})
 	}
 }
@@ -198,8 +198,8 @@
 			if tr.dead[i] {
 				continue
 			}
-			l.SetPeers(entryCount-1, tr.clock.now)
-			l.PeerGone(entryName(entry), tr.clock.now)
+			l.SetEntryCount(entryCount-1, tr.clock.now)
+			l.RemovePeer(entryName(entry), tr.clock.now)
 		}
 	})
 }
--- a/performer/endpoints.go
+++ b/performer/endpoints.go
@@ -64,7 +64,7 @@
 		e.heard = now
 	}
 	for address, e := range l.endpoints {
-		if now.Sub(e.heard) > router.DefaultGoneAfter {
+		if now.Sub(e.heard) > router.DefaultForgetAfter {
 			delete(l.endpoints, address)
 		}
 	}
@@ -148,7 +148,7 @@
 	if err := l.get(ctx, "http://"+address+"/v1/load", &report); err != nil {
 		return err
 	}
-	l.performer.Post(reducer.LoadReported{Address: address, Report: router.Report{
+	l.performer.Post(reducer.LoadReported{Address: address, Report: router.LoadReport{
 		AsOf:    time.UnixMilli(report.AsOfMillis),
 		Running: report.Running,
 		Waiting: report.Waiting,
--- a/reducer/core.go
+++ b/reducer/core.go
@@ -246,9 +246,9 @@
 	case EndpointRefused:
 		c.takeEndpointRefused(e, now)
 	case LoadReported:
-		c.router.Report(e.Address, e.Report, now)
+		c.router.UpdateLoad(e.Address, e.Report, now)
 	case CacheEventsRead:
-		c.router.CacheEvents(e.Address, e.Events, e.Next, now)
+		c.router.ApplyCacheEvents(e.Address, e.Events, e.Next, now)
 	case ChangeAsked:
 		c.takeChange(e, now)
 	case OperationAsked:
--- a/reducer/event.go
+++ b/reducer/event.go
@@ -143,7 +143,7 @@
 // LoadReported is an endpoint's report of its load.
 type LoadReported struct {
 	Address string
-	Report  router.Report
+	Report  router.LoadReport
 }
 
 // CacheEventsRead is a page of an endpoint's cache events; Next is the number that follows it.
--- a/reducer/fault.go
+++ b/reducer/fault.go
@@ -37,7 +37,7 @@
 	if e.Fault.Kind == FaultTimeout {
 		c.emit(CancelStage{Call: e.Call, Address: address, StreamID: k.streamID})
 	}
-	c.endCall(address, router.End{Result: result}, now)
+	c.endCall(address, router.CallEnd{Result: result}, now)
 	r.calls = slices.Delete(r.calls, at, at+1)
 	r.tried = append(r.tried, address)
 	pool := r.stageConfig().Pool
@@ -123,15 +123,15 @@
 )
 
 // endCall tells the router of a call's end.
-func (c *Core) endCall(address string, end router.End, now time.Time) {
-	if c.router.Ended(address, end, now) {
+func (c *Core) endCall(address string, end router.CallEnd, now time.Time) {
+	if c.router.CallEnded(address, end, now) {
 		c.noteEjected(address)
 	}
 }
 
 // takeEndpointRefused takes a sign that an endpoint is down which no call of a request had to find out.
 func (c *Core) takeEndpointRefused(e EndpointRefused, now time.Time) {
-	if c.router.Unreachable(e.Address, now) {
+	if c.router.MarkUnreachable(e.Address, now) {
 		c.noteEjected(e.Address)
 	}
 }
--- a/reducer/hedge.go
+++ b/reducer/hedge.go
@@ -42,7 +42,7 @@
 // usual gives the measured mean and high quantile of the time of a request's present stage.
 func (c *Core) usual(r *request) (mean, high time.Duration) {
 	expected := time.Duration(r.stageConfig().ExpectedMillis) * time.Millisecond
-	return c.admitter.Usual(r.plan.stageNames[r.stage], expected)
+	return c.admitter.ServiceTime(r.plan.stageNames[r.stage], expected)
 }
 
 // prefixOf hashes the beginnings of a prompt, for stages that models run.
@@ -74,7 +74,7 @@
 // patience is the silence after which a call counts against its endpoint.
 func (c *Core) patience(r *request) time.Duration {
 	mean, high := c.usual(r)
-	patience := c.router.Patience(r.stageConfig().Pool, mean)
+	patience := c.router.OverdueAfter(r.stageConfig().Pool, mean)
 	if patience == 0 {
 		return c.cfg.StageTimeout
 	}
@@ -121,7 +121,7 @@
 	if len(r.calls) > 1 || c.quarantiner.Verdict(r.digest, now) != quarantiner.Clear {
 		return
 	}
-	if !c.router.Free(pool, now) || !c.retrier.Hedge(pool, r.attempts, c.busy(pool), now) {
+	if !c.router.HasFree(pool, now) || !c.retrier.Hedge(pool, r.attempts, c.busy(pool), now) {
 		return
 	}
 	ask := c.askOf(r)
@@ -141,7 +141,7 @@
 		c.schedule(timer{at: due, kind: timerStage, call: id})
 		return
 	}
-	if c.router.Overdue(k.address, now) {
+	if c.router.CallOverdue(k.address, now) {
 		c.noteEjected(k.address)
 	}
 	k.watch = watchTimeout
--- a/reducer/log.go
+++ b/reducer/log.go
@@ -125,7 +125,7 @@
 	contract, known := c.fold.Contract(account)
 	switch {
 	case !known:
-		c.limiter.Remove(account)
+		c.limiter.RemoveAccount(account)
 		delete(c.applied, account)
 	case c.applied[account] != contract:
 		c.applied[account] = contract
--- a/reducer/order.go
+++ b/reducer/order.go
@@ -115,7 +115,7 @@
 
 // readBack asks engines what they hold: each now and then, and at once where an order's end is uncertain.
 func (c *Core) readBack(o *ordering, now time.Time) {
-	addresses := c.router.InUse(o.pool)
+	addresses := c.router.PoolAddresses(o.pool)
 	o.placer.List(addresses)
 	for _, address := range o.placer.Unsettled() {
 		if now.Sub(o.asked[address]) > orderEvery {
--- a/reducer/peer.go
+++ b/reducer/peer.go
@@ -42,9 +42,9 @@
 	c.counters.HeartbeatsTaken++
 	c.takeTransitions(c.detector.Receive(message, now), now)
 	c.ownerReplaced(message.From.Name, message.From.Incarnation)
-	c.router.PeerLoads(message.From.Name, message.Endpoints, now)
+	c.router.UpdatePeerLoads(message.From.Name, message.Endpoints, now)
 	c.takeCrashes(message.Crashes, now)
-	c.limiter.PeerUses(message.From.Name, message.Accounts, now)
+	c.limiter.UpdatePeerUsage(message.From.Name, message.Accounts, now)
 	c.callForRecords(message.From, now)
 }
 
@@ -130,7 +130,7 @@
 		if t.To != detector.Dead && t.To != detector.Stopped {
 			continue
 		}
-		c.router.PeerGone(t.Member.Name)
+		c.router.RemovePeer(t.Member.Name)
 		c.ownerDied(t.Member.Name)
 	}
 	if len(transitions) > 0 {
@@ -158,7 +158,7 @@
 		}
 	}
 	c.liveEntries = max(live, 1)
-	c.limiter.SetPeers(c.liveEntries+len(c.silent), now)
+	c.limiter.SetEntryCount(c.liveEntries+len(c.silent), now)
 	c.router.SetEntries(index, c.liveEntries)
 }
 
@@ -166,8 +166,8 @@
 func (c *Core) beat(now time.Time) {
 	c.detector.SetSelf(c.memberState(), c.fold.Offset(), int32(len(c.requests)))
 	message := c.detector.Heartbeat(now)
-	message.Endpoints = c.router.Loads(now)
-	message.Accounts = c.limiter.Uses(now)
+	message.Endpoints = c.router.LocalLoads(now)
+	message.Accounts = c.limiter.UsageReports(now)
 	message.Crashes = c.quarantiner.Marks(now)
 	for _, address := range c.detector.Targets(now) {
 		c.counters.HeartbeatsSent++
--- a/reducer/plan.go
+++ b/reducer/plan.go
@@ -15,14 +15,14 @@
 	sideEffect bool
 	// stageNames are "pipeline/stage", under which the admitter measures.
 	stageNames []string
-	asks       []admitter.StageAsk
+	asks       []admitter.PendingStage
 }
 
 func newPlan(pipeline *publisher.Pipeline) *plan {
 	p := &plan{
 		pipeline:   pipeline,
 		sideEffect: pipeline.HasSideEffect(),
-		asks:       make([]admitter.StageAsk, len(pipeline.Stages)),
+		asks:       make([]admitter.PendingStage, len(pipeline.Stages)),
 	}
 	for _, stage := range pipeline.Stages {
 		p.stageNames = append(p.stageNames, pipeline.Name+"/"+stage.Name)
@@ -49,18 +49,18 @@
 }
 
 // asks describes the stages from a stage on to the admitter. The slice is the plan's own, valid until the next call.
-func (c *Core) asks(p *plan, contract *publisher.Contract, from int, now time.Time) []admitter.StageAsk {
+func (c *Core) asks(p *plan, contract *publisher.Contract, from int, now time.Time) []admitter.PendingStage {
 	item := scheduler.Item{Account: contract.Account, Weight: contract.Weight, Urgency: urgencyOf(contract, p.pipeline.Name)}
 	for i := from; i < len(p.asks); i++ {
 		stage := &p.pipeline.Stages[i]
-		ahead := c.scheduler.Ahead(stage.Pool, item)
-		p.asks[i] = admitter.StageAsk{
-			Stage:    p.stageNames[i],
-			Pool:     stage.Pool,
-			Expected: time.Duration(stage.ExpectedMillis) * time.Millisecond,
-			Ahead:    ahead.Present,
-			Worst:    ahead.Worst,
-			Capacity: c.capacity(stage.Pool, now),
+		ahead := c.scheduler.WorkAhead(stage.Pool, item)
+		p.asks[i] = admitter.PendingStage{
+			Stage:          p.stageNames[i],
+			Pool:           stage.Pool,
+			Expected:       time.Duration(stage.ExpectedMillis) * time.Millisecond,
+			WorkAhead:      ahead.Current,
+			WorstWorkAhead: ahead.WorstCase,
+			Capacity:       c.capacity(stage.Pool, now),
 		}
 	}
 	return p.asks[from:]
@@ -70,7 +70,7 @@
 // pool was found to take while stages waited here, else an even part of its slots. When callers come to
 // some entries more than to others, an even part is wrong at each of them.
 func (c *Core) capacity(pool string, now time.Time) float64 {
-	if drain := c.scheduler.Drain(pool, now); drain > 0 {
+	if drain := c.scheduler.DrainRate(pool, now); drain > 0 {
 		return drain
 	}
 	return c.router.Capacity(pool, c.liveEntries, now)
--- a/reducer/quarantine.go
+++ b/reducer/quarantine.go
@@ -82,7 +82,7 @@
 		r.phase = phaseQueued
 		r.queuedAt = now
 		pool := r.stageConfig().Pool
-		from := now.Add(loneAfter + time.Duration(c.router.Turn(pool))*c.loneTurn(r))
+		from := now.Add(loneAfter + time.Duration(c.router.IsolationTurn(pool))*c.loneTurn(r))
 		c.lone[pool] = append(c.lone[pool], loneRun{request: r.id, stage: r.stage, from: from})
 		c.pumpLone(pool, now)
 		return true
--- a/reducer/silence.go
+++ b/reducer/silence.go
@@ -22,13 +22,13 @@
 	switch t.To {
 	case detector.Dead:
 		if t.Refused {
-			c.limiter.PeerGone(name, now)
+			c.limiter.RemovePeer(name, now)
 			return
 		}
 		c.silent[name] = silentEntry{peerAddress: t.Member.PeerAddress, since: now}
 	case detector.Stopped:
 		delete(c.silent, name)
-		c.limiter.PeerGone(name, now)
+		c.limiter.RemovePeer(name, now)
 	default:
 		delete(c.silent, name)
 	}
@@ -51,7 +51,7 @@
 			continue
 		}
 		delete(c.silent, name)
-		c.limiter.PeerGone(name, now)
+		c.limiter.RemovePeer(name, now)
 	}
 	c.countEntries(now)
 }
--- a/reducer/simendpoint_test.go
+++ b/reducer/simendpoint_test.go
@@ -26,7 +26,7 @@
 	queue   []*simCall
 	calls   []*simCall
 	// reports are the loads that were not read yet, the oldest first.
-	reports []router.Report
+	reports []router.LoadReport
 }
 
 type simCall struct {
--- a/reducer/stage.go
+++ b/reducer/stage.go
@@ -85,7 +85,7 @@
 	c.pumpLone(pool, now)
 	var aside setAside
 	defer c.putBack(pool, &aside, now)
-	for c.scheduler.Len(pool) > 0 && c.router.Free(pool, now) {
+	for c.scheduler.Len(pool) > 0 && c.router.HasFree(pool, now) {
 		item, ok := c.scheduler.Pop(pool, now)
 		if !ok {
 			return
@@ -97,8 +97,8 @@
 		}
 		c.admitter.ObserveWait(pool, now.Sub(r.queuedAt), now)
 		asks := c.asks(r.plan, r.contract, r.stage, now)
-		asks[0].Ahead = 0 // its turn has come
-		if c.admitter.Hopeless(asks, r.deadline, now) {
+		asks[0].WorkAhead = 0 // its turn has come
+		if c.admitter.CannotFinish(asks, r.deadline, now) {
 			c.chargeBack(pool, item)
 			c.fail(r, CodeCannotFinish, "the stages that are left cannot end by the deadline", c.retryAfter(pool), now)
 			continue
@@ -121,13 +121,13 @@
 	c.scheduler.Charge(pool, item.Account, -item.Cost)
 }
 
-func (c *Core) askOf(r *request) router.Ask {
+func (c *Core) askOf(r *request) router.Query {
 	stage := r.stageConfig()
 	r.prefix = c.prefixOf(r)
-	ask := router.Ask{Pool: stage.Pool, Prefix: r.prefix, Avoid: r.tried, NoProbe: !stage.Repeatable}
+	ask := router.Query{Pool: stage.Pool, Prefix: r.prefix, Avoid: r.tried, NoProbe: !stage.Repeatable}
 	if o, placed := c.orderings[stage.Pool]; placed {
 		ask.Model = stage.Model
-		ask.Lacks = o.lacks
+		ask.LacksModel = o.lacks
 	}
 	return ask
 }
@@ -152,7 +152,7 @@
 	r.possible++
 	r.calls = append(r.calls, call{attempt: r.attempts, address: address, started: now, lastPart: now, hedge: hedge})
 	c.counters.StageCalls++
-	c.router.Started(address, &r.prefix, now)
+	c.router.CallStarted(address, &r.prefix, now)
 	id := CallID{Request: r.id, Stage: r.stage, Attempt: r.attempts}
 	effect := &stageCall{}
 	body := &effect.body
@@ -304,7 +304,7 @@
 	stage := r.stageConfig()
 	cost := part.Cost.Value
 	usual, _ := c.usual(r)
-	c.endCall(k.address, router.End{Result: router.Succeeded, Took: now.Sub(k.started), Expected: usual}, now)
+	c.endCall(k.address, router.CallEnd{Result: router.Succeeded, Duration: now.Sub(k.started), Expected: usual}, now)
 	c.admitter.Observe(r.plan.stageNames[r.stage], now.Sub(k.started), cost, now)
 	c.scheduler.Charge(stage.Pool, r.key.Account, cost-c.admitter.ExpectedCost(r.plan.stageNames[r.stage], cost))
 	c.biller.Work(r.key.Account, stage.Name, cost)
@@ -330,7 +330,7 @@
 	for i := range r.calls {
 		k := &r.calls[i]
 		c.emit(CancelStage{Call: CallID{Request: r.id, Stage: r.stage, Attempt: k.attempt}, Address: k.address, StreamID: k.streamID})
-		c.endCall(k.address, router.End{Result: router.Cancelled}, now)
+		c.endCall(k.address, router.CallEnd{Result: router.Cancelled}, now)
 		c.waste(r, k, now)
 	}
 	r.calls = r.calls[:0]
--- a/reducer/system_test.go
+++ b/reducer/system_test.go
@@ -312,7 +312,7 @@
 			endpoint.reports = nil
 			continue
 		}
-		report := router.Report{AsOf: s.now, Running: endpoint.running, Waiting: len(endpoint.queue), Slots: endpoint.slots}
+		report := router.LoadReport{AsOf: s.now, Running: endpoint.running, Waiting: len(endpoint.queue), Slots: endpoint.slots}
 		endpoint.reports = append(endpoint.reports, report)
 		for len(endpoint.reports) > 1 && s.now.Sub(endpoint.reports[1].AsOf) >= s.reportLag {
 			endpoint.reports = endpoint.reports[1:]
--- a/reducer/tick.go
+++ b/reducer/tick.go
@@ -70,7 +70,7 @@
 
 // takeVMs takes the platform's lagging list.
 func (c *Core) takeVMs(e VMsListed, now time.Time) {
-	c.router.List(e.Endpoints, now)
+	c.router.UpdateVMs(e.Endpoints, now)
 	for _, hint := range e.Entries {
 		if hint.PeerAddress == c.cfg.PeerAddress {
 			continue
--- a/router/call.go
+++ b/router/call.go
@@ -20,16 +20,16 @@
 	RefusedLeaving
 )
 
-// End is a call's end.
-type End struct {
+// CallEnd is a call's end.
+type CallEnd struct {
 	Result Result
-	// Took is the call's time, Expected the usual time of its stage; both are used when it succeeded.
-	Took     time.Duration
+	// Duration is the call's time, Expected the usual time of its stage; both are used when it succeeded.
+	Duration time.Duration
 	Expected time.Duration
 }
 
-// Started counts a call as in flight.
-func (r *Router) Started(address string, prefix *Prefix, now time.Time) {
+// CallStarted counts a call as in flight.
+func (r *Router) CallStarted(address string, prefix *Prefix, now time.Time) {
 	e, known := r.endpoints[address]
 	if !known {
 		return
@@ -44,8 +44,8 @@
 	}
 }
 
-// Ended takes a call's end, and tells whether the endpoint was ejected by it.
-func (r *Router) Ended(address string, end End, now time.Time) bool {
+// CallEnded takes a call's end, and tells whether the endpoint was ejected by it.
+func (r *Router) CallEnded(address string, end CallEnd, now time.Time) bool {
 	e, known := r.endpoints[address]
 	if !known {
 		return false
@@ -61,14 +61,14 @@
 	return ejected
 }
 
-func (r *Router) judge(e *endpoint, end End, now time.Time) bool {
+func (r *Router) judge(e *endpoint, end CallEnd, now time.Time) bool {
 	doubted := e.peerEjected > 0
 	var verdict ejector.End
 	switch end.Result {
 	case Succeeded:
 		e.succeeded = now
-		e.pool.observe(end.Took)
-		verdict = e.pool.health.Took(&e.health, end.Took, end.Expected)
+		e.pool.observe(end.Duration)
+		verdict = e.pool.health.Took(&e.health, end.Duration, end.Expected)
 	case Failed:
 		verdict = ejector.Bad
 	case Unreachable:
@@ -94,10 +94,10 @@
 	p.callTime += callTimeWeight * (float64(took) - p.callTime)
 }
 
-// Overdue notes that a call is silent for longer than the pool's patience, and tells whether its
+// CallOverdue notes that a call is silent for longer than the pool's patience, and tells whether its
 // endpoint was ejected by it. Waiting for the call's end would give an endpoint that takes calls and
 // never answers all the time until the first deadline.
-func (r *Router) Overdue(address string, now time.Time) bool {
+func (r *Router) CallOverdue(address string, now time.Time) bool {
 	e, known := r.endpoints[address]
 	if !known {
 		return false
--- a/router/choose.go
+++ b/router/choose.go
@@ -17,8 +17,8 @@
 	homeReuse = 0.5
 )
 
-// Ask says what a stage call needs of an endpoint.
-type Ask struct {
+// Query says what a stage call needs of an endpoint.
+type Query struct {
 	Pool string
 	// Prefix is of the prompt, for pools that cache prompts.
 	Prefix Prefix
@@ -29,13 +29,13 @@
 	NoProbe bool
 	// Model is what the endpoint must hold. Lacks tells that an endpoint surely does not: it would refuse the
 	// call. Nil for pools whose endpoints' models are not known.
-	Model string
-	Lacks func(address, model string, now time.Time) bool
+	Model      string
+	LacksModel func(address, model string, now time.Time) bool
 }
 
 // lacks tells that the endpoint surely can't serve the call's model.
-func (a *Ask) lacks(e *endpoint, now time.Time) bool {
-	return a.Lacks != nil && a.Model != "" && a.Lacks(e.address, a.Model, now)
+func (a *Query) lacks(e *endpoint, now time.Time) bool {
+	return a.LacksModel != nil && a.Model != "" && a.LacksModel(e.address, a.Model, now)
 }
 
 // candidate is the best endpoint seen so far.
@@ -50,7 +50,7 @@
 // It looks at a few free endpoints at random and at the homes of the prompt's prefix, and takes the
 // one with the least load less what its cache is worth. A few at random is what keeps entries that
 // all see the same lagging loads from choosing the same endpoint.
-func (r *Router) Choose(ask Ask, now time.Time) (string, bool) {
+func (r *Router) Choose(ask Query, now time.Time) (string, bool) {
 	p, known := r.pools[ask.Pool]
 	if !known {
 		return "", false
@@ -71,7 +71,7 @@
 
 // probe gives an endpoint that waits for its probe. It goes before better ones, since otherwise a
 // quiet pool would never try it again.
-func (r *Router) probe(p *pool, ask *Ask, now time.Time) *endpoint {
+func (r *Router) probe(p *pool, ask *Query, now time.Time) *endpoint {
 	if ask.NoProbe || len(p.out) == 0 || len(ask.Avoid) > 0 {
 		return nil
 	}
@@ -86,7 +86,7 @@
 	return nil
 }
 
-func (r *Router) sample(p *pool, ask *Ask, now time.Time) candidate {
+func (r *Router) sample(p *pool, ask *Query, now time.Time) candidate {
 	best := candidate{}
 	n := len(p.available)
 	if n == 0 {
@@ -109,7 +109,7 @@
 }
 
 // weigh takes an endpoint as the best if its score is lower.
-func (r *Router) weigh(best *candidate, e *endpoint, ask *Ask, assumed float64, now time.Time) {
+func (r *Router) weigh(best *candidate, e *endpoint, ask *Query, assumed float64, now time.Time) {
 	if e.health.State() != ejector.InUse || slices.Contains(ask.Avoid, e.address) || ask.lacks(e, now) {
 		return
 	}
@@ -123,7 +123,7 @@
 }
 
 // any gives a free endpoint when the sample held none that may be taken: first one that was not tried.
-func (r *Router) any(p *pool, ask *Ask, now time.Time) candidate {
+func (r *Router) any(p *pool, ask *Query, now time.Time) candidate {
 	var tried, onProbe *endpoint
 	n := len(p.available)
 	if n == 0 {
--- a/router/endpoint.go
+++ b/router/endpoint.go
@@ -173,8 +173,8 @@
 	}
 }
 
-// InUse lists the endpoints of a pool that are not leaving, by address.
-func (r *Router) InUse(name string) []string {
+// PoolAddresses lists the endpoints of a pool that are not leaving, by address.
+func (r *Router) PoolAddresses(name string) []string {
 	p, known := r.pools[name]
 	if !known {
 		return nil
--- a/router/isolate.go
+++ b/router/isolate.go
@@ -13,7 +13,7 @@
 // The call may end its endpoint's process. When one was lost, all entries that had calls there choose at
 // the same moment: each takes from its own part of the pool, so that an innocent call of one is not lost
 // with the guilty call of another. A pool with fewer endpoints than entries needs turns besides, see Turn.
-func (r *Router) Reserve(ask Ask, now time.Time) (string, bool) {
+func (r *Router) Reserve(ask Query, now time.Time) (string, bool) {
 	p, known := r.pools[ask.Pool]
 	if !known {
 		return "", false
@@ -30,7 +30,7 @@
 }
 
 // leastCalls gives the endpoint of this entry's part of the pool that suits a lone call best.
-func (r *Router) leastCalls(p *pool, ask *Ask, now time.Time) *endpoint {
+func (r *Router) leastCalls(p *pool, ask *Query, now time.Time) *endpoint {
 	n := 0
 	for _, e := range p.ring {
 		if e.suitsLone(ask, now) {
@@ -52,12 +52,12 @@
 	return best
 }
 
-func (e *endpoint) suitsLone(ask *Ask, now time.Time) bool {
+func (e *endpoint) suitsLone(ask *Query, now time.Time) bool {
 	return !e.leaving() && e.health.State() == ejector.InUse && !slices.Contains(ask.Avoid, e.address) && !ask.lacks(e, now)
 }
 
-// Turn is how many other entries use the same part of the pool for lone calls before this one.
-func (r *Router) Turn(name string) int {
+// IsolationTurn is how many other entries use the same part of the pool for lone calls before this one.
+func (r *Router) IsolationTurn(name string) int {
 	p, known := r.pools[name]
 	if !known || len(p.all) < 2 {
 		return 0
--- a/router/leaving.go
+++ b/router/leaving.go
@@ -15,7 +15,7 @@
 
 // takeLeavingWord takes what a report says on leaving. The report may be older than a refusal that
 // came before it, and its clock may differ, so that only a clearly later one ends the mark.
-func (r *Router) takeLeavingWord(e *endpoint, report Report, now time.Time) {
+func (r *Router) takeLeavingWord(e *endpoint, report LoadReport, now time.Time) {
 	if report.Leaving {
 		e.selfLeaving = true
 		e.selfLeavingAt = now
--- a/router/peer.go
+++ b/router/peer.go
@@ -19,9 +19,9 @@
 	ejected  bool
 }
 
-// PeerLoads takes a peer's calls in flight and its opinion of endpoints. It replaces the peer's earlier
+// UpdatePeerLoads takes a peer's calls in flight and its opinion of endpoints. It replaces the peer's earlier
 // report in time that grows with what the peer lists, not with the pools.
-func (r *Router) PeerLoads(name string, loads []carrier.EndpointLoad, now time.Time) {
+func (r *Router) UpdatePeerLoads(name string, loads []carrier.EndpointLoad, now time.Time) {
 	p, known := r.peers[name]
 	if !known {
 		p = &peer{}
@@ -91,8 +91,8 @@
 	r.refresh(e)
 }
 
-// PeerGone forgets a dead peer's calls in flight.
-func (r *Router) PeerGone(name string) {
+// RemovePeer forgets a dead peer's calls in flight.
+func (r *Router) RemovePeer(name string) {
 	p, known := r.peers[name]
 	if !known {
 		return
@@ -101,8 +101,8 @@
 	delete(r.peers, name)
 }
 
-// Loads is what this entry tells its peers: its calls in flight, and its own opinion of endpoints.
-func (r *Router) Loads(_ time.Time) []carrier.EndpointLoad {
+// LocalLoads is what this entry tells its peers: its calls in flight, and its own opinion of endpoints.
+func (r *Router) LocalLoads(_ time.Time) []carrier.EndpointLoad {
 	if len(r.active.all) == 0 {
 		return nil
 	}
--- a/router/policy_test.go
+++ b/router/policy_test.go
@@ -57,7 +57,7 @@
 type chooser interface {
 	choose(*job, time.Time) int
 	ended(at int, j *job, now time.Time)
-	report(at int, r router.Report, now time.Time)
+	report(at int, r router.LoadReport, now time.Time)
 }
 
 type job struct {
@@ -181,7 +181,7 @@
 // reports brings all entries all engines' loads after the lag.
 func (tr *trial) reports() {
 	for _, e := range tr.engines {
-		r := router.Report{AsOf: tr.now, Running: e.running, Waiting: len(e.queue), Slots: slots}
+		r := router.LoadReport{AsOf: tr.now, Running: e.running, Waiting: len(e.queue), Slots: slots}
 		tr.after(tr.lag, func() {
 			for _, c := range tr.choosers {
 				c.report(e.at, r, tr.now)
@@ -192,11 +192,11 @@
 
 // beat sends one of our entries' heartbeats, and lets it read cache events.
 func (tr *trial) beat(i int, o *ours) {
-	loads := o.router.Loads(tr.now)
+	loads := o.router.LocalLoads(tr.now)
 	tr.after(time.Millisecond, func() {
 		for k, c := range tr.choosers {
 			if k != i {
-				c.(*ours).router.PeerLoads(fmt.Sprint(i), loads, tr.now)
+				c.(*ours).router.UpdatePeerLoads(fmt.Sprint(i), loads, tr.now)
 				tr.drain(k)
 			}
 		}
@@ -211,7 +211,7 @@
 			next++
 		}
 		o.read[e.at] = next
-		o.router.CacheEvents(address(e.at), events, int64(next), tr.now)
+		o.router.ApplyCacheEvents(address(e.at), events, int64(next), tr.now)
 	}
 }
 
@@ -246,33 +246,35 @@
 	for i := range engines {
 		vms = append(vms, router.VM{Address: address(i), Pool: "engines"})
 	}
-	r.List(vms, start)
+	r.UpdateVMs(vms, start)
 	return &ours{router: r}
 }
 
 func (o *ours) choose(j *job, now time.Time) int {
 	prefix := router.PrefixOf(j.input)
-	chosen, found := o.router.Choose(router.Ask{Pool: "engines", Prefix: prefix}, now)
+	chosen, found := o.router.Choose(router.Query{Pool: "engines", Prefix: prefix}, now)
 	if !found {
 		return -1
 	}
-	o.router.Started(chosen, &prefix, now)
+	o.router.CallStarted(chosen, &prefix, now)
 	return int(chosen[7] - '0')
 }
 
 func (o *ours) ended(at int, j *job, now time.Time) {
 	took := now.Sub(j.began)
-	o.router.Ended(address(at), router.End{Result: router.Succeeded, Took: took, Expected: 150 * time.Millisecond}, now)
+	o.router.CallEnded(address(at), router.CallEnd{Result: router.Succeeded, Duration: took, Expected: 150 * time.Millisecond}, now)
 }
 
-func (o *ours) report(at int, r router.Report, now time.Time) { o.router.Report(address(at), r, now) }
+func (o *ours) report(at int, r router.LoadReport, now time.Time) {
+	o.router.UpdateLoad(address(at), r, now)
+}
 
 // random, roundRobin and leastReported are the baselines.
 type random struct{ rng *rand.Rand }
 
-func (c random) choose(*job, time.Time) int         { return c.rng.IntN(engines) }
-func (random) ended(int, *job, time.Time)           {}
-func (random) report(int, router.Report, time.Time) {}
+func (c random) choose(*job, time.Time) int             { return c.rng.IntN(engines) }
+func (random) ended(int, *job, time.Time)               {}
+func (random) report(int, router.LoadReport, time.Time) {}
 
 type roundRobin struct{ next int }
 
@@ -280,8 +282,8 @@
 	c.next++
 	return c.next % engines
 }
-func (*roundRobin) ended(int, *job, time.Time)           {}
-func (*roundRobin) report(int, router.Report, time.Time) {}
+func (*roundRobin) ended(int, *job, time.Time)               {}
+func (*roundRobin) report(int, router.LoadReport, time.Time) {}
 
 type leastReported struct {
 	rng   *rand.Rand
@@ -298,7 +300,7 @@
 	return best
 }
 func (*leastReported) ended(int, *job, time.Time) {}
-func (c *leastReported) report(at int, r router.Report, _ time.Time) {
+func (c *leastReported) report(at int, r router.LoadReport, _ time.Time) {
 	c.loads[at] = r.Running + r.Waiting
 }
 
--- a/router/pool.go
+++ b/router/pool.go
@@ -160,8 +160,8 @@
 	}
 }
 
-// Free tells whether any endpoint of the pool can take a call.
-func (r *Router) Free(name string, now time.Time) bool {
+// HasFree tells whether any endpoint of the pool can take a call.
+func (r *Router) HasFree(name string, now time.Time) bool {
 	p, known := r.pools[name]
 	if !known {
 		return false
@@ -189,9 +189,9 @@
 	return float64(p.calls) / float64(p.usableSlots)
 }
 
-// Patience is the time after which a silent call of a stage, which usually takes expected, counts
+// OverdueAfter is the time after which a silent call of a stage, which usually takes expected, counts
 // against its endpoint; 0 while the pool's usual time is not known.
-func (r *Router) Patience(name string, expected time.Duration) time.Duration {
+func (r *Router) OverdueAfter(name string, expected time.Duration) time.Duration {
 	p, known := r.pools[name]
 	if !known {
 		return 0
--- a/router/prefix.go
+++ b/router/prefix.go
@@ -97,9 +97,9 @@
 	Hash uint64
 }
 
-// CacheEvents takes a page of an endpoint's cache events, which come late and with gaps. Next is the
+// ApplyCacheEvents takes a page of an endpoint's cache events, which come late and with gaps. Next is the
 // number that follows the page.
-func (r *Router) CacheEvents(address string, events []CacheEvent, next int64, _ time.Time) {
+func (r *Router) ApplyCacheEvents(address string, events []CacheEvent, next int64, _ time.Time) {
 	e, known := r.endpoints[address]
 	if !known {
 		return
@@ -151,7 +151,7 @@
 
 // cacheOf gives the endpoint's map, if the bound on maps allows it one.
 func (r *Router) cacheOf(e *endpoint) *cacheMap {
-	if e.cache == nil && r.cacheMaps < r.cfg.CacheMaps {
+	if e.cache == nil && r.cacheMaps < r.cfg.MaxCacheMaps {
 		e.cache = &cacheMap{}
 		r.cacheMaps++
 	}
--- a/router/report.go
+++ b/router/report.go
@@ -15,8 +15,8 @@
 	reportSkew = time.Second
 )
 
-// Report is an endpoint's load as it was at AsOf, as it tells.
-type Report struct {
+// LoadReport is an endpoint's load as it was at AsOf, as it tells.
+type LoadReport struct {
 	AsOf    time.Time
 	Running int
 	Waiting int
@@ -24,12 +24,12 @@
 	Leaving bool
 }
 
-// Report takes an endpoint's own, lagging load report.
+// UpdateLoad takes an endpoint's own, lagging load report.
 //
 // The count itself is old, and entries that all follow it would send to the same endpoint. So it is
 // compared with what this entry knew at that time: what is over are calls that no entry answers for,
 // such as those of an entry that died, and only these are added to what is known now.
-func (r *Router) Report(address string, report Report, now time.Time) {
+func (r *Router) UpdateLoad(address string, report LoadReport, now time.Time) {
 	e, known := r.endpoints[address]
 	if !known {
 		return
@@ -48,14 +48,14 @@
 	r.refresh(e)
 }
 
-// Unreachable takes a refused connection by which an endpoint was to be asked for its load: nothing serves at the
+// MarkUnreachable takes a refused connection by which an endpoint was to be asked for its load: nothing serves at the
 // address. Without it a dead endpoint would be shown as live, and chosen, until a call has failed by it.
-func (r *Router) Unreachable(address string, now time.Time) bool {
+func (r *Router) MarkUnreachable(address string, now time.Time) bool {
 	e, known := r.endpoints[address]
 	if !known {
 		return false
 	}
-	ejected := r.judge(e, End{Result: Unreachable}, now)
+	ejected := r.judge(e, CallEnd{Result: Unreachable}, now)
 	r.refresh(e)
 	return ejected
 }
--- a/router/router.go
+++ b/router/router.go
@@ -14,9 +14,9 @@
 const (
 	defaultSlots      = 8
 	defaultCandidates = 4
-	// DefaultGoneAfter is how long an endpoint that the VM list no longer names is still used
+	// DefaultForgetAfter is how long an endpoint that the VM list no longer names is still used
 	// without a sign of life. The list lags, so a missing name alone proves nothing.
-	DefaultGoneAfter = 10 * time.Second
+	DefaultForgetAfter = 10 * time.Second
 	// defaultReuseWeight is what a whole prompt found in an endpoint's cache is worth, in loads.
 	defaultReuseWeight = 4
 	// defaultCacheMaps bounds the endpoints whose cached prefixes are remembered, 16 KB each.
@@ -25,12 +25,12 @@
 
 // Config sets a Router up. Zero fields take the defaults above.
 type Config struct {
-	Rand        *rand.Rand
-	Candidates  int
-	GoneAfter   time.Duration
-	ReuseWeight float64
-	CacheMaps   int
-	Ejector     ejector.Config
+	Rand         *rand.Rand
+	Candidates   int
+	ForgetAfter  time.Duration
+	ReuseWeight  float64
+	MaxCacheMaps int
+	Ejector      ejector.Config
 }
 
 // Router knows the endpoints of all pools and this system's calls in flight to each.
@@ -55,14 +55,14 @@
 	if cfg.Candidates == 0 {
 		cfg.Candidates = defaultCandidates
 	}
-	if cfg.GoneAfter == 0 {
-		cfg.GoneAfter = DefaultGoneAfter
+	if cfg.ForgetAfter == 0 {
+		cfg.ForgetAfter = DefaultForgetAfter
 	}
 	if cfg.ReuseWeight == 0 {
 		cfg.ReuseWeight = defaultReuseWeight
 	}
-	if cfg.CacheMaps == 0 {
-		cfg.CacheMaps = defaultCacheMaps
+	if cfg.MaxCacheMaps == 0 {
+		cfg.MaxCacheMaps = defaultCacheMaps
 	}
 	return &Router{
 		cfg:       cfg,
@@ -81,9 +81,9 @@
 	Leaving bool
 }
 
-// List takes the platform's list of VMs, which lags. A missing line alone proves nothing: an endpoint
+// UpdateVMs takes the platform's list of VMs, which lags. A missing line alone proves nothing: an endpoint
 // is forgotten when besides it gave no sign of life for GoneAfter.
-func (r *Router) List(vms []VM, now time.Time) {
+func (r *Router) UpdateVMs(vms []VM, now time.Time) {
 	for _, vm := range vms {
 		e, known := r.endpoints[vm.Address]
 		if known && e.pool.name != vm.Pool {
@@ -101,7 +101,7 @@
 	}
 	for _, p := range r.order {
 		for _, e := range slices.Backward(p.all) {
-			if e.gone(now, r.cfg.GoneAfter) {
+			if e.gone(now, r.cfg.ForgetAfter) {
 				r.forget(e)
 			}
 		}
--- a/router/router_test.go
+++ b/router/router_test.go
@@ -18,7 +18,7 @@
 func newRouter(vms ...router.VM) *router.Router {
 	r := router.New(router.Config{Rand: rand.New(rand.NewPCG(1, 2))})
 	r.SetPool("engines", slots, true)
-	r.List(vms, start)
+	r.UpdateVMs(vms, start)
 	return r
 }
 
@@ -33,29 +33,29 @@
 // to the address would keep the new VM idle for ever.
 func TestLeaving(t *testing.T) {
 	peerSays := func(r *router.Router, leaving bool, now time.Time) {
-		r.PeerLoads("peer", []carrier.EndpointLoad{{Address: target, Leaving: leaving}}, now)
+		r.UpdatePeerLoads("peer", []carrier.EndpointLoad{{Address: target, Leaving: leaving}}, now)
 	}
 	tests := []struct {
 		testName string
 		steps    func(r *router.Router)
 		free     bool
 	}{
-		{"list says so", func(r *router.Router) { r.List([]router.VM{listed(true)}, at(1)) }, false},
+		{"list says so", func(r *router.Router) { r.UpdateVMs([]router.VM{listed(true)}, at(1)) }, false},
 		{"list calls it live again", func(r *router.Router) {
-			r.List([]router.VM{listed(true)}, at(1))
-			r.List([]router.VM{listed(false)}, at(2))
+			r.UpdateVMs([]router.VM{listed(true)}, at(1))
+			r.UpdateVMs([]router.VM{listed(false)}, at(2))
 		}, true},
 		{"own refusal, the list lags", func(r *router.Router) {
-			r.Ended(target, router.End{Result: router.RefusedLeaving}, at(1))
-			r.List([]router.VM{listed(false)}, at(2))
+			r.CallEnded(target, router.CallEnd{Result: router.RefusedLeaving}, at(1))
+			r.UpdateVMs([]router.VM{listed(false)}, at(2))
 		}, false},
 		{"own refusal, then an older report", func(r *router.Router) {
-			r.Ended(target, router.End{Result: router.RefusedLeaving}, at(time.Second))
-			r.Report(target, router.Report{AsOf: at(0)}, at(3*time.Second))
+			r.CallEnded(target, router.CallEnd{Result: router.RefusedLeaving}, at(time.Second))
+			r.UpdateLoad(target, router.LoadReport{AsOf: at(0)}, at(3*time.Second))
 		}, false},
 		{"own refusal, then a later report of a new VM", func(r *router.Router) {
-			r.Ended(target, router.End{Result: router.RefusedLeaving}, at(time.Second))
-			r.Report(target, router.Report{AsOf: at(3 * time.Second)}, at(4*time.Second))
+			r.CallEnded(target, router.CallEnd{Result: router.RefusedLeaving}, at(time.Second))
+			r.UpdateLoad(target, router.LoadReport{AsOf: at(3 * time.Second)}, at(4*time.Second))
 		}, true},
 		{"a peer's word", func(r *router.Router) { peerSays(r, true, at(1)) }, false},
 		{"a peer's word is taken back", func(r *router.Router) {
@@ -64,32 +64,32 @@
 		}, true},
 		{"a peer dies with its word", func(r *router.Router) {
 			peerSays(r, true, at(1))
-			r.PeerGone("peer")
+			r.RemovePeer("peer")
 		}, true},
 	}
 	for _, tt := range tests {
 		t.Run(tt.testName, func(t *testing.T) {
 			r := newRouter(listed(false))
 			tt.steps(r)
-			require.Equal(t, tt.free, r.Free("engines", at(5*time.Second)))
+			require.Equal(t, tt.free, r.HasFree("engines", at(5*time.Second)))
 		})
 	}
 	t.Run("a peer's word is not told on", func(t *testing.T) {
 		r := newRouter(listed(false))
 		peerSays(r, true, at(1))
-		require.Empty(t, r.Loads(at(2)))
+		require.Empty(t, r.LocalLoads(at(2)))
 	})
 }
 
 // The list of VMs lags and may lack one that lives. It is forgotten only when it gives no sign itself.
 func TestForgetsOnEvidence(t *testing.T) {
 	r := newRouter(listed(false))
-	r.Report(target, router.Report{AsOf: at(8 * time.Second)}, at(8*time.Second))
-	r.List(nil, at(12*time.Second))
+	r.UpdateLoad(target, router.LoadReport{AsOf: at(8 * time.Second)}, at(8*time.Second))
+	r.UpdateVMs(nil, at(12*time.Second))
 	require.Len(t, r.Endpoints(start), 1)
-	r.List(nil, at(19*time.Second))
+	r.UpdateVMs(nil, at(19*time.Second))
 	require.Empty(t, r.Endpoints(start))
-	require.False(t, r.Free("engines", at(19*time.Second)))
+	require.False(t, r.HasFree("engines", at(19*time.Second)))
 	require.Zero(t, r.Capacity("engines", 1, start))
 }
 
@@ -98,17 +98,17 @@
 func TestRefusedQuestionEjects(t *testing.T) {
 	other := router.VM{Address: "10.0.0.2:80", Pool: "engines"}
 	r := newRouter(listed(false), other)
-	require.True(t, r.Unreachable(target, at(time.Second)))
-	require.False(t, r.Unreachable(target, at(2*time.Second)), "told once")
+	require.True(t, r.MarkUnreachable(target, at(time.Second)))
+	require.False(t, r.MarkUnreachable(target, at(2*time.Second)), "told once")
 	require.Equal(t, "ejected", r.Endpoints(at(2 * time.Second))[0].State)
 	for range 20 {
-		address, found := r.Choose(router.Ask{Pool: "engines", NoProbe: true}, at(2*time.Second))
+		address, found := r.Choose(router.Query{Pool: "engines", NoProbe: true}, at(2*time.Second))
 		require.True(t, found)
 		require.Equal(t, other.Address, address)
 	}
-	r.Report(target, router.Report{AsOf: at(3 * time.Second)}, at(3*time.Second))
+	r.UpdateLoad(target, router.LoadReport{AsOf: at(3 * time.Second)}, at(3*time.Second))
 	require.Equal(t, "probing", r.Endpoints(at(3 * time.Second))[0].State)
-	address, found := r.Choose(router.Ask{Pool: "engines"}, at(3*time.Second))
+	address, found := r.Choose(router.Query{Pool: "engines"}, at(3*time.Second))
 	require.True(t, found)
 	require.Equal(t, target, address)
 }
@@ -131,7 +131,7 @@
 		}
 		counts := map[string]int{}
 		for range 200 {
-			chosen, found := r.Choose(router.Ask{Pool: "engines", Prefix: router.PrefixOf(prompt)}, start)
+			chosen, found := r.Choose(router.Query{Pool: "engines", Prefix: router.PrefixOf(prompt)}, start)
 			require.True(t, found)
 			counts[chosen]++
 		}
@@ -140,14 +140,14 @@
 	holder := address(3)
 	whole := share(func(r *router.Router, a string) {
 		if a == holder {
-			r.CacheEvents(a, stored(0), 1, start)
+			r.ApplyCacheEvents(a, stored(0), 1, start)
 		}
 	})
 	none := share(func(*router.Router, string) {})
 	gap := share(func(r *router.Router, a string) {
 		if a == holder {
-			r.CacheEvents(a, stored(0), 1, start)
-			r.CacheEvents(a, nil, 5, start)
+			r.ApplyCacheEvents(a, stored(0), 1, start)
+			r.ApplyCacheEvents(a, nil, 5, start)
 		}
 	})
 	require.Greater(t, whole[holder], none[holder]+30)
@@ -165,25 +165,25 @@
 		vms = append(vms, vm)
 		addresses = append(addresses, vm.Address)
 	}
-	r.List(vms, start)
+	r.UpdateVMs(vms, start)
 	return r, addresses
 }
 
 // decide is one call's decisions: where, that it began and that it ended.
-func decide(r *router.Router, ask *router.Ask, now time.Time) {
+func decide(r *router.Router, ask *router.Query, now time.Time) {
 	chosen, found := r.Choose(*ask, now)
 	if !found {
 		return
 	}
-	r.Started(chosen, &ask.Prefix, now)
-	r.Ended(chosen, router.End{Result: router.Succeeded, Took: time.Second, Expected: time.Second}, now)
+	r.CallStarted(chosen, &ask.Prefix, now)
+	r.CallEnded(chosen, router.CallEnd{Result: router.Succeeded, Duration: time.Second, Expected: time.Second}, now)
 }
 
 // The decisions of a call allocate nothing, at any size.
 func TestDecisionsDoNotAllocate(t *testing.T) {
 	for _, n := range []int{50, 10000} {
 		r, addresses := benchmarkRouter(n)
-		ask := &router.Ask{Pool: "engines", Prefix: router.PrefixOf(fmt.Sprintf("%03000d", 1))}
+		ask := &router.Query{Pool: "engines", Prefix: router.PrefixOf(fmt.Sprintf("%03000d", 1))}
 		now := start
 		var loads []carrier.EndpointLoad
 		for i := range 50 {
@@ -192,8 +192,8 @@
 		step := func() {
 			now = now.Add(time.Millisecond)
 			decide(r, ask, now)
-			r.PeerLoads("peer", loads, now)
-			r.Report(addresses[0], router.Report{AsOf: now, Running: 2, Slots: slots}, now)
+			r.UpdatePeerLoads("peer", loads, now)
+			r.UpdateLoad(addresses[0], router.LoadReport{AsOf: now, Running: 2, Slots: slots}, now)
 		}
 		for range 1000 {
 			step()
@@ -206,7 +206,7 @@
 	for _, n := range []int{50, 10000} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
 			r, _ := benchmarkRouter(n)
-			ask := &router.Ask{Pool: "engines", Prefix: router.PrefixOf(fmt.Sprintf("%03000d", 1))}
+			ask := &router.Query{Pool: "engines", Prefix: router.PrefixOf(fmt.Sprintf("%03000d", 1))}
 			now := start
 			b.ReportAllocs()
 			for b.Loop() {
@@ -225,9 +225,9 @@
 			now := start
 			for _, a := range addresses[:n/3] {
 				now = now.Add(time.Millisecond)
-				r.Ended(a, router.End{Result: router.Unreachable}, now)
+				r.CallEnded(a, router.CallEnd{Result: router.Unreachable}, now)
 			}
-			ask := &router.Ask{Pool: "engines", Prefix: router.PrefixOf(fmt.Sprintf("%03000d", 1)), NoProbe: true}
+			ask := &router.Query{Pool: "engines", Prefix: router.PrefixOf(fmt.Sprintf("%03000d", 1)), NoProbe: true}
 			b.ReportAllocs()
 			for b.Loop() {
 				now = now.Add(100 * time.Microsecond)
@@ -241,7 +241,7 @@
 	for _, n := range []int{50, 10000} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
 			r, _ := benchmarkRouter(n)
-			ask := router.Ask{Pool: "engines", Prefix: router.PrefixOf(fmt.Sprintf("%03000d", 1))}
+			ask := router.Query{Pool: "engines", Prefix: router.PrefixOf(fmt.Sprintf("%03000d", 1))}
 			b.ReportAllocs()
 			for b.Loop() {
 				_, _ = r.Choose(ask, start)
@@ -271,7 +271,7 @@
 			b.ReportAllocs()
 			for b.Loop() {
 				now = now.Add(time.Millisecond)
-				r.PeerLoads("peer", loads, now)
+				r.UpdatePeerLoads("peer", loads, now)
 			}
 		})
 	}
--- a/scheduler/ahead.go
+++ b/scheduler/ahead.go
@@ -8,21 +8,21 @@
 	countedFlows = 32
 )
 
-// Ahead is the work that a pool serves before a new item, in endpoint milliseconds.
-type Ahead struct {
-	// Present counts the accounts that have work waiting or announced.
-	Present float64
-	// Worst counts the weights that are usually there, as if all took up their shares now.
-	Worst float64
+// WorkAhead is the work that a pool serves before a new item, in endpoint milliseconds.
+type WorkAhead struct {
+	// Current counts the accounts that have work waiting or announced.
+	Current float64
+	// WorstCase counts the weights that are usually there, as if all took up their shares now.
+	WorstCase float64
 }
 
-// Ahead estimates what the pool serves before a new item: the account's own work in the
+// WorkAhead estimates what the pool serves before a new item: the account's own work in the
 // class, waiting or announced, what others may be served meanwhile by their weights, and
 // all more urgent work.
-func (s *Scheduler) Ahead(poolName string, item Item) Ahead {
+func (s *Scheduler) WorkAhead(poolName string, item Item) WorkAhead {
 	p, ok := s.pools[poolName]
 	if !ok {
-		return Ahead{}
+		return WorkAhead{}
 	}
 	urgency := min(item.Urgency, Relaxed)
 	urgent := 0.0
@@ -35,7 +35,7 @@
 		own = a.flows[urgency]
 	}
 	ahead := p.classes[urgency].ahead(own, max(item.Weight, minimumWeight))
-	return Ahead{Present: max(urgent, 0) + ahead.Present/part, Worst: max(urgent, 0) + ahead.Worst/part}
+	return WorkAhead{Current: max(urgent, 0) + ahead.Current/part, WorstCase: max(urgent, 0) + ahead.WorstCase/part}
 }
 
 // part is the part of the pool's work that the class may count on: what more urgent classes
@@ -73,13 +73,13 @@
 }
 
 // ahead is the work within the class before a new item of the flow, which may be nil.
-func (c *class) ahead(own *flow, weight float64) Ahead {
+func (c *class) ahead(own *flow, weight float64) WorkAhead {
 	starts := c.earliest()
 	if own != nil {
 		starts = max(own.tag, starts) + (own.cost+own.announced)/weight
 	}
 	present := c.served(starts)
-	return Ahead{Present: present, Worst: max(present, (starts-c.now)*max(c.weight, c.usual))}
+	return WorkAhead{Current: present, WorstCase: max(present, (starts-c.now)*max(c.weight, c.usual))}
 }
 
 // served is the work that the class serves until its virtual time has come to starts.
--- a/scheduler/bench_test.go
+++ b/scheduler/bench_test.go
@@ -53,7 +53,7 @@
 	account := int(c.id) % len(c.names)
 	item := c.item(account)
 	c.s.Announce(benchPool, item)
-	c.s.Ahead(benchPool, item)
+	c.s.WorkAhead(benchPool, item)
 	c.s.Withdraw(benchPool, item)
 	c.push(account)
 	popped, ok := c.s.Pop(benchPool, c.now)
--- a/scheduler/drain.go
+++ b/scheduler/drain.go
@@ -46,9 +46,9 @@
 	return math.Exp(-max(0, float64(elapsed)) / float64(drainTime))
 }
 
-// Drain is the work in endpoint milliseconds that the pool was found to take in a
+// DrainRate is the work in endpoint milliseconds that the pool was found to take in a
 // millisecond while items waited for it; 0 when that was not so lately.
-func (s *Scheduler) Drain(poolName string, now time.Time) float64 {
+func (s *Scheduler) DrainRate(poolName string, now time.Time) float64 {
 	p, ok := s.pools[poolName]
 	if !ok {
 		return 0
--- a/scheduler/scheduler.go
+++ b/scheduler/scheduler.go
@@ -153,9 +153,9 @@
 // AccountBacklog is the number of the account's items that wait in all pools.
 func (s *Scheduler) AccountBacklog(account string) int { return s.backlogs[account] }
 
-// Accounts is how many accounts the pool remembers: those with items waiting or announced, and
+// AccountCount is how many accounts the pool remembers: those with items waiting or announced, and
 // those that were served too lately to be forgotten.
-func (s *Scheduler) Accounts(poolName string) int {
+func (s *Scheduler) AccountCount(poolName string) int {
 	p, ok := s.pools[poolName]
 	if !ok {
 		return 0
--- a/scheduler/scheduler_test.go
+++ b/scheduler/scheduler_test.go
@@ -99,7 +99,7 @@
 		queue.Pop(benchPool, now)
 		queue.Pop(benchPool, now)
 	}
-	require.Less(t, queue.Accounts(benchPool), 100)
+	require.Less(t, queue.AccountCount(benchPool), 100)
 }
 
 // TestEveryItemLeavesOnce drives the queue by any sequence of calls beside a plain model.
@@ -172,9 +172,9 @@
 				for _, account := range []string{"a", "b", "c", "d"} {
 					require.Equal(t, byAccount[account], queue.AccountBacklog(account))
 				}
-				ahead := queue.Ahead(benchPool, scheduler.Item{Account: "a", Weight: 1, Urgency: scheduler.Normal})
-				require.GreaterOrEqual(t, ahead.Present, 0.0)
-				require.GreaterOrEqual(t, ahead.Worst, ahead.Present)
+				ahead := queue.WorkAhead(benchPool, scheduler.Item{Account: "a", Weight: 1, Urgency: scheduler.Normal})
+				require.GreaterOrEqual(t, ahead.Current, 0.0)
+				require.GreaterOrEqual(t, ahead.WorstCase, ahead.Current)
 			},
 		})
 	})
