--- a/assembler/forwarding.go
+++ b/assembler/forwarding.go
@@ -59,7 +59,7 @@
 	Settings platform.Settings
 	Log      *zap.Logger
 	// Off are the mechanisms of policy that are switched off.
-	Off switcher.Off
+	Off switcher.Disabled
 	// MetricsPort serves the metrics on the VM's address; 0 serves none.
 	MetricsPort int
 }
--- a/cmd/experiment/main.go
+++ b/cmd/experiment/main.go
@@ -42,7 +42,7 @@
 		faults    *loader.FaultsError
 		reference *experimenter.ReferenceError
 		scenario  *experimenter.NoScenarioError
-		mechanism *switcher.UnknownError
+		mechanism *switcher.UnknownMechanismError
 	)
 	if errors.As(err, &usage) || errors.As(err, &faults) || errors.As(err, &reference) ||
 		errors.As(err, &scenario) || errors.As(err, &mechanism) {
--- a/cmd/experiment/tool.go
+++ b/cmd/experiment/tool.go
@@ -73,7 +73,7 @@
 }
 
 // series plays a scenario and tells how far it is.
-func (t *tool) series(s experimenter.Scenario, n int, off switcher.Off) []*experimenter.Result {
+func (t *tool) series(s experimenter.Scenario, n int, off switcher.Disabled) []*experimenter.Result {
 	var done atomic.Int64
 	results := experimenter.Series(s, n, off, func() {
 		t.tell("\r%s %s %d of %d ", s.Name, strings.Join(off.Names(), ","), done.Add(1), n)
@@ -90,7 +90,7 @@
 	if err != nil {
 		return err
 	}
-	off, err := switcher.Without(cmd.StringSlice("without")...)
+	off, err := switcher.Disable(cmd.StringSlice("without")...)
 	if err != nil {
 		return err
 	}
@@ -148,7 +148,7 @@
 	whole := make([][]*experimenter.Result, len(scenarios))
 	head := "| without |"
 	for i, s := range scenarios {
-		whole[i] = t.series(s, n, switcher.Off{})
+		whole[i] = t.series(s, n, switcher.Disabled{})
 		head += " " + s.Name + " |"
 	}
 	if err := t.print("%s\n|---|%s\n", head, strings.Repeat("---|", len(scenarios))); err != nil {
@@ -167,7 +167,7 @@
 
 // ablateOne writes the row of one mechanism.
 func (t *tool) ablateOne(m switcher.Mechanism, scenarios []experimenter.Scenario, whole [][]*experimenter.Result, n int) error {
-	off, err := switcher.Without(string(m))
+	off, err := switcher.Disable(string(m))
 	if err != nil {
 		return err
 	}
--- a/collector/collector.go
+++ b/collector/collector.go
@@ -73,7 +73,7 @@
 	// Gate bounds the calls to endpoints that ask for few; nil sends to them as to any other.
 	Gate Gate
 	// Off are the mechanisms that are switched off.
-	Off switcher.Off
+	Off switcher.Disabled
 }
 
 // Pool is the state of one stage service.
@@ -199,7 +199,7 @@
 	list := make([]*endpoint, 0, len(all))
 	for _, e := range all {
 		// One that has started again is another endpoint: the space and the calls of its earlier start are gone.
-		if old, ok := known[e.ID]; ok && old.SameStart(&e) {
+		if old, ok := known[e.ID]; ok && old.SameIncarnation(&e) {
 			old.Endpoint = e
 			list = append(list, old)
 			delete(known, e.ID)
--- a/detector/detector.go
+++ b/detector/detector.go
@@ -35,18 +35,18 @@
 	DeadAfter time.Duration
 	// ForgetAfter is the silence after which a member is dropped from memory.
 	ForgetAfter time.Duration
-	// ProbeEvery is how often dead members, hints and seeds are tried. Zero means SuspectAfter.
-	ProbeEvery time.Duration
-	// FullMesh is up to how many entries each sends its heartbeats to all others. Beyond it they spread by gossip. What
+	// ProbeInterval is how often dead members, hints and seeds are tried. Zero means SuspectAfter.
+	ProbeInterval time.Duration
+	// MaxFullMesh is up to how many entries each sends its heartbeats to all others. Beyond it they spread by gossip. What
 	// else a heartbeat carries then reaches only its targets, and must be told on by them. Zero means always.
-	FullMesh int
-	// SpreadSuspectAfter and SpreadDeadAfter stand for SuspectAfter and DeadAfter beyond FullMesh, where they are longer:
+	MaxFullMesh int
+	// GossipSuspectAfter and SpreadDeadAfter stand for SuspectAfter and DeadAfter beyond FullMesh, where they are longer:
 	// news of a step take some rounds of heartbeats.
-	SpreadSuspectAfter time.Duration
-	SpreadDeadAfter    time.Duration
-	// HeartbeatEvery is the time between heartbeats, by which entries agree on the number of a round beyond FullMesh.
+	GossipSuspectAfter time.Duration
+	GossipDeadAfter    time.Duration
+	// HeartbeatInterval is the time between heartbeats, by which entries agree on the number of a round beyond FullMesh.
 	// Zero: each counts its own.
-	HeartbeatEvery time.Duration
+	HeartbeatInterval time.Duration
 	// Fanout is how many entries of the own availability zone get each heartbeat beyond FullMesh. Zero means 4.
 	Fanout int
 }
@@ -81,8 +81,8 @@
 
 // New makes a Detector that knows only of itself.
 func New(cfg Config) *Detector {
-	if cfg.ProbeEvery <= 0 {
-		cfg.ProbeEvery = cfg.SuspectAfter
+	if cfg.ProbeInterval <= 0 {
+		cfg.ProbeInterval = cfg.SuspectAfter
 	}
 	if cfg.Fanout <= 0 {
 		cfg.Fanout = defaultFanout
--- a/detector/evidence.go
+++ b/detector/evidence.go
@@ -36,7 +36,7 @@
 	if gap < d.suspectAfter() {
 		return nil
 	}
-	return []Transition{{Member: d.self, From: d.self.State, To: d.self.State, Away: gap}}
+	return []Transition{{Member: d.self, From: d.self.State, To: d.self.State, Paused: gap}}
 }
 
 // hearDirect takes what the sender of a heartbeat says of itself.
@@ -58,7 +58,7 @@
 		return out
 	}
 	out = d.hear(w, now, now, out)
-	d.members[w.Name].member.DirectHeard = now
+	d.members[w.Name].member.LastDirectHeartbeat = now
 	return out
 }
 
@@ -104,7 +104,7 @@
 func (d *Detector) renew(r *record, incarnation uint64) {
 	d.index.remove(r)
 	r.member.Incarnation = incarnation
-	r.member.DirectHeard = time.Time{}
+	r.member.LastDirectHeartbeat = time.Time{}
 	r.id = pulseID(r.member.Name, incarnation)
 	r.introductions = introductions
 	d.index.put(r)
@@ -130,11 +130,11 @@
 		return out
 	}
 	r.member.State = to
-	return append(out, Transition{Member: r.member, From: from, To: to, Refused: to == Dead && d.refused(r, now)})
+	return append(out, Transition{Member: r.member, From: from, To: to, ConnectionRefused: to == Dead && d.refused(r, now)})
 }
 
-// Refuse notes that the network says that no process listens at a peer address.
-func (d *Detector) Refuse(peerAddress string, now time.Time) []Transition {
+// ConnectionRefused notes that the network says that no process listens at a peer address.
+func (d *Detector) ConnectionRefused(peerAddress string, now time.Time) []Transition {
 	var out []Transition
 	for _, r := range d.order {
 		if r.member.PeerAddress != peerAddress {
--- a/detector/fleet_test.go
+++ b/detector/fleet_test.go
@@ -17,10 +17,10 @@
 func fleet(n int) *mesh {
 	cfg := testConfig()
 	cfg.SuspectAfter, cfg.DeadAfter = 700*time.Millisecond, 2*time.Second
-	cfg.SpreadSuspectAfter, cfg.SpreadDeadAfter = fleetSuspect, fleetDead
-	cfg.ProbeEvery = 2 * fleetBeat
-	cfg.HeartbeatEvery = fleetBeat
-	cfg.FullMesh = 64
+	cfg.GossipSuspectAfter, cfg.GossipDeadAfter = fleetSuspect, fleetDead
+	cfg.ProbeInterval = 2 * fleetBeat
+	cfg.HeartbeatInterval = fleetBeat
+	cfg.MaxFullMesh = 64
 	m := newMesh(n, 11, cfg)
 	m.every, m.each = fleetBeat, 30*time.Millisecond
 	for _, x := range m.nodes {
--- a/detector/gossip.go
+++ b/detector/gossip.go
@@ -23,11 +23,11 @@
 
 // fullMesh tells whether each heartbeat goes to all members.
 func (d *Detector) fullMesh() bool {
-	return d.cfg.FullMesh == 0 || len(d.order) < d.cfg.FullMesh
+	return d.cfg.MaxFullMesh == 0 || len(d.order) < d.cfg.MaxFullMesh
 }
 
-// Spreads tells whether there are so many members that news of them spread by gossip, and heartbeats go to few.
-func (d *Detector) Spreads() bool { return !d.fullMesh() }
+// UsesGossip tells whether there are so many members that news of them spread by gossip, and heartbeats go to few.
+func (d *Detector) UsesGossip() bool { return !d.fullMesh() }
 
 // suspectAfter and deadAfter are the silences that doubt and end a member. Beyond the full mesh news of a step take some
 // rounds, more where frames are lost (TestALargeFleetDoubtsNobody). Judged by the times of a full mesh while news are older,
@@ -36,14 +36,14 @@
 	if d.fullMesh() {
 		return d.cfg.SuspectAfter
 	}
-	return max(d.cfg.SuspectAfter, d.cfg.SpreadSuspectAfter)
+	return max(d.cfg.SuspectAfter, d.cfg.GossipSuspectAfter)
 }
 
 func (d *Detector) deadAfter() time.Duration {
 	if d.fullMesh() {
 		return d.cfg.DeadAfter
 	}
-	return max(d.cfg.DeadAfter, d.cfg.SpreadDeadAfter)
+	return max(d.cfg.DeadAfter, d.cfg.GossipDeadAfter)
 }
 
 // told tells whether a heartbeat names the member. Beyond the full mesh each entry tells of its own availability zone, which
@@ -53,7 +53,7 @@
 	if r.member.State == Dead {
 		return false
 	}
-	return d.fullMesh() || r.member.Zone == d.self.Zone || now.Sub(r.member.DirectHeard) < d.suspectAfter()/directPart
+	return d.fullMesh() || r.member.Zone == d.self.Zone || now.Sub(r.member.LastDirectHeartbeat) < d.suspectAfter()/directPart
 }
 
 // gossip gives the members that get the next heartbeat in a system too large for a full mesh: a few of the own
@@ -80,10 +80,10 @@
 // roundAt numbers the rounds of heartbeats by the time of day, so that entries whose clocks agree tell different members
 // in the same round, and each member is told by as many as tell it in any other. Where clocks differ some rounds are thin.
 func (d *Detector) roundAt(now time.Time) uint64 {
-	if d.cfg.HeartbeatEvery <= 0 {
+	if d.cfg.HeartbeatInterval <= 0 {
 		return d.round + d.phase
 	}
-	return uint64(now.UnixNano()) / uint64(d.cfg.HeartbeatEvery)
+	return uint64(now.UnixNano()) / uint64(d.cfg.HeartbeatInterval)
 }
 
 // neighbours gives Fanout members of the own zone: those at distances in the order of names that are drawn for the
--- a/detector/gossip_test.go
+++ b/detector/gossip_test.go
@@ -13,8 +13,8 @@
 func region(n int) *mesh {
 	cfg := testConfig()
 	cfg.SuspectAfter, cfg.DeadAfter, cfg.ForgetAfter = 15*time.Second, 30*time.Second, 10*time.Minute
-	cfg.FullMesh = 32
-	cfg.HeartbeatEvery = time.Second
+	cfg.MaxFullMesh = 32
+	cfg.HeartbeatInterval = time.Second
 	m := newMesh(n, 7, cfg)
 	m.every, m.each = time.Second, 50*time.Millisecond
 	for _, x := range m.nodes {
--- a/detector/member.go
+++ b/detector/member.go
@@ -21,8 +21,8 @@
 	Capacity int32
 	// LastHeard is when the newest step of the member's loop is believed to have been heard, here or by a peer.
 	LastHeard time.Time
-	// DirectHeard is when its newest heartbeat arrived here; zero if none did.
-	DirectHeard time.Time
+	// LastDirectHeartbeat is when its newest heartbeat arrived here; zero if none did.
+	LastDirectHeartbeat time.Time
 	// Sequence is the newest step of the member's loop that this entry knows of.
 	Sequence uint64
 	// Leaving is set while the VM list says that the member's VM is leaving. It is a hint.
@@ -34,18 +34,18 @@
 	Member Member
 	From   State
 	To     State
-	// Away is how long this entry's own loop stood still. It is set only on the transition that reports
+	// Paused is how long this entry's own loop stood still. It is set only on the transition that reports
 	// the pause, whose Member is this entry itself.
-	Away time.Duration
-	// Refused tells that a member is taken for dead since its address refuses connections: its process has ended,
+	Paused time.Duration
+	// ConnectionRefused tells that a member is taken for dead since its address refuses connections: its process has ended,
 	// and it can't be on the far side of a cut.
-	Refused bool
+	ConnectionRefused bool
 }
 
-// Woke tells that this entry was paused for so long that its peers may have taken it for dead.
+// Resumed tells that this entry was paused for so long that its peers may have taken it for dead.
 // What it held by time alone (leases, cached answers) must be checked again before use.
-func (t Transition) Woke() bool {
-	return t.Away > 0
+func (t Transition) Resumed() bool {
+	return t.Paused > 0
 }
 
 // record is the detector's own state of one other member.
--- a/detector/membership_test.go
+++ b/detector/membership_test.go
@@ -34,7 +34,7 @@
 			require.Zero(t, m.count(Suspect, from))
 			require.True(t, m.agreed())
 			member, _ := m.nodes[1].d.Member(name(0))
-			require.Greater(t, m.now.Sub(member.DirectHeard), 50*time.Second)
+			require.Greater(t, m.now.Sub(member.LastDirectHeartbeat), 50*time.Second)
 		}},
 		// Between a kill and its notice callers may be given a dead address; then all peers agree on its death.
 		{"kill", func(t *testing.T, m *mesh) {
@@ -109,7 +109,7 @@
 		{"VM list names a gone VM and lacks a live one", func(t *testing.T, m *mesh) {
 			from := m.elapsed()
 			m.kill(5)
-			m.run(10*time.Second, func() { m.nodes[0].d.Hint(address(5), zone(5), false, m.now) })
+			m.run(10*time.Second, func() { m.nodes[0].d.AddHint(address(5), zone(5), false, m.now) })
 			require.Equal(t, Dead, m.state(0, 5))
 			require.Equal(t, Live, m.state(0, 6))
 			require.Equal(t, 6, m.count(Dead, from))
@@ -124,7 +124,7 @@
 			m.boot(6, 2)
 			m.run(2 * time.Second)
 			require.Equal(t, Unknown, m.state(2, 6))
-			m.nodes[2].d.Hint(address(6), zone(6), false, m.now)
+			m.nodes[2].d.AddHint(address(6), zone(6), false, m.now)
 			m.run(2 * time.Second)
 			require.True(t, m.agreed())
 		}},
@@ -196,7 +196,7 @@
 func (m *mesh) woke(after, least time.Duration) []int {
 	var out []int
 	for _, s := range m.seen {
-		if s.at > after && s.Woke() && s.Away >= least && s.Member.Name == name(s.observer) {
+		if s.at > after && s.Resumed() && s.Paused >= least && s.Member.Name == name(s.observer) {
 			out = append(out, s.observer)
 		}
 	}
@@ -206,8 +206,8 @@
 func TestVMListMarksLeavingMembers(t *testing.T) {
 	m := settled(t, 1)
 	d := m.nodes[0].d
-	d.Hint(address(3), zone(3), true, m.now)
-	d.Hint(address(0), zone(0), true, m.now)
+	d.AddHint(address(3), zone(3), true, m.now)
+	d.AddHint(address(0), zone(0), true, m.now)
 	member, _ := d.Member(name(3))
 	require.True(t, member.Leaving)
 	require.Equal(t, Live, member.State)
--- a/detector/refusal_test.go
+++ b/detector/refusal_test.go
@@ -25,7 +25,7 @@
 	type steps map[time.Duration]func(d *Detector, now time.Time)
 	const early, late, end, tick = 100 * time.Millisecond, 300 * time.Millisecond, 600 * time.Millisecond, 50 * time.Millisecond
 	refuse := func(address string) func(*Detector, time.Time) {
-		return func(d *Detector, now time.Time) { d.Refuse(address, now) }
+		return func(d *Detector, now time.Time) { d.ConnectionRefused(address, now) }
 	}
 	hear := func(hb *carrier.Heartbeat) func(*Detector, time.Time) {
 		return func(d *Detector, now time.Time) { d.Receive(hb, now) }
@@ -52,7 +52,7 @@
 					step(d, start.Add(t))
 				}
 				for _, transition := range d.Tick(start.Add(t)) {
-					refused = refused || transition.Member.Name == "b" && transition.Refused
+					refused = refused || transition.Member.Name == "b" && transition.ConnectionRefused
 				}
 			}
 			member, _ := d.Member("b")
--- a/detector/target.go
+++ b/detector/target.go
@@ -15,9 +15,9 @@
 	probedAt time.Time
 }
 
-// Hint takes a line of the VM list. The list lags, so it never makes a member live or dead:
+// AddHint takes a line of the VM list. The list lags, so it never makes a member live or dead:
 // it only names an address to send heartbeats to, and marks a member whose VM is leaving.
-func (d *Detector) Hint(peerAddress, zone string, leaving bool, now time.Time) {
+func (d *Detector) AddHint(peerAddress, zone string, leaving bool, now time.Time) {
 	h, ok := d.hints[peerAddress]
 	if !ok {
 		h = &hint{}
@@ -107,7 +107,7 @@
 func (d *Detector) deadProbes(now time.Time) []probe {
 	var due []probe
 	for _, r := range d.order {
-		if r.member.State == Dead && now.Sub(r.probedAt) >= d.cfg.ProbeEvery {
+		if r.member.State == Dead && now.Sub(r.probedAt) >= d.cfg.ProbeInterval {
 			due = append(due, probe{address: r.member.PeerAddress, probedAt: &r.probedAt})
 		}
 	}
@@ -118,7 +118,7 @@
 func (d *Detector) hintProbes(now time.Time) []probe {
 	var due []probe
 	for address, h := range d.hints {
-		if now.Sub(h.probedAt) >= d.cfg.ProbeEvery {
+		if now.Sub(h.probedAt) >= d.cfg.ProbeInterval {
 			due = append(due, probe{address: address, probedAt: &h.probedAt})
 		}
 	}
--- a/drainer/drainer.go
+++ b/drainer/drainer.go
@@ -45,8 +45,8 @@
 	// Grace is added to AddressTTL: peers give this entry's address out until they hear of the stop (up to the
 	// detector's SuspectAfter if this entry's heartbeats don't reach them), and a caller's last request takes time.
 	Grace time.Duration
-	// HandoverLimit is how long results may wait for a peer that takes them. Zero waits without limit.
-	HandoverLimit time.Duration
+	// HandoverTimeout is how long results may wait for a peer that takes them. Zero waits without limit.
+	HandoverTimeout time.Duration
 }
 
 // Drainer holds how far a planned stop has come.
@@ -105,8 +105,8 @@
 	}
 }
 
-// Left gives how long new requests are still taken; zero once they aren't, and while serving.
-func (d *Drainer) Left(now time.Time) time.Duration {
+// AcceptTimeLeft gives how long new requests are still taken; zero once they aren't, and while serving.
+func (d *Drainer) AcceptTimeLeft(now time.Time) time.Duration {
 	if d.phase != Withdrawing {
 		return 0
 	}
@@ -118,5 +118,5 @@
 }
 
 func (d *Drainer) handoverExpired(now time.Time) bool {
-	return d.cfg.HandoverLimit > 0 && now.Sub(d.drainedAt) >= d.cfg.HandoverLimit
+	return d.cfg.HandoverTimeout > 0 && now.Sub(d.drainedAt) >= d.cfg.HandoverTimeout
 }
--- a/drainer/drainer_test.go
+++ b/drainer/drainer_test.go
@@ -47,7 +47,7 @@
 			{at: 33 * time.Second, inFlight: 1, want: HandingOver},
 			{at: 34 * time.Second, want: Done},
 		}},
-		// No peer takes the results, as when all are dead. The entry waits for HandoverLimit and then exits.
+		// No peer takes the results, as when all are dead. The entry waits for HandoverTimeout and then exits.
 		{"nobody takes the results", []step{
 			{at: 0, begin: true, want: Withdrawing, accepts: true, left: 32 * time.Second},
 			{at: 40 * time.Second, unhanded: 2, want: HandingOver},
@@ -57,7 +57,7 @@
 	}
 	for _, s := range scenarios {
 		t.Run(s.testName, func(t *testing.T) {
-			d := New(Config{AddressTTL: 30 * time.Second, Grace: 2 * time.Second, HandoverLimit: 10 * time.Second})
+			d := New(Config{AddressTTL: 30 * time.Second, Grace: 2 * time.Second, HandoverTimeout: 10 * time.Second})
 			for _, x := range s.steps {
 				now := start.Add(x.at)
 				if x.begin {
@@ -66,7 +66,7 @@
 				require.Equal(t, x.want, d.Step(x.inFlight, x.unhanded, now), "at %v", x.at)
 				require.Equal(t, x.want, d.Phase())
 				require.Equal(t, x.accepts, d.AcceptsWork(now), "at %v", x.at)
-				require.Equal(t, x.left, d.Left(now), "at %v", x.at)
+				require.Equal(t, x.left, d.AcceptTimeLeft(now), "at %v", x.at)
 			}
 		})
 	}
--- a/evacuator/evacuator.go
+++ b/evacuator/evacuator.go
@@ -98,10 +98,10 @@
 	return e.changed(before, now)
 }
 
-// Take takes a whole state, from the store's newest records or from a peer, and tells whether any zone's state changed. An
+// Replace takes a whole state, from the store's newest records or from a peer, and tells whether any zone's state changed. An
 // older one than that known is dropped. Of a new era, what was evacuated in the era before is held: the store may have
 // returned from a copy that is older than the operator's record.
-func (e *Evacuator) Take(s State, now time.Time) bool {
+func (e *Evacuator) Replace(s State, now time.Time) bool {
 	if !e.next.Before(s.Next) {
 		return false
 	}
--- a/evacuator/evacuator_test.go
+++ b/evacuator/evacuator_test.go
@@ -35,10 +35,10 @@
 	records := []Change{{Zone: "a", Position: at(1), Evacuated: true}, {Zone: "a", Position: at(2)}, {Zone: "b", Position: at(3), Evacuated: true}}
 	require.True(t, e.Apply(records, at(4), now))
 	want := State{Next: at(4), Zones: []string{"b"}}
-	require.False(t, e.Take(State{Next: at(2), Zones: []string{"a"}}, now))
+	require.False(t, e.Replace(State{Next: at(2), Zones: []string{"a"}}, now))
 	require.False(t, e.Apply(records[:1], at(2), now))
 	require.Equal(t, want, e.State())
-	require.True(t, e.Take(State{Next: at(9), Zones: []string{"b", "c"}}, now))
+	require.True(t, e.Replace(State{Next: at(9), Zones: []string{"b", "c"}}, now))
 	require.True(t, e.Apply([]Change{{Zone: "c", Position: at(5), Evacuated: true}, {Zone: "c", Position: at(9)}}, at(10), now))
 	require.Equal(t, State{Next: at(10), Zones: []string{"b"}}, e.State())
 }
@@ -48,8 +48,8 @@
 func TestADeletedRecordIsATakenBackOne(t *testing.T) {
 	e := New()
 	now := time.Unix(1000, 0)
-	require.True(t, e.Take(State{Next: at(4), Zones: []string{"a", "b"}}, now))
-	require.True(t, e.Take(State{Next: at(8), Zones: []string{"b"}}, now))
+	require.True(t, e.Replace(State{Next: at(4), Zones: []string{"a", "b"}}, now))
+	require.True(t, e.Replace(State{Next: at(8), Zones: []string{"b"}}, now))
 	require.False(t, e.Evacuated("a"))
 	require.Equal(t, now, e.EndedAt("a"))
 }
@@ -74,7 +74,7 @@
 		e := New()
 		for range rapid.IntRange(0, 10).Draw(t, "words") {
 			if to := rapid.IntRange(0, n).Draw(t, "to"); rapid.Bool().Draw(t, "peer") {
-				e.Take(states[to], now)
+				e.Replace(states[to], now)
 			} else {
 				from := rapid.IntRange(0, min(to, int(e.next.Offset()))).Draw(t, "from")
 				e.Apply(records[from:to], at(int64(to)), now)
--- a/experimenter/compare.go
+++ b/experimenter/compare.go
@@ -25,7 +25,7 @@
 }
 
 // Series plays a scenario with the seeds 1 to n, on half of the processors. Done is called after each run.
-func Series(s Scenario, n int, off switcher.Off, done func()) []*Result {
+func Series(s Scenario, n int, off switcher.Disabled, done func()) []*Result {
 	results := make([]*Result, n)
 	slots := make(chan struct{}, max(1, runtime.NumCPU()/2))
 	var group sync.WaitGroup
--- a/experimenter/experimenter_test.go
+++ b/experimenter/experimenter_test.go
@@ -24,15 +24,15 @@
 func TestSpaceIsGivenBackInABurst(t *testing.T) {
 	s, err := Named("spaceShort")
 	require.NoError(t, err)
-	earned := func(off switcher.Off) (sum float64) {
+	earned := func(off switcher.Disabled) (sum float64) {
 		for seed := range uint64(6) {
 			sum += Run(s, seed, off).Earned
 		}
 		return sum / 6
 	}
-	off, err := switcher.Without(string(switcher.FetchedFreed))
+	off, err := switcher.Disable(string(switcher.FetchedFreed))
 	require.NoError(t, err)
-	with, without := earned(switcher.Off{}), earned(off)
+	with, without := earned(switcher.Disabled{}), earned(off)
 	t.Logf("earned %.3f, %.3f without", with, without)
 	require.Greater(t, with, without)
 }
@@ -45,7 +45,7 @@
 	s, err := Named(name)
 	require.NoError(b, err)
 	for b.Loop() {
-		Run(s, 1, switcher.Off{})
+		Run(s, 1, switcher.Disabled{})
 	}
 }
 
@@ -54,7 +54,7 @@
 	require.NoError(t, err)
 	s.Seconds = 14
 	text := func(seed uint64) string {
-		data, err := json.Marshal(Run(s, seed, switcher.Off{}))
+		data, err := json.Marshal(Run(s, seed, switcher.Disabled{}))
 		require.NoError(t, err)
 		return string(data)
 	}
--- a/experimenter/result.go
+++ b/experimenter/result.go
@@ -63,7 +63,7 @@
 	ResultsUnused    int   `json:"resultsUnused"`
 }
 
-func newResult(s *Scenario, seed uint64, off switcher.Off) *Result {
+func newResult(s *Scenario, seed uint64, off switcher.Disabled) *Result {
 	r := &Result{Scenario: s.Name, Seed: seed, Without: off.Names()}
 	for _, k := range s.Kinds {
 		r.Kinds = append(r.Kinds, &KindResult{Name: k.Name, times: hdrhistogram.New(leastTime, longestTime, figures)})
--- a/experimenter/world.go
+++ b/experimenter/world.go
@@ -23,7 +23,7 @@
 	clock
 	scenario *Scenario
 	seed     uint64
-	off      switcher.Off
+	off      switcher.Disabled
 	random   *rand.Rand
 	entries  []*entry
 	owners   map[string]*entry
@@ -39,7 +39,7 @@
 }
 
 // Run plays a scenario with a seed and without some mechanisms.
-func Run(s Scenario, seed uint64, off switcher.Off) *Result {
+func Run(s Scenario, seed uint64, off switcher.Disabled) *Result {
 	w := newWorld(s, seed, off)
 	for _, e := range w.entries {
 		// Entries beat and tick at different times, as processes that start one after the other do.
@@ -57,7 +57,7 @@
 	return w.result
 }
 
-func newWorld(s Scenario, seed uint64, off switcher.Off) *world {
+func newWorld(s Scenario, seed uint64, off switcher.Disabled) *world {
 	w := &world{
 		clock:    clock{now: origin},
 		scenario: &s,
--- a/forwarder/availability.go
+++ b/forwarder/availability.go
@@ -39,7 +39,7 @@
 // usable lists the endpoints that may get new work: every call, piece and retry goes to one of these. Endpoints of evacuated
 // zones are not among them, nor those whose answers say that they leave: the store may not know so yet. The lock is held.
 func (f *Forwarder) usable(now time.Time) []registrar.Endpoint {
-	f.regulator.Keep(f.registry.Lists)
+	f.regulator.Keep(f.registry.Contains)
 	all := slices.DeleteFunc(f.registry.Usable(), func(e registrar.Endpoint) bool { return f.regulator.Leaving(e.ID) })
 	f.availability = availability{
 		inService: make(map[string]int),
--- a/forwarder/era.go
+++ b/forwarder/era.go
@@ -35,7 +35,7 @@
 // heartbeat reaches ask its sender, so that neither the store nor the entry that reads it is asked by all at once. The lock
 // is held.
 func (f *Forwarder) askForEra(peer string, era int64, now time.Time) []func() {
-	if !f.registry.Known() || era <= f.registry.Next().Era() || now.Sub(f.askedEndpoints) < askEvery {
+	if !f.registry.Loaded() || era <= f.registry.Next().Era() || now.Sub(f.askedEndpoints) < askEvery {
 		return nil
 	}
 	f.askedEndpoints = now
--- a/forwarder/evacuation.go
+++ b/forwarder/evacuation.go
@@ -21,7 +21,7 @@
 // ReplaceEvacuations takes the newest of the operator's records on all availability zones.
 func (f *Forwarder) ReplaceEvacuations(state evacuator.State, now time.Time) {
 	f.locked(func() []func() {
-		return f.evacuationsTaken(f.evacuator.Take(state, now), "store", now)
+		return f.evacuationsTaken(f.evacuator.Replace(state, now), "store", now)
 	})
 }
 
@@ -32,7 +32,7 @@
 		Zones: m.Evacuated,
 		Held:  m.EvacuationsHeld,
 	}
-	return f.evacuationsTaken(f.evacuator.Take(state, now), m.From.Name, now)
+	return f.evacuationsTaken(f.evacuator.Replace(state, now), m.From.Name, now)
 }
 
 // evacuationsTaken puts a change of the evacuated zones in force. The lock is held.
--- a/forwarder/forwarder.go
+++ b/forwarder/forwarder.go
@@ -90,7 +90,7 @@
 	RetrySlack float64
 
 	// Off are the mechanisms of policy that are switched off.
-	Off switcher.Off
+	Off switcher.Disabled
 
 	Wire   Wire
 	Client *connector.Client
@@ -199,16 +199,16 @@
 				State:         uint8(detector.Live),
 				Capacity:      int32(cfg.Capacity),
 			},
-			Seeds:        cfg.Seeds,
-			SuspectAfter: suspectAfter,
-			DeadAfter:    deadAfter,
-			ProbeEvery:   probeEvery,
-			ForgetAfter:  forgetAfter,
-			FullMesh:     fullMesh,
+			Seeds:         cfg.Seeds,
+			SuspectAfter:  suspectAfter,
+			DeadAfter:     deadAfter,
+			ProbeInterval: probeEvery,
+			ForgetAfter:   forgetAfter,
+			MaxFullMesh:   fullMesh,
 
-			SpreadSuspectAfter: spreadSuspectAfter,
-			SpreadDeadAfter:    spreadDeadAfter,
-			HeartbeatEvery:     heartbeatEvery,
+			GossipSuspectAfter: spreadSuspectAfter,
+			GossipDeadAfter:    spreadDeadAfter,
+			HeartbeatInterval:  heartbeatEvery,
 		}),
 		retrier: retrier.New(retrier.Config{
 			Ratio:    cfg.RetryRatio * retryShare,
@@ -247,7 +247,7 @@
 )
 
 // ejectorConfig says how endpoints are taken out of use.
-func ejectorConfig(off switcher.Off) ejector.Config {
+func ejectorConfig(off switcher.Disabled) ejector.Config {
 	if off.Has(switcher.Ejection) {
 		return ejector.Config{MaxShare: noneOut}
 	}
@@ -317,7 +317,7 @@
 func (f *Forwarder) Ready() bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return f.catalog != nil && f.registry.Known() && !f.stopping.Load()
+	return f.catalog != nil && f.registry.Loaded() && !f.stopping.Load()
 }
 
 // ServeReady answers whether the entry takes callers.
--- a/forwarder/handler.go
+++ b/forwarder/handler.go
@@ -118,7 +118,7 @@
 		return &FailureError{Status: http.StatusBadRequest, Reason: "ambiguousLength"}
 	}
 	x.f.mu.Lock()
-	catalog, known := x.f.catalog, x.f.registry.Known()
+	catalog, known := x.f.catalog, x.f.registry.Loaded()
 	start := x.f.startReturn(x.began)
 	x.f.mu.Unlock()
 	if catalog == nil || !known {
--- a/forwarder/knowledge.go
+++ b/forwarder/knowledge.go
@@ -60,7 +60,7 @@
 // entry that reads for all passes them on.
 func (f *Forwarder) TakeEndpoints(changes []registrar.Change, from, next locator.Position, now time.Time) {
 	f.locked(func() []func() {
-		news := f.registry.News(changes)
+		news := f.registry.SignificantChanges(changes)
 		f.registry.Apply(changes, next, now)
 		todo := f.passOn(news, from, next, now)
 		if len(news) == 0 {
@@ -82,7 +82,7 @@
 // StoreHeard notes that the store has answered this entry, in which era.
 func (f *Forwarder) StoreHeard(era int64, now time.Time) {
 	f.mu.Lock()
-	f.registry.Heard(now)
+	f.registry.StoreAvailable(now)
 	f.takeEra(era, "store")
 	news := f.storeLost
 	f.storeLost = false
@@ -97,7 +97,7 @@
 func (f *Forwarder) StoreLost(err error, now time.Time) {
 	f.mu.Lock()
 	if now.Sub(f.newsAt) >= newsPatience {
-		f.registry.Lost()
+		f.registry.StoreUnavailable()
 	}
 	news := !f.storeLost
 	f.storeLost = true
--- a/forwarder/note.go
+++ b/forwarder/note.go
@@ -56,8 +56,8 @@
 		zap.String("peer", t.Member.Name),
 		zap.Stringer("from", t.From),
 		zap.Stringer("to", t.To),
-		zap.Bool("refused", t.Refused),
-		zap.Duration("away", t.Away))
+		zap.Bool("refused", t.ConnectionRefused),
+		zap.Duration("away", t.Paused))
 }
 
 // note writes a line on an ordinary decision.
@@ -103,7 +103,7 @@
 	m.Gauge(meter.EndpointsCold).Update(int64(f.selector.Cold(now)))
 	f.measureNotices(now)
 	m.Gauge(meter.PeersLive).Update(int64(len(f.liveAddresses(f.detector.Members()))))
-	if f.registry.Known() {
+	if f.registry.Loaded() {
 		m.Gauge(meter.EndpointsAge).Update(f.registry.Age(now).Milliseconds())
 	}
 	for service, p := range f.pools {
--- a/forwarder/notice.go
+++ b/forwarder/notice.go
@@ -29,7 +29,7 @@
 // takeNotice takes what an endpoint's answer says of the work that it takes.
 func (f *Forwarder) takeNotice(e *registrar.Endpoint, n regulator.Notice, now time.Time) {
 	f.locked(func() []func() {
-		if !f.registry.Lists(e.ID, e.Started) {
+		if !f.registry.Contains(e.ID, e.Started) {
 			return nil
 		}
 		change := f.regulator.Heard(e, n, now)
@@ -62,7 +62,7 @@
 
 // sparedAt tells whether an endpoint at the address has asked for few calls. The lock is held.
 func (f *Forwarder) sparedAt(address string, now time.Time) bool {
-	return slices.ContainsFunc(f.registry.At(address), func(id string) bool { return f.regulator.Spared(id, now) })
+	return slices.ContainsFunc(f.registry.IDsAt(address), func(id string) bool { return f.regulator.Spared(id, now) })
 }
 
 // limits tells peers the limits that endpoints have named. The lock is held.
@@ -88,7 +88,7 @@
 			PerSecond: m.PerSecond,
 			At:        now.Add(-time.Duration(m.AgeMillis) * time.Millisecond),
 		}
-		usable := l.PerSecond >= 0 && f.registry.Lists(l.Endpoint, l.Started)
+		usable := l.PerSecond >= 0 && f.registry.Contains(l.Endpoint, l.Started)
 		if usable && f.regulator.Told(l) {
 			f.noteLimit(l.Endpoint, l.PerSecond, from)
 		}
@@ -109,7 +109,7 @@
 	changed := false
 	for _, m := range list {
 		l := regulator.Leave{Endpoint: m.ID, Started: timeOf(m.StartedMillis)}
-		if f.registry.Lists(l.Endpoint, l.Started) && f.regulator.ToldLeaving(l) {
+		if f.registry.Contains(l.Endpoint, l.Started) && f.regulator.ToldLeaving(l) {
 			changed = true
 			f.noteLeaving(l.Endpoint, from)
 		}
@@ -136,7 +136,7 @@
 // takeRefusing takes the endpoints that refuse a peer's calls. The lock is held.
 func (f *Forwarder) takeRefusing(list []carrier.EndpointRefusal, now time.Time) {
 	for _, m := range list {
-		if f.registry.Lists(m.ID, timeOf(m.StartedMillis)) {
+		if f.registry.Contains(m.ID, timeOf(m.StartedMillis)) {
 			f.selector.ToldRefusal(m.ID, now.Add(-time.Duration(m.AgeMillis)*time.Millisecond))
 		}
 	}
--- a/forwarder/peers.go
+++ b/forwarder/peers.go
@@ -88,7 +88,7 @@
 func (f *Forwarder) TakePeer(address, zone string, now time.Time) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.detector.Hint(address, zone, false, now)
+	f.detector.AddHint(address, zone, false, now)
 }
 
 // setSelf sets what this entry says of itself. The lock is held.
@@ -97,7 +97,7 @@
 	switch {
 	case f.stopping.Load():
 		state = detector.Stopping
-	case f.catalog == nil || !f.registry.Known():
+	case f.catalog == nil || !f.registry.Loaded():
 		state = detector.Suspect
 	}
 	f.detector.SetSelf(state, f.version(), int32(f.inFlight.Load()))
@@ -167,7 +167,7 @@
 
 // endpointsQuestion names the peers to ask for their list of endpoints while the own one is old. The lock is held.
 func (f *Forwarder) endpointsQuestion(members []detector.Member, now time.Time) []string {
-	stale := !f.registry.Known() || f.registry.Age(now) > endpointsPatience
+	stale := !f.registry.Loaded() || f.registry.Age(now) > endpointsPatience
 	if !stale || now.Sub(f.askedEndpoints) < askEvery {
 		return nil
 	}
@@ -182,7 +182,7 @@
 
 // endpointsCall tells peers what this entry knows of the endpoints. The lock is held.
 func (f *Forwarder) endpointsCall(now time.Time) *carrier.EndpointsCall {
-	if !f.registry.Known() {
+	if !f.registry.Loaded() {
 		return &carrier.EndpointsCall{Next: -1}
 	}
 	next := f.registry.Next()
@@ -196,7 +196,7 @@
 	switch m := m.(type) {
 	case *carrier.Heartbeat:
 		f.locked(func() []func() {
-			f.quarantiner.Heard(m.Crashes, now)
+			f.quarantiner.Merge(m.Crashes, now)
 			f.takeStageWaits(m.Stages, now)
 			f.takeLimits(m.Limits, m.From.Name, now)
 			f.takeRefusing(m.Refusing, now)
@@ -250,7 +250,7 @@
 // RefusedPeer notes that the network says that no process listens at a peer address.
 func (f *Forwarder) RefusedPeer(address string) {
 	now := time.Now()
-	f.locked(func() []func() { return f.takeTransitions(f.detector.Refuse(address, now), now) })
+	f.locked(func() []func() { return f.takeTransitions(f.detector.ConnectionRefused(address, now), now) })
 }
 
 // takeTransitions logs changes of peers' states, and drops the work of those that have ended. The lock is held.
@@ -295,7 +295,7 @@
 // replyEndpoints answers a peer that asks for the list of endpoints, unless its own is as fresh. The lock is
 // held.
 func (f *Forwarder) replyEndpoints(from string, asked *carrier.EndpointsCall, now time.Time) []func() {
-	if !f.registry.Known() {
+	if !f.registry.Loaded() {
 		return nil
 	}
 	next := f.registry.Next()
@@ -326,7 +326,7 @@
 		return nil
 	}
 	at := now.Add(-time.Duration(m.AgeMillis) * time.Millisecond)
-	f.registry.HeardAt(at)
+	f.registry.StoreReadAt(at)
 	if at.After(f.newsAt) {
 		// Somebody reads the store for all, though its news have not come here yet.
 		f.newsAt = at
--- a/forwarder/quarantine.go
+++ b/forwarder/quarantine.go
@@ -68,7 +68,7 @@
 		}
 		now := time.Now()
 		f.mu.Lock()
-		verdict := f.quarantiner.Crashed(digest, e.Address, now)
+		verdict := f.quarantiner.RecordCrash(digest, e.Address, now)
 		f.mu.Unlock()
 		f.cfg.Meter.Counter(meter.ForwardCrashes).Inc(1)
 		f.log.Warn("endpoint crashed with a request",
@@ -83,6 +83,6 @@
 func (x *exchange) clearContent() {
 	now := time.Now()
 	x.f.mu.Lock()
-	x.f.quarantiner.Answered(x.digest(), now)
+	x.f.quarantiner.RecordSuccess(x.digest(), now)
 	x.f.mu.Unlock()
 }
--- a/forwarder/reader.go
+++ b/forwarder/reader.go
@@ -85,12 +85,12 @@
 func (f *Forwarder) ReadsEndpoints(now time.Time) (locator.Position, bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	from := locator.Nowhere
-	if f.registry.Known() {
+	from := locator.None
+	if f.registry.Loaded() {
 		from = f.registry.Next()
 	}
 	rank := f.rank(readerDuty)
-	if !f.registry.Known() {
+	if !f.registry.Loaded() {
 		return from, rank == 0 && !f.settling(now) || !f.patient(now)
 	}
 	told := now.Sub(f.newsAt) < newsPatience+time.Duration(rank)*rankStep
@@ -116,11 +116,11 @@
 // asks for the list or reads itself. The lock is held.
 func (f *Forwarder) takeNews(m *carrier.EndpointsNews, now time.Time) []func() {
 	next := f.registry.Next()
-	if !f.registry.Known() || m.Era != next.Era() || m.From > next.Offset() {
+	if !f.registry.Loaded() || m.Era != next.Era() || m.From > next.Offset() {
 		return nil
 	}
 	f.newsAt = now
-	f.registry.Heard(now)
+	f.registry.StoreAvailable(now)
 	f.registry.Apply(changesOf(m.Entries, now), locator.At(m.Era, m.Next), now)
 	if len(m.Entries) == 0 {
 		return nil
--- a/forwarder/target.go
+++ b/forwarder/target.go
@@ -16,7 +16,7 @@
 // targets gives those of the detector's targets that get a heartbeat in this round, and the peers that get this entry's
 // work. The lock is held.
 func (f *Forwarder) targets(detected, peers []string) (heartbeats, reports []string) {
-	if !f.detector.Spreads() {
+	if !f.detector.UsesGossip() {
 		return f.shareOf(detected, heartbeatsEachRound), f.shareOf(detected, reportsEachRound)
 	}
 	if len(peers) > maxReportPeers {
--- a/locator/position.go
+++ b/locator/position.go
@@ -14,8 +14,8 @@
 	offset int64
 }
 
-// Nowhere is before all positions: that of a reader which has read nothing.
-var Nowhere = Position{era: -1, offset: -1}
+// None is before all positions: that of a reader which has read nothing.
+var None = Position{era: -1, offset: -1}
 
 // At gives the position of an offset in an era.
 func At(era, offset int64) Position { return Position{era: era, offset: offset} }
--- a/planner/plan.go
+++ b/planner/plan.go
@@ -37,7 +37,7 @@
 	// ModelTime is what the model engine is predicted to take after the last stage.
 	ModelTime time.Duration
 	// Off are the mechanisms of policy that are switched off.
-	Off switcher.Off
+	Off switcher.Disabled
 }
 
 // View is what is known of the stages' pools at present.
--- a/quarantiner/quarantiner.go
+++ b/quarantiner/quarantiner.go
@@ -121,9 +121,9 @@
 	return Suspect
 }
 
-// Crashed notes the loss of an endpoint while it ran the content, and gives the verdict from then on.
+// RecordCrash notes the loss of an endpoint while it ran the content, and gives the verdict from then on.
 // Two calls with the same content that were lost with one endpoint count once.
-func (q *Quarantiner) Crashed(digest Digest, address string, now time.Time) Verdict {
+func (q *Quarantiner) RecordCrash(digest Digest, address string, now time.Time) Verdict {
 	m := q.mark(digest, now)
 	if !now.Before(m.expires) {
 		m.losses = m.losses[:0]
@@ -134,8 +134,8 @@
 	return q.Verdict(digest, now)
 }
 
-// Lost gives the endpoints that were lost with the content, which must not run it again.
-func (q *Quarantiner) Lost(digest Digest) []string {
+// CrashedEndpoints gives the endpoints that were lost with the content, which must not run it again.
+func (q *Quarantiner) CrashedEndpoints(digest Digest) []string {
 	m, marked := q.marks[digest]
 	if !marked {
 		return nil
@@ -155,8 +155,8 @@
 	}
 }
 
-// Answered clears content that ran to its end without the loss of an endpoint.
-func (q *Quarantiner) Answered(digest Digest, now time.Time) {
+// RecordSuccess clears content that ran to its end without the loss of an endpoint.
+func (q *Quarantiner) RecordSuccess(digest Digest, now time.Time) {
 	m, marked := q.marks[digest]
 	if marked && now.Before(m.expires) && len(m.losses) < finalCrashes {
 		m.cleared = true
@@ -209,9 +209,9 @@
 	return marks
 }
 
-// Heard takes a peer's marks and gives the digests whose verdict has become Quarantined by them.
+// Merge takes a peer's marks and gives the digests whose verdict has become Quarantined by them.
 // A loss that is as old as its mark would have lived is not brought back.
-func (q *Quarantiner) Heard(marks []carrier.CrashMark, now time.Time) []Digest {
+func (q *Quarantiner) Merge(marks []carrier.CrashMark, now time.Time) []Digest {
 	var quarantined []Digest
 	for i := range marks {
 		if len(marks[i].Digest) != len(Digest{}) || len(marks[i].Losses) == 0 {
--- a/quarantiner/quarantiner_test.go
+++ b/quarantiner/quarantiner_test.go
@@ -20,7 +20,7 @@
 // their words must be the count of endpoints lost, each once, however often and by whom it is told.
 func TestVerdicts(t *testing.T) {
 	type entries [3]*quarantiner.Quarantiner
-	tell := func(from, to *quarantiner.Quarantiner, now time.Time) { to.Heard(from.Marks(now), now) }
+	tell := func(from, to *quarantiner.Quarantiner, now time.Time) { to.Merge(from.Marks(now), now) }
 	tests := []struct {
 		testName string
 		steps    func(q entries)
@@ -29,40 +29,40 @@
 	}{
 		{"nothing lost", func(entries) {}, 0, quarantiner.Clear},
 		{"two calls lost with one endpoint", func(q entries) {
-			q[0].Crashed(content, "a", at(0))
-			q[0].Crashed(content, "a", at(time.Millisecond))
+			q[0].RecordCrash(content, "a", at(0))
+			q[0].RecordCrash(content, "a", at(time.Millisecond))
 		}, time.Second, quarantiner.Suspect},
 		{"one loss seen by two and told round", func(q entries) {
-			q[0].Crashed(content, "a", at(0))
-			q[1].Crashed(content, "a", at(2*time.Millisecond))
+			q[0].RecordCrash(content, "a", at(0))
+			q[1].RecordCrash(content, "a", at(2*time.Millisecond))
 			tell(q[1], q[0], at(200*time.Millisecond))
 			tell(q[0], q[1], at(400*time.Millisecond))
 			tell(q[1], q[0], at(600*time.Millisecond))
 		}, time.Second, quarantiner.Suspect},
 		{"two losses at the same moment at two entries", func(q entries) {
-			q[0].Crashed(content, "a", at(0))
-			q[1].Crashed(content, "b", at(0))
+			q[0].RecordCrash(content, "a", at(0))
+			q[1].RecordCrash(content, "b", at(0))
 			tell(q[1], q[0], at(time.Millisecond))
 		}, time.Second, quarantiner.Quarantined},
 		{"told on by a third after the first has gone", func(q entries) {
-			q[1].Crashed(content, "a", at(0))
-			q[1].Crashed(content, "b", at(time.Second))
+			q[1].RecordCrash(content, "a", at(0))
+			q[1].RecordCrash(content, "b", at(time.Second))
 			tell(q[1], q[2], at(2*time.Second))
 			tell(q[2], q[0], at(3*time.Second))
 		}, time.Minute, quarantiner.Quarantined},
 		{"answered alone, though a peer still tells", func(q entries) {
-			q[0].Crashed(content, "a", at(0))
+			q[0].RecordCrash(content, "a", at(0))
 			tell(q[0], q[1], at(time.Second))
-			q[0].Answered(content, at(2*time.Second))
+			q[0].RecordSuccess(content, at(2*time.Second))
 			tell(q[1], q[0], at(3*time.Second))
 		}, 4 * time.Second, quarantiner.Clear},
 		{"cleared, then another endpoint is lost", func(q entries) {
-			q[0].Crashed(content, "a", at(0))
-			q[0].Answered(content, at(time.Second))
-			q[0].Crashed(content, "b", at(2*time.Second))
+			q[0].RecordCrash(content, "a", at(0))
+			q[0].RecordSuccess(content, at(time.Second))
+			q[0].RecordCrash(content, "b", at(2*time.Second))
 		}, 3 * time.Second, quarantiner.Quarantined},
 		{"expired, though peers keep telling each other", func(q entries) {
-			q[0].Crashed(content, "a", at(0))
+			q[0].RecordCrash(content, "a", at(0))
 			for i := range 1200 {
 				now := at(time.Duration(i) * time.Second)
 				tell(q[0], q[1], now)
@@ -86,7 +86,7 @@
 func TestMarksAreBounded(t *testing.T) {
 	q := quarantiner.New(quarantiner.Config{MaxMarks: 10})
 	for i := range 100 {
-		q.Crashed(quarantiner.Digest{byte(i)}, "a", start)
+		q.RecordCrash(quarantiner.Digest{byte(i)}, "a", start)
 	}
 	require.Len(t, q.Marks(start), 10)
 	require.Equal(t, quarantiner.Clear, q.Verdict(quarantiner.Digest{1}, start))
--- a/reducer/core.go
+++ b/reducer/core.go
@@ -242,7 +242,7 @@
 	case VMsListed:
 		c.takeVMs(e, now)
 	case PeerRefused:
-		c.takeTransitions(c.detector.Refuse(e.Address, now), now)
+		c.takeTransitions(c.detector.ConnectionRefused(e.Address, now), now)
 	case EndpointRefused:
 		c.takeEndpointRefused(e, now)
 	case LoadReported:
--- a/reducer/end.go
+++ b/reducer/end.go
@@ -11,7 +11,7 @@
 // answer ends a request with its whole answer.
 func (c *Core) answer(r *request, text string, parts int, now time.Time) {
 	c.counters.RequestsAnswered++
-	c.quarantiner.Answered(r.digest, now)
+	c.quarantiner.RecordSuccess(r.digest, now)
 	outcome := Outcome{State: StateAnswered, Request: r.name, Answer: text, Parts: parts, Ended: now, Digest: r.digest}
 	result := biller.AnsweredInTime
 	if now.After(r.deadline) {
--- a/reducer/peer.go
+++ b/reducer/peer.go
@@ -118,7 +118,7 @@
 // takeTransitions acts on what the detector has found out about members.
 func (c *Core) takeTransitions(transitions []detector.Transition, now time.Time) {
 	for _, t := range transitions {
-		if t.Woke() {
+		if t.Resumed() {
 			c.counters.PausesNoticed++
 		}
 		c.emit(LogChange{Message: "entry", Subject: t.Member.Name, From: t.From.String(), To: t.To.String()})
--- a/reducer/quarantine.go
+++ b/reducer/quarantine.go
@@ -39,7 +39,7 @@
 // A cut connection is taken for a lost endpoint. Waiting for proof would let the content run beside
 // others once more; taking a mere cut for a loss costs a few calls that run alone.
 func (c *Core) countCrash(r *request, address string, now time.Time) bool {
-	verdict := c.quarantiner.Crashed(r.digest, address, now)
+	verdict := c.quarantiner.RecordCrash(r.digest, address, now)
 	c.heartbeatAt = now
 	if verdict != quarantiner.Quarantined {
 		return false
@@ -65,7 +65,7 @@
 	if len(marks) == 0 {
 		return
 	}
-	for _, digest := range c.quarantiner.Heard(marks, now) {
+	for _, digest := range c.quarantiner.Merge(marks, now) {
 		c.quarantine(digest, now)
 	}
 }
@@ -139,7 +139,7 @@
 			return
 		}
 		ask := c.askOf(r)
-		ask.Avoid = append(c.quarantiner.Lost(r.digest), r.tried...)
+		ask.Avoid = append(c.quarantiner.CrashedEndpoints(r.digest), r.tried...)
 		address, found := c.router.Reserve(ask, now)
 		if !found {
 			return
--- a/reducer/silence.go
+++ b/reducer/silence.go
@@ -21,7 +21,7 @@
 	name := t.Member.Name
 	switch t.To {
 	case detector.Dead:
-		if t.Refused {
+		if t.ConnectionRefused {
 			c.limiter.PeerGone(name, now)
 			return
 		}
--- a/reducer/stop.go
+++ b/reducer/stop.go
@@ -35,7 +35,7 @@
 	c.emit(SendStop{ID: e.ID, Progress: operatorserver.StopProgress{
 		Phase:      operatorserver.StopProgressPhase(phaseName(c.drainer.Phase())),
 		InFlight:   len(c.requests),
-		MillisLeft: c.drainer.Left(now).Milliseconds(),
+		MillisLeft: c.drainer.AcceptTimeLeft(now).Milliseconds(),
 	}})
 }
 
--- a/reducer/tick.go
+++ b/reducer/tick.go
@@ -75,7 +75,7 @@
 		if hint.PeerAddress == c.cfg.PeerAddress {
 			continue
 		}
-		c.detector.Hint(hint.PeerAddress, hint.Zone, hint.Leaving, now)
+		c.detector.AddHint(hint.PeerAddress, hint.Zone, hint.Leaving, now)
 	}
 	c.endParts(e.Entries, now)
 }
--- a/registrar/bench_test.go
+++ b/registrar/bench_test.go
@@ -10,7 +10,7 @@
 	for _, n := range []int{100, 3000} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
 			r := New(Config{})
-			r.Heard(start)
+			r.StoreAvailable(start)
 			for i := range n {
 				r.Apply([]Change{put(fmt.Sprint(i), int64(i), nil)}, pos(int64(i)+1), start)
 			}
@@ -26,7 +26,7 @@
 	for _, n := range []int{100, 3000} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
 			r := New(Config{})
-			r.Heard(start)
+			r.StoreAvailable(start)
 			changes := make([]Change, n)
 			for i := range changes {
 				changes[i] = put(fmt.Sprint(i), int64(i), nil)
--- a/registrar/era_test.go
+++ b/registrar/era_test.go
@@ -63,9 +63,9 @@
 
 // read lets a registry read on, or the whole list in a new era.
 func (s *storeModel) read(r *Registry, now time.Time) {
-	r.Heard(now)
+	r.StoreAvailable(now)
 	next := r.Next()
-	if !r.Known() || next.Era() != s.era || next.Offset() > int64(len(s.records)) {
+	if !r.Loaded() || next.Era() != s.era || next.Offset() > int64(len(s.records)) {
 		r.Replace(s.newest(), s.end(), now)
 		return
 	}
@@ -138,7 +138,7 @@
 			s.write(id, s.left[id])
 		}
 		s.read(r, now)
-		now = now.Add(DefaultReturnTime)
+		now = now.Add(DefaultRecoveryGrace)
 		r.Tick(now)
 		require.Equal(t, s.serving(), ids(r))
 	})
--- a/registrar/registrar.go
+++ b/registrar/registrar.go
@@ -12,10 +12,10 @@
 	"geraniumline/locator"
 )
 
-// DefaultReturnTime is how long after the store's return an endpoint's missing entry is not yet believed.
+// DefaultRecoveryGrace is how long after the store's return an endpoint's missing entry is not yet believed.
 // Entries lapse while the store is away although their endpoints live, and living endpoints write theirs again within
 // about two seconds of its return. Without the wait an outage would empty the pools of a healthy system.
-const DefaultReturnTime = 2200 * time.Millisecond
+const DefaultRecoveryGrace = 2200 * time.Millisecond
 
 const (
 	// goneTime is how long an endpoint that has left is remembered: an older copy of the store may bring its entry back.
@@ -50,14 +50,14 @@
 // worked out anew from each entry, and differs by the time that the entry was on its way.
 const coldAgain = 500 * time.Millisecond
 
-// ColderThan tells whether the endpoint has become cold since its earlier entry.
-func (e *Endpoint) ColderThan(earlier *Endpoint) bool {
+// BecameColdSince tells whether the endpoint has become cold since its earlier entry.
+func (e *Endpoint) BecameColdSince(earlier *Endpoint) bool {
 	return e.ColdUntil.Sub(earlier.ColdUntil) > coldAgain
 }
 
-// SameStart tells whether both are one start of one endpoint. A later start holds nothing that an earlier one held: prompt
+// SameIncarnation tells whether both are one start of one endpoint. A later start holds nothing that an earlier one held: prompt
 // parts, stage results, calls. Work placed by what the earlier one held would wait for what is not there.
-func (e *Endpoint) SameStart(other *Endpoint) bool {
+func (e *Endpoint) SameIncarnation(other *Endpoint) bool {
 	if e.ID != other.ID {
 		return false
 	}
@@ -79,8 +79,8 @@
 
 // Config sets a Registry up.
 type Config struct {
-	// ReturnTime is how long after the store's return missing entries are not believed; 0 takes DefaultReturnTime.
-	ReturnTime time.Duration
+	// RecoveryGrace is how long after the store's return missing entries are not believed; 0 takes DefaultRecoveryGrace.
+	RecoveryGrace time.Duration
 }
 
 // entry is what is known of one endpoint.
@@ -128,11 +128,11 @@
 
 // New makes a registry that knows no endpoint.
 func New(cfg Config) *Registry {
-	if cfg.ReturnTime == 0 {
-		cfg.ReturnTime = DefaultReturnTime
+	if cfg.RecoveryGrace == 0 {
+		cfg.RecoveryGrace = DefaultRecoveryGrace
 	}
 	return &Registry{
-		returnTime: cfg.ReturnTime,
+		returnTime: cfg.RecoveryGrace,
 		entries:    make(map[string]*entry),
 		atAddress:  make(map[string][]string),
 		missing:    make(map[string]bool),
@@ -143,17 +143,17 @@
 // Next is the position from which changes are not yet known.
 func (r *Registry) Next() locator.Position { return r.next }
 
-// Known tells whether a whole list was ever read.
-func (r *Registry) Known() bool { return r.known }
+// Loaded tells whether a whole list was ever read.
+func (r *Registry) Loaded() bool { return r.known }
 
 // Age is how long ago the store was read.
 func (r *Registry) Age(now time.Time) time.Duration { return now.Sub(r.heard) }
 
-// Lost notes that the store does not answer.
-func (r *Registry) Lost() { r.away = true }
+// StoreUnavailable notes that the store does not answer.
+func (r *Registry) StoreUnavailable() { r.away = true }
 
-// Heard notes that the store has answered.
-func (r *Registry) Heard(now time.Time) {
+// StoreAvailable notes that the store has answered.
+func (r *Registry) StoreAvailable(now time.Time) {
 	if r.away {
 		r.returned = now
 	}
@@ -161,9 +161,9 @@
 	r.heard = now
 }
 
-// HeardAt notes that a peer passed on what the store had as of a time. It says nothing of the store's return: that the
+// StoreReadAt notes that a peer passed on what the store had as of a time. It says nothing of the store's return: that the
 // entry sees for itself.
-func (r *Registry) HeardAt(at time.Time) {
+func (r *Registry) StoreReadAt(at time.Time) {
 	if at.After(r.heard) {
 		r.heard = at
 	}
@@ -181,10 +181,10 @@
 	r.next = locator.Later(r.next, next)
 }
 
-// News gives those of the changes that say more than that an endpoint is still there, in their order. Endpoints write their
+// SignificantChanges gives those of the changes that say more than that an endpoint is still there, in their order. Endpoints write their
 // entries every second or so with nothing new but a count: told of all endpoints to all peers, those would fill the reading
 // entry's link.
-func (r *Registry) News(changes []Change) []Change {
+func (r *Registry) SignificantChanges(changes []Change) []Change {
 	named := make(map[string]bool)
 	for _, c := range changes {
 		if !r.says(&c) {
@@ -216,7 +216,7 @@
 		return false
 	}
 	told := *c.Endpoint
-	if told.ColderThan(&e.endpoint) {
+	if told.BecameColdSince(&e.endpoint) {
 		return false
 	}
 	told.ColdUntil = e.endpoint.ColdUntil
@@ -419,10 +419,10 @@
 	return dropped
 }
 
-// Lists tells whether an endpoint is known, in the start that began at a time; a zero one is that of any start.
-func (r *Registry) Lists(id string, started time.Time) bool {
+// Contains tells whether an endpoint is known, in the start that began at a time; a zero one is that of any start.
+func (r *Registry) Contains(id string, started time.Time) bool {
 	e, known := r.entries[id]
-	return known && !e.unusable && e.endpoint.SameStart(&Endpoint{ID: id, Started: started})
+	return known && !e.unusable && e.endpoint.SameIncarnation(&Endpoint{ID: id, Started: started})
 }
 
 // ServiceOf gives the service of an endpoint, empty where it is not known.
@@ -433,8 +433,8 @@
 	return ""
 }
 
-// At gives the ids of the endpoints at an address; usually one.
-func (r *Registry) At(address string) []string { return r.atAddress[address] }
+// IDsAt gives the ids of the endpoints at an address; usually one.
+func (r *Registry) IDsAt(address string) []string { return r.atAddress[address] }
 
 // Usable lists the endpoints that may take work, in the order of their ids.
 func (r *Registry) Usable() []Endpoint {
--- a/registrar/registrar_test.go
+++ b/registrar/registrar_test.go
@@ -34,7 +34,7 @@
 
 func TestDrainingAndRemovedEndpointsTakeNoWork(t *testing.T) {
 	r := New(Config{})
-	r.Heard(start)
+	r.StoreAvailable(start)
 	r.Replace([]Change{put("a", 0, nil), put("b", 1, nil), put("c", 2, nil)}, pos(3), start)
 	require.Equal(t, []string{"a", "b", "c"}, ids(r))
 	r.Apply([]Change{put("a", 3, func(e *Endpoint) { e.Draining = true }), {ID: "b", Position: pos(4)}}, pos(5), start)
@@ -46,15 +46,15 @@
 // lived all along, write theirs again within two seconds. Requests that come in between must still find endpoints.
 func TestEntriesThatLapsedDuringAnOutageAreKeptUntilTheyAreBack(t *testing.T) {
 	r := New(Config{})
-	r.Heard(start)
+	r.StoreAvailable(start)
 	r.Replace([]Change{put("a", 0, nil), put("b", 1, nil)}, pos(2), start)
-	r.Lost()
-	r.Heard(at(8 * time.Second))
+	r.StoreUnavailable()
+	r.StoreAvailable(at(8 * time.Second))
 	r.Apply([]Change{{ID: "a", Position: pos(2)}, {ID: "b", Position: pos(3)}}, pos(4), at(8*time.Second))
 	require.Equal(t, []string{"a", "b"}, ids(r), "they may live")
 	r.Apply([]Change{put("a", 4, nil)}, pos(5), at(9*time.Second))
 	require.False(t, r.Tick(at(10*time.Second)), "two seconds are not over")
-	require.True(t, r.Tick(at(8*time.Second+DefaultReturnTime)))
+	require.True(t, r.Tick(at(8*time.Second+DefaultRecoveryGrace)))
 	require.Equal(t, []string{"a"}, ids(r), "the one that did not come back is gone")
 }
 
@@ -66,7 +66,7 @@
 	cold := func(e *Endpoint) { e.ColdUntil = at(time.Hour) }
 	coldStill := func(e *Endpoint) { e.ColdUntil = at(time.Hour + coldAgain) }
 	later := func(e *Endpoint) { e.Started = at(time.Second) }
-	r.Heard(start)
+	r.StoreAvailable(start)
 	r.Replace([]Change{put("a", 0, nil), put("b", 1, nil), put("c", 2, cold), {ID: "odd", Position: pos(3), Unusable: true}}, pos(4), start)
 	none := []Change(nil)
 	for name, c := range map[string]struct{ read, news []Change }{
@@ -81,17 +81,17 @@
 		"usable again":           {[]Change{put("odd", 5, nil)}, []Change{put("odd", 5, nil)}},
 		"away and back, a count": {[]Change{{ID: "a", Position: pos(5)}, put("b", 6, nil), put("a", 7, nil)}, []Change{{ID: "a", Position: pos(5)}, put("a", 7, nil)}},
 	} {
-		require.Equal(t, c.news, r.News(c.read), name)
+		require.Equal(t, c.news, r.SignificantChanges(c.read), name)
 	}
-	r.Lost()
+	r.StoreUnavailable()
 	r.Apply([]Change{{ID: "c", Position: pos(8)}}, pos(9), start)
-	require.Equal(t, []Change{put("c", 10, nil)}, r.News([]Change{put("c", 10, nil)}), "its removal was in doubt")
+	require.Equal(t, []Change{put("c", 10, nil)}, r.SignificantChanges([]Change{put("c", 10, nil)}), "its removal was in doubt")
 }
 
 // An endpoint crashes, and its address is given to a process of another service while the old entry still stands.
 func TestAnAddressBelongsToItsNewestEndpoint(t *testing.T) {
 	r := New(Config{})
-	r.Heard(start)
+	r.StoreAvailable(start)
 	same := func(e *Endpoint) { e.Address = "10.0.0.1:80" }
 	r.Apply([]Change{put("old", 0, same), put("new", 1, same)}, pos(2), start)
 	require.Equal(t, []string{"new"}, ids(r))
@@ -100,7 +100,7 @@
 // A stale read tells an older state: it must not bring a removed endpoint back, nor un-drain one.
 func TestOlderWordIsDropped(t *testing.T) {
 	r := New(Config{})
-	r.Heard(start)
+	r.StoreAvailable(start)
 	r.Replace([]Change{put("a", 7, func(e *Endpoint) { e.Draining = true })}, pos(8), start)
 	r.Apply([]Change{put("a", 5, nil)}, pos(6), start)
 	require.Empty(t, ids(r))
@@ -111,7 +111,7 @@
 
 func TestAListWithoutAnEndpointRemovesIt(t *testing.T) {
 	r := New(Config{})
-	r.Heard(start)
+	r.StoreAvailable(start)
 	r.Replace([]Change{put("a", 0, nil), put("b", 1, nil)}, pos(2), start)
 	r.Replace([]Change{put("b", 1, nil)}, pos(5), start)
 	require.Equal(t, []string{"b"}, ids(r))
@@ -119,12 +119,12 @@
 
 func TestChangesCanBeHandedToAPeer(t *testing.T) {
 	r := New(Config{})
-	r.Heard(start)
+	r.StoreAvailable(start)
 	r.Replace([]Change{put("a", 0, nil), put("b", 1, func(e *Endpoint) { e.Draining = true })}, pos(2), start)
 	other := New(Config{})
 	other.Replace(r.Changes(), r.Next(), at(time.Second))
 	require.Equal(t, ids(r), ids(other))
-	require.True(t, other.Known())
+	require.True(t, other.Loaded())
 }
 
 // Another writer puts something under an endpoint's key that can't be read. The endpoint gets no calls until its own next
@@ -138,11 +138,11 @@
 	}{
 		{"tail", func(r *Registry) { r.Apply([]Change{bad}, pos(3), start) }},
 		{"whole list", func(r *Registry) { r.Replace([]Change{bad, put("b", 1, nil)}, pos(3), start) }},
-		{"tail while the store is away", func(r *Registry) { r.Lost(); r.Apply([]Change{bad}, pos(3), start) }},
+		{"tail while the store is away", func(r *Registry) { r.StoreUnavailable(); r.Apply([]Change{bad}, pos(3), start) }},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			r := New(Config{})
-			r.Heard(start)
+			r.StoreAvailable(start)
 			r.Replace([]Change{put("a", 0, nil), put("b", 1, nil)}, pos(2), start)
 			tc.take(r)
 			require.Equal(t, []string{"b"}, ids(r))
@@ -161,7 +161,7 @@
 // the address, it would put the sound endpoint out of use.
 func TestAnEntryOfAnUnknownServiceTakesNoAddress(t *testing.T) {
 	r := New(Config{})
-	r.Heard(start)
+	r.StoreAvailable(start)
 	r.SetServices([]string{"s"}, start)
 	same := func(e *Endpoint) { e.Address = "10.0.0.1:80" }
 	foreign := func(e *Endpoint) { same(e); e.Service = "nowhere" }
@@ -175,7 +175,7 @@
 // of the new start. The new one must go on getting calls.
 func TestTheLateWordOfAnEarlierStartIsDropped(t *testing.T) {
 	r := New(Config{})
-	r.Heard(start)
+	r.StoreAvailable(start)
 	first := func(e *Endpoint) { e.Started = start; e.Draining = true }
 	second := func(e *Endpoint) { e.Started = at(time.Second) }
 	r.Apply([]Change{put("a", 0, second), put("a", 1, first)}, pos(2), start)
--- a/regulator/regulator_test.go
+++ b/regulator/regulator_test.go
@@ -142,7 +142,7 @@
 // listed is a list of one endpoint.
 func listed(id string, started time.Time) func(string, time.Time) bool {
 	return func(asked string, at time.Time) bool {
-		return (&registrar.Endpoint{ID: id, Started: started}).SameStart(&registrar.Endpoint{ID: asked, Started: at})
+		return (&registrar.Endpoint{ID: id, Started: started}).SameIncarnation(&registrar.Endpoint{ID: asked, Started: at})
 	}
 }
 
--- a/selector/selector.go
+++ b/selector/selector.go
@@ -78,7 +78,7 @@
 	FarTokens  int
 	Ejector    ejector.Config
 	// Off are the mechanisms that are switched off.
-	Off switcher.Off
+	Off switcher.Disabled
 }
 
 // Selector knows the endpoints of all services and the work under way at each.
@@ -143,8 +143,8 @@
 	for _, e := range all {
 		named[e.ID] = true
 		known, ok := s.byID[e.ID]
-		if ok && known.SameStart(&e) {
-			if e.ColderThan(&known.Endpoint) {
+		if ok && known.SameIncarnation(&e) {
+			if e.BecameColdSince(&known.Endpoint) {
 				known.cache = memory{}
 			}
 			known.Endpoint = e
--- a/switcher/switcher.go
+++ b/switcher/switcher.go
@@ -62,10 +62,10 @@
 	}
 }
 
-// UnknownError tells of a name that is no mechanism's.
-type UnknownError struct{ Name string }
+// UnknownMechanismError tells of a name that is no mechanism's.
+type UnknownMechanismError struct{ Name string }
 
-func (e *UnknownError) Error() string {
+func (e *UnknownMechanismError) Error() string {
 	names := make([]string, 0, len(All()))
 	for _, m := range All() {
 		names = append(names, string(m))
@@ -73,15 +73,15 @@
 	return fmt.Sprintf("no mechanism is named %q; there are %s", e.Name, strings.Join(names, ", "))
 }
 
-// Off holds the mechanisms that are switched off. The zero value has all on.
-type Off struct{ names map[Mechanism]bool }
+// Disabled holds the mechanisms that are switched off. The zero value has all on.
+type Disabled struct{ names map[Mechanism]bool }
 
-// Without switches the named mechanisms off. It fails with an *UnknownError.
-func Without(names ...string) (Off, error) {
-	off := Off{names: make(map[Mechanism]bool, len(names))}
+// Disable switches the named mechanisms off. It fails with an *UnknownError.
+func Disable(names ...string) (Disabled, error) {
+	off := Disabled{names: make(map[Mechanism]bool, len(names))}
 	for _, name := range names {
 		if !slices.Contains(All(), Mechanism(name)) {
-			return Off{}, &UnknownError{Name: name}
+			return Disabled{}, &UnknownMechanismError{Name: name}
 		}
 		off.names[Mechanism(name)] = true
 	}
@@ -89,10 +89,10 @@
 }
 
 // Has tells whether a mechanism is switched off.
-func (o Off) Has(m Mechanism) bool { return o.names[m] }
+func (o Disabled) Has(m Mechanism) bool { return o.names[m] }
 
 // Names lists what is switched off.
-func (o Off) Names() []string {
+func (o Disabled) Names() []string {
 	names := make([]string, 0, len(o.names))
 	for _, m := range All() {
 		if o.Has(m) {
