--- a/assembler/forwarding.go
+++ b/assembler/forwarding.go
@@ -133,8 +133,8 @@
 		Listen:  l,
 		Name:    e.settings.Name,
 		Key:     peerSecret[:],
-		Handler: e.forwarder.TakeMessage,
-		Refused: e.forwarder.RefusedPeer,
+		Handler: e.forwarder.HandleMessage,
+		Refused: e.forwarder.RecordConnectionRefused,
 		Log:     e.log,
 
 		DialTimeout: peerDialTimeout,
--- a/forwarder/duty_test.go
+++ b/forwarder/duty_test.go
@@ -14,7 +14,7 @@
 func (m *mesh) reader(now time.Time) []string {
 	var names []string
 	for name, f := range m.nodes {
-		if _, reads := f.ReadsEndpoints(now); reads {
+		if _, reads := f.ShouldReadEndpoints(now); reads {
 			names = append(names, name)
 		}
 	}
@@ -28,18 +28,18 @@
 	now := time.Now()
 	require.Len(t, m.reader(now), 1, "all have just read the list")
 	duty, _ := m.nodes["entry-0"].owner(readerDuty, nil)
-	m.nodes[duty].TakeEndpoints([]registrar.Change{endpointAt("a")}, locator.At(0, 0), locator.At(0, 4), now)
+	m.nodes[duty].ApplyEndpoints([]registrar.Change{endpointAt("a")}, locator.At(0, 0), locator.At(0, 4), now)
 	require.Equal(t, []string{duty}, m.reader(time.Now()))
 	for _, f := range m.nodes {
 		require.Equal(t, 1, f.selector.Count("plain"))
-		from, _ := f.ReadsEndpoints(now)
+		from, _ := f.ShouldReadEndpoints(now)
 		require.Equal(t, locator.At(0, 4), from)
 	}
 	require.Len(t, m.reader(time.Now().Add(newsPatience-time.Millisecond)), 1)
 	require.Len(t, m.reader(time.Now().Add(newsPatience+rankStep)), 2, "the next one first: if the store answers it, it tells the others")
 	require.Len(t, m.reader(time.Now().Add(newsPatience+2*rankStep)), 3)
 
-	m.nodes[duty].TakeEndpoints([]registrar.Change{{ID: "a", Position: locator.At(0, 9)}}, locator.At(0, 9), locator.At(0, 10), time.Now())
+	m.nodes[duty].ApplyEndpoints([]registrar.Change{{ID: "a", Position: locator.At(0, 9)}}, locator.At(0, 9), locator.At(0, 10), time.Now())
 	for name, f := range m.nodes {
 		want := 1
 		if name == duty {
@@ -59,7 +59,7 @@
 	require.Len(t, readers, 2)
 	for _, name := range readers {
 		if name != duty {
-			m.nodes[name].TakeEndpoints([]registrar.Change{endpointAt("a")}, locator.At(0, 0), locator.At(0, 4), later)
+			m.nodes[name].ApplyEndpoints([]registrar.Change{endpointAt("a")}, locator.At(0, 0), locator.At(0, 4), later)
 		}
 	}
 	for name, f := range m.nodes {
@@ -76,14 +76,14 @@
 	now := time.Now()
 	reading := func(now time.Time) (n int) {
 		for _, f := range m.nodes {
-			if f.ReadsConfig(now) {
+			if f.ShouldReadConfig(now) {
 				n++
 			}
 		}
 		return n
 	}
 	for _, f := range m.nodes {
-		f.ConfigHeard(now)
+		f.RecordConfigRead(now)
 	}
 	require.Equal(t, configReaders, reading(now))
 	silent := now.Add(configSilence)
@@ -91,7 +91,7 @@
 	require.Equal(t, configReaders+3, reading(silent.Add(2*rankStep)))
 	for _, f := range m.nodes {
 		if f.rank(configDuty) == configReaders {
-			f.ConfigHeard(now.Add(configSilence))
+			f.RecordConfigRead(now.Add(configSilence))
 		}
 	}
 	m.beat(2)
@@ -127,10 +127,10 @@
 func TestAConfigurationNeverGoesBack(t *testing.T) {
 	m := newMesh(t, 1)
 	f := m.nodes["entry-0"]
-	require.NoError(t, f.TakeConfig([]byte("7"), "test", time.Now()))
-	require.NoError(t, f.TakeConfig([]byte("5"), "peer", time.Now()))
+	require.NoError(t, f.ApplyConfig([]byte("7"), "test", time.Now()))
+	require.NoError(t, f.ApplyConfig([]byte("5"), "peer", time.Now()))
 	require.Equal(t, int64(7), f.Catalog().Version())
-	require.Error(t, f.TakeConfig([]byte("garbage"), "peer", time.Now()))
+	require.Error(t, f.ApplyConfig([]byte("garbage"), "peer", time.Now()))
 	require.Equal(t, int64(7), f.Catalog().Version())
 }
 
--- a/forwarder/era_test.go
+++ b/forwarder/era_test.go
@@ -20,14 +20,14 @@
 		t.Run(fmt.Sprint(n), func(t *testing.T) {
 			m, rnd := newLossyMesh(t, n, 2)
 			for _, f := range m.nodes {
-				f.StoreHeard(0, m.now)
+				f.RecordStoreResponse(0, m.now)
 				f.ReplaceEndpoints([]registrar.Change{endpointAt("a")}, locator.At(0, 9), m.now)
 			}
 			duty, _ := m.nodes["entry-0"].owner(readerDuty, nil)
 			reader := m.nodes[duty]
 			fresh := endpointAt("b")
 			fresh.Position = locator.At(1, 4)
-			reader.StoreHeard(1, m.now)
+			reader.RecordStoreResponse(1, m.now)
 			reader.ReplaceEndpoints([]registrar.Change{fresh}, locator.At(1, 5), m.now)
 			reader.ReplaceEvacuations(evacuator.State{Next: locator.At(1, 2), Zones: []string{"z0"}}, m.now)
 			behind := func() (list []string) {
@@ -42,7 +42,7 @@
 			for ; len(behind()) > 0; rounds++ {
 				require.Less(t, rounds, 40, "behind: %v", behind())
 				for _, name := range behind() {
-					if _, reads := m.nodes[name].ReadsEndpoints(m.now); reads {
+					if _, reads := m.nodes[name].ShouldReadEndpoints(m.now); reads {
 						readings++
 					}
 				}
--- a/forwarder/evacuation.go
+++ b/forwarder/evacuation.go
@@ -11,8 +11,8 @@
 	"geraniumline/meter"
 )
 
-// TakeEvacuations takes the operator's records on availability zones that follow those known, up to a position.
-func (f *Forwarder) TakeEvacuations(changes []evacuator.Change, next locator.Position, now time.Time) {
+// ApplyEvacuations takes the operator's records on availability zones that follow those known, up to a position.
+func (f *Forwarder) ApplyEvacuations(changes []evacuator.Change, next locator.Position, now time.Time) {
 	f.locked(func() []func() {
 		return f.evacuationsTaken(f.evacuator.Apply(changes, next, now), "store", now)
 	})
--- a/forwarder/evacuation_test.go
+++ b/forwarder/evacuation_test.go
@@ -60,7 +60,7 @@
 			m, rnd := newLossyMesh(t, n, 1)
 			for _, f := range m.nodes {
 				if f.rank(configDuty) < configReaders {
-					f.TakeEvacuations([]evacuator.Change{{Zone: "z0", Position: locator.At(0, 7), Evacuated: true}}, locator.At(0, 8), m.now)
+					f.ApplyEvacuations([]evacuator.Change{{Zone: "z0", Position: locator.At(0, 7), Evacuated: true}}, locator.At(0, 8), m.now)
 				}
 			}
 			rounds, most := 0, 0
@@ -87,9 +87,9 @@
 	f := New(Config{Name: "entry-0", Log: zap.NewNop()}, now)
 	require.Less(t, f.startReturn(now.Add(50*time.Millisecond)), time.Second)
 	require.GreaterOrEqual(t, f.startReturn(now.Add(storeAnswers)), storeAwayReturn)
-	f.StoreLost(errors.New("no answer"), now)
+	f.RecordStoreFailure(errors.New("no answer"), now)
 	require.GreaterOrEqual(t, f.startReturn(now.Add(50*time.Millisecond)), storeAwayReturn)
-	f.StoreHeard(0, now)
+	f.RecordStoreResponse(0, now)
 	require.Less(t, f.startReturn(now.Add(50*time.Millisecond)), time.Second)
 }
 
--- a/forwarder/handler.go
+++ b/forwarder/handler.go
@@ -188,8 +188,8 @@
 	if timeout <= 0 {
 		timeout = defaultTimeout
 	}
-	if x.req.Patience > 0 {
-		timeout = min(timeout, x.req.Patience)
+	if x.req.Timeout > 0 {
+		timeout = min(timeout, x.req.Timeout)
 	}
 	x.deadline = x.began.Add(timeout)
 	x.due = x.began.Add(x.route.Objective)
@@ -278,10 +278,10 @@
 // callInfo is what a call to the endpoint says.
 func (x *exchange) callInfo(e registrar.Endpoint, now time.Time) CallInfo {
 	return CallInfo{
-		Patience:    x.deadline.Sub(now),
+		Timeout:     x.deadline.Sub(now),
 		Instance:    e.ID,
 		Account:     x.account,
-		KeepKey:     x.keepKey,
+		ForwardKey:  x.keepKey,
 		Priority:    x.priority,
 		HasPriority: x.service.Model != nil,
 	}
--- a/forwarder/knowledge.go
+++ b/forwarder/knowledge.go
@@ -14,9 +14,9 @@
 	"geraniumline/registrar"
 )
 
-// TakeConfig takes a configuration that was read from the store or told by a peer. An older one than that in force is
+// ApplyConfig takes a configuration that was read from the store or told by a peer. An older one than that in force is
 // dropped: a stale read must not bring back a route or key that was taken away.
-func (f *Forwarder) TakeConfig(data []byte, source string, now time.Time) error {
+func (f *Forwarder) ApplyConfig(data []byte, source string, now time.Time) error {
 	catalog, err := f.cfg.DecodeConfig(data)
 	if err != nil {
 		f.log.Error("configuration can't be used", zap.String("source", source), zap.Error(err))
@@ -56,9 +56,9 @@
 	return nil
 }
 
-// TakeEndpoints takes changes of endpoints' entries, from one position up to another, that were read from the store. The
+// ApplyEndpoints takes changes of endpoints' entries, from one position up to another, that were read from the store. The
 // entry that reads for all passes them on.
-func (f *Forwarder) TakeEndpoints(changes []registrar.Change, from, next locator.Position, now time.Time) {
+func (f *Forwarder) ApplyEndpoints(changes []registrar.Change, from, next locator.Position, now time.Time) {
 	f.locked(func() []func() {
 		news := f.registry.News(changes)
 		f.registry.Apply(changes, next, now)
@@ -79,8 +79,8 @@
 	})
 }
 
-// StoreHeard notes that the store has answered this entry, in which era.
-func (f *Forwarder) StoreHeard(era int64, now time.Time) {
+// RecordStoreResponse notes that the store has answered this entry, in which era.
+func (f *Forwarder) RecordStoreResponse(era int64, now time.Time) {
 	f.mu.Lock()
 	f.registry.Heard(now)
 	f.takeEra(era, "store")
@@ -92,9 +92,9 @@
 	}
 }
 
-// StoreLost notes that the store does not answer this entry. For the list of endpoints that counts only if it does not
+// RecordStoreFailure notes that the store does not answer this entry. For the list of endpoints that counts only if it does not
 // answer the entry that reads for all either.
-func (f *Forwarder) StoreLost(err error, now time.Time) {
+func (f *Forwarder) RecordStoreFailure(err error, now time.Time) {
 	f.mu.Lock()
 	if now.Sub(f.newsAt) >= newsPatience {
 		f.registry.Lost()
--- a/forwarder/leaving_test.go
+++ b/forwarder/leaving_test.go
@@ -52,7 +52,7 @@
 	m.leave("entry-0", "a")
 	require.Equal(t, map[string]int{"b": 50}, m.chosenAt("entry-0", 50))
 	// The store's older word on it, told by the entry that reads for all, changes nothing.
-	m.nodes["entry-0"].TakeEndpoints([]registrar.Change{{ID: "a", Position: locator.At(0, 6), Endpoint: endpointAt("a").Endpoint}}, locator.At(0, 5), locator.At(0, 7), m.now)
+	m.nodes["entry-0"].ApplyEndpoints([]registrar.Change{{ID: "a", Position: locator.At(0, 6), Endpoint: endpointAt("a").Endpoint}}, locator.At(0, 5), locator.At(0, 7), m.now)
 	require.Equal(t, map[string]int{"b": 50}, m.chosenAt("entry-0", 50))
 }
 
@@ -89,7 +89,7 @@
 	require.Empty(t, m.chosenAt("entry-0", 5))
 	again := started(second)
 	again.Position = locator.At(0, 8)
-	f.TakeEndpoints([]registrar.Change{again}, locator.At(0, 5), locator.At(0, 9), m.now)
+	f.ApplyEndpoints([]registrar.Change{again}, locator.At(0, 5), locator.At(0, 9), m.now)
 	require.Len(t, m.chosenAt("entry-0", 5), 1)
 	f.takeNotice(started(first).Endpoint, regulator.Notice{Leaving: true}, m.now)
 	f.takeMessage("entry-1", &carrier.Heartbeat{
--- a/forwarder/mesh_test.go
+++ b/forwarder/mesh_test.go
@@ -145,8 +145,8 @@
 		}, m.now.Add(-settleTime))
 		f.SetSender(port{m, name})
 		m.nodes[name] = f
-		require.NoError(t, f.TakeConfig([]byte("1"), "test", m.now))
-		f.StoreHeard(0, m.now)
+		require.NoError(t, f.ApplyConfig([]byte("1"), "test", m.now))
+		f.RecordStoreResponse(0, m.now)
 		f.ReplaceEndpoints(nil, locator.At(0, 0), m.now)
 	}
 	m.beat(5)
--- a/forwarder/notice.go
+++ b/forwarder/notice.go
@@ -14,8 +14,8 @@
 )
 
 // readAnswer decodes the header of an endpoint's answer, and takes what it says of the work that the endpoint takes.
-func (f *Forwarder) readAnswer(e *registrar.Endpoint, answer *connector.Answer) AnswerInfo {
-	info := f.cfg.Wire.ReadAnswer(answer.Status(), answer.Header())
+func (f *Forwarder) readAnswer(e *registrar.Endpoint, answer *connector.Answer) ResponseInfo {
+	info := f.cfg.Wire.ReadResponse(answer.Status(), answer.Header())
 	if info.NoticeErr != nil {
 		f.cfg.Meter.Counter(meter.NoticesUnusable, e.Service).Inc(1)
 		f.noteNotice("endpoint's notice can't be used", zap.String("endpoint", e.ID), zap.Error(info.NoticeErr))
--- a/forwarder/peers.go
+++ b/forwarder/peers.go
@@ -74,8 +74,8 @@
 	}
 }
 
-// Alone tells whether this entry hears no other one, be it ready or not.
-func (f *Forwarder) Alone() bool {
+// Isolated tells whether this entry hears no other one, be it ready or not.
+func (f *Forwarder) Isolated() bool {
 	now := time.Now()
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -84,8 +84,8 @@
 	})
 }
 
-// TakePeer takes the address of an entry that may live: heartbeats to it show whether it does.
-func (f *Forwarder) TakePeer(address, zone string, now time.Time) {
+// AddPeerAddress takes the address of an entry that may live: heartbeats to it show whether it does.
+func (f *Forwarder) AddPeerAddress(address, zone string, now time.Time) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.detector.Hint(address, zone, false, now)
@@ -189,8 +189,8 @@
 	return &carrier.EndpointsCall{Era: next.Era(), Next: next.Offset(), AgeMillis: f.registry.Age(now).Milliseconds()}
 }
 
-// TakeMessage takes a message from the peer that proved the name.
-func (f *Forwarder) TakeMessage(from string, m carrier.Message) { f.takeMessage(from, m, time.Now()) }
+// HandleMessage takes a message from the peer that proved the name.
+func (f *Forwarder) HandleMessage(from string, m carrier.Message) { f.takeMessage(from, m, time.Now()) }
 
 func (f *Forwarder) takeMessage(from string, m carrier.Message, now time.Time) {
 	switch m := m.(type) {
@@ -215,7 +215,7 @@
 		f.locked(func() []func() { return f.replyConfig(from) })
 	case *carrier.ConfigReply:
 		// An error was logged, and the next heartbeat asks again.
-		_ = f.TakeConfig(m.Data, from, now)
+		_ = f.ApplyConfig(m.Data, from, now)
 	case *carrier.EndpointsCall:
 		f.locked(func() []func() { return f.replyEndpoints(from, m, now) })
 	case *carrier.EndpointsReply:
@@ -247,8 +247,8 @@
 	run(todo)
 }
 
-// RefusedPeer notes that the network says that no process listens at a peer address.
-func (f *Forwarder) RefusedPeer(address string) {
+// RecordConnectionRefused notes that the network says that no process listens at a peer address.
+func (f *Forwarder) RecordConnectionRefused(address string) {
 	now := time.Now()
 	f.locked(func() []func() { return f.takeTransitions(f.detector.Refuse(address, now), now) })
 }
--- a/forwarder/pieces_test.go
+++ b/forwarder/pieces_test.go
@@ -33,13 +33,13 @@
 	require.True(t, a.accepted)
 
 	first := carrier.PieceResult{Number: 0, Handle: "h0", Address: "x:1"}
-	asking.TakeMessage(a.owner, &carrier.PieceResults{Service: "encode", Request: "r", Results: []carrier.PieceResult{first}})
+	asking.HandleMessage(a.owner, &carrier.PieceResults{Service: "encode", Request: "r", Results: []carrier.PieceResult{first}})
 	got := <-a.results
 	require.Equal(t, "h0", got.Result.Handle)
 	m.cut[owner] = false
 	freed := m.sent["*carrier.PieceFree"]
 	second := carrier.PieceResult{Number: 0, Handle: "h0-again", Address: "y:1"}
-	asking.TakeMessage(owner, &carrier.PieceResults{Service: "encode", Request: "r", Results: []carrier.PieceResult{second}})
+	asking.HandleMessage(owner, &carrier.PieceResults{Service: "encode", Request: "r", Results: []carrier.PieceResult{second}})
 	require.Equal(t, freed+1, m.sent["*carrier.PieceFree"])
 	require.Empty(t, a.results)
 }
--- a/forwarder/plain.go
+++ b/forwarder/plain.go
@@ -76,10 +76,10 @@
 	return context.WithDeadline(x.ctx, now.Add(wait))
 }
 
-func (x *exchange) exchangePlain(ctx context.Context, choice selector.Choice, now time.Time) (*connector.Answer, AnswerInfo, []byte, error) {
+func (x *exchange) exchangePlain(ctx context.Context, choice selector.Choice, now time.Time) (*connector.Answer, ResponseInfo, []byte, error) {
 	answer, err := x.f.cfg.Client.Do(ctx, x.call(choice, x.callInfo(choice.Endpoint, now)))
 	if err != nil {
-		return nil, AnswerInfo{}, nil, err
+		return nil, ResponseInfo{}, nil, err
 	}
 	info := x.f.readAnswer(&choice.Endpoint, answer)
 	body, err := answer.ReadWhole(maxPlainAnswer)
@@ -112,7 +112,7 @@
 
 func (x *exchange) copyHeader(from http.Header) {
 	h := x.w.Header()
-	for name, values := range x.f.cfg.Wire.AnswerHeader(from) {
+	for name, values := range x.f.cfg.Wire.ResponseHeader(from) {
 		h[name] = values
 	}
 }
--- a/forwarder/reader.go
+++ b/forwarder/reader.go
@@ -40,14 +40,14 @@
 	addressKeepers = 8
 )
 
-// ReadsConfig tells whether this entry is to follow the configuration in the store now.
-func (f *Forwarder) ReadsConfig(now time.Time) bool {
+// ShouldReadConfig tells whether this entry is to follow the configuration in the store now.
+func (f *Forwarder) ShouldReadConfig(now time.Time) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.readsConfig(now)
 }
 
-// readsConfig is ReadsConfig with the lock held.
+// readsConfig is ShouldReadConfig with the lock held.
 func (f *Forwarder) readsConfig(now time.Time) bool {
 	rank := f.rank(configDuty)
 	if f.catalog == nil {
@@ -66,23 +66,23 @@
 	return f.cfg.FirstStart && now.Sub(f.began) < firstStartPatience
 }
 
-// ConfigHeard notes that the store has answered a reading of the configuration.
-func (f *Forwarder) ConfigHeard(now time.Time) {
+// RecordConfigRead notes that the store has answered a reading of the configuration.
+func (f *Forwarder) RecordConfigRead(now time.Time) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.configHeard = now
 }
 
-// LeavesAddress tells whether this entry is to leave its address in the store.
-func (f *Forwarder) LeavesAddress(now time.Time) bool {
+// ShouldRegisterAddress tells whether this entry is to leave its address in the store.
+func (f *Forwarder) ShouldRegisterAddress(now time.Time) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return !f.settling(now) && f.rank(addressDuty) < addressKeepers
 }
 
-// ReadsEndpoints tells whether this entry is to read the endpoints' entries from the store now, and from which offset.
+// ShouldReadEndpoints tells whether this entry is to read the endpoints' entries from the store now, and from which offset.
 // The one that the duty falls to does; any other only while it hears nothing, one after the other.
-func (f *Forwarder) ReadsEndpoints(now time.Time) (locator.Position, bool) {
+func (f *Forwarder) ShouldReadEndpoints(now time.Time) (locator.Position, bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	from := locator.Nowhere
--- a/forwarder/storm_test.go
+++ b/forwarder/storm_test.go
@@ -24,7 +24,7 @@
 	}
 	for _, f := range m.nodes {
 		f.ReplaceEndpoints(all, locator.At(0, 4), time.Now())
-		f.StoreHeard(0, time.Now().Add(-endpointsPatience-time.Second))
+		f.RecordStoreResponse(0, time.Now().Add(-endpointsPatience-time.Second))
 	}
 	m.sent = map[string]int{}
 	m.beat(1)
@@ -38,11 +38,11 @@
 func TestAStaleEntryIsToldOnce(t *testing.T) {
 	m := newMesh(t, 3)
 	stale := m.nodes["entry-2"]
-	stale.StoreHeard(0, time.Now().Add(-endpointsPatience-time.Second))
+	stale.RecordStoreResponse(0, time.Now().Add(-endpointsPatience-time.Second))
 	for _, name := range []string{"entry-0", "entry-1"} {
 		f := m.nodes[name]
 		f.ReplaceEndpoints([]registrar.Change{endpointAt("a")}, locator.At(0, 4), time.Now())
-		f.StoreHeard(0, time.Now())
+		f.RecordStoreResponse(0, time.Now())
 	}
 	m.sent = map[string]int{}
 	stale.heartbeat(time.Now())
--- a/forwarder/stream.go
+++ b/forwarder/stream.go
@@ -117,7 +117,7 @@
 }
 
 // refused passes over an endpoint that did not run the request.
-func (s *streamer) refused(choice selector.Choice, answer *connector.Answer, info AnswerInfo) (bool, *FailureError) {
+func (s *streamer) refused(choice selector.Choice, answer *connector.Answer, info ResponseInfo) (bool, *FailureError) {
 	if _, err := answer.ReadWhole(maxPlainAnswer); err != nil {
 		s.x.f.log.Debug("refusal cut short", zap.String("request", s.x.req.ID), zap.Error(err))
 	}
--- a/forwarder/wire.go
+++ b/forwarder/wire.go
@@ -13,8 +13,8 @@
 type Request struct {
 	// ID names one attempt of the caller.
 	ID string
-	// Patience is how long the caller waits; 0 where it does not say.
-	Patience time.Duration
+	// Timeout is how long the caller waits; 0 where it does not say.
+	Timeout time.Duration
 	// Key is the credential of a client account.
 	Key string
 	// Parts are the prompt's parts.
@@ -28,8 +28,8 @@
 
 // CallInfo is what a call to an endpoint says beside the caller's own header.
 type CallInfo struct {
-	// Patience is how long the endpoint may work.
-	Patience time.Duration
+	// Timeout is how long the endpoint may work.
+	Timeout time.Duration
 	// Instance is the endpoint's id: another process at its address refuses the call.
 	Instance string
 	Account  string
@@ -40,12 +40,12 @@
 	Inputs []string
 	// LastEvent is the last event that was passed on, where a stream goes on at another endpoint.
 	LastEvent string
-	// KeepKey passes the caller's credential on: only where the system itself has no keys.
-	KeepKey bool
+	// ForwardKey passes the caller's credential on: only where the system itself has no keys.
+	ForwardKey bool
 }
 
-// AnswerInfo is what an endpoint's answer says beside its content.
-type AnswerInfo struct {
+// ResponseInfo is what an endpoint's answer says beside its content.
+type ResponseInfo struct {
 	// NotRun tells that the endpoint did not run the request and will not.
 	NotRun bool
 	// InputGone tells that a stage's result is no longer there.
@@ -61,10 +61,10 @@
 	ReadRequest(h http.Header) (Request, error)
 	// CallHeader gives the header of a call. Headers that only the system may set are removed from the caller's.
 	CallHeader(caller http.Header, info CallInfo) http.Header
-	// ReadAnswer decodes an endpoint's answer.
-	ReadAnswer(status int, h http.Header) AnswerInfo
-	// AnswerHeader gives the part of an endpoint's header that the caller gets.
-	AnswerHeader(h http.Header) http.Header
+	// ReadResponse decodes an endpoint's answer.
+	ReadResponse(status int, h http.Header) ResponseInfo
+	// ResponseHeader gives the part of an endpoint's header that the caller gets.
+	ResponseHeader(h http.Header) http.Header
 	// EchoHeader is the header that endpoints send back as it came.
 	EchoHeader() string
 	// PiecesTarget and FreeTarget are the paths of the calls on pieces.
