--- a/cataloger/cataloger.go
+++ b/cataloger/cataloger.go
@@ -99,7 +99,7 @@
 // Limits are the bounds of callers' connections.
 func (c *Catalog) Limits() Limits { return c.limits }
 
-// Homes gives the regions that a host's routes may be served in, in the order of their names; none where all of them may be
+// AllowedRegions gives the regions that a host's routes may be served in, in the order of their names; none where all of them may be
 // in any.
 func (c *Catalog) AllowedRegions(host string) []string {
 	var homes []string
@@ -142,5 +142,5 @@
 	return a, known
 }
 
-// NeedsKeys tells whether requests must carry a key, except on anonymous routes.
+// RequiresKeys tells whether requests must carry a key, except on anonymous routes.
 func (c *Catalog) RequiresKeys() bool { return len(c.byKey) > 0 }
--- a/cataloger/route.go
+++ b/cataloger/route.go
@@ -90,7 +90,7 @@
 	return r.Targets[len(r.Targets)-1].Service
 }
 
-// LastStages gives the stages whose results no other stage takes. With counts, stages that have no piece in this
+// FinalStages gives the stages whose results no other stage takes. With counts, stages that have no piece in this
 // request are passed over, and the stages before them take their place only if nothing else follows them.
 func (r *Route) FinalStages(counts []int) []int {
 	followed := make([]bool, len(r.Stages))
--- a/collector/collector.go
+++ b/collector/collector.go
@@ -34,7 +34,7 @@
 	// roomWait is how long a free endpoint may wait for space for half a call. A call takes long before its first
 	// piece: one that is sent with the few pieces that find space costs more of the endpoint than the wait.
 	roomWait = 100 * time.Millisecond
-	// HeavyBytes is what must cross zones for a group to wait for an endpoint of its own zone.
+	// ZoneAffinityBytes is what must cross zones for a group to wait for an endpoint of its own zone.
 	ZoneAffinityBytes = 500_000
 	// zoneSlack is how many calls must fit before the results are due for a group to wait for an endpoint of its
 	// zone: the wait for the next free one takes half a call at most times, and one is for the call itself.
@@ -165,7 +165,7 @@
 
 func (p *Pool) emit(e Effect) { p.effects = append(p.effects, e) }
 
-// Waiting is how many pieces are in no call.
+// WaitingPieces is how many pieces are in no call.
 func (p *Pool) WaitingPieces() int {
 	n := 0
 	for _, g := range p.groups {
@@ -174,12 +174,12 @@
 	return n
 }
 
-// Wait predicts how long a piece that comes now, no more urgent than others, would wait for its call to begin.
+// PredictedWait predicts how long a piece that comes now, no more urgent than others, would wait for its call to begin.
 func (p *Pool) PredictedWait(now time.Time) time.Duration {
 	return max(p.queueTime(p.WaitingPieces(), p.capacity()), p.heldUntil(now).Sub(now))
 }
 
-// Over tells for how long more has come than can be made: groups were given up since others went before them. It is zero
+// OverloadedFor tells for how long more has come than can be made: groups were given up since others went before them. It is zero
 // once none has been for a while.
 func (p *Pool) OverloadedFor(now time.Time) time.Duration {
 	if p.overAt.IsZero() || now.Sub(p.overAt) >= overLife {
--- a/collector/event.go
+++ b/collector/event.go
@@ -112,7 +112,7 @@
 	Reason Reason
 }
 
-// CallEnd tells how a call went.
+// CallOutcome tells how a call went.
 type CallOutcome uint8
 
 // The ends of calls.
@@ -148,10 +148,10 @@
 // Event is what can happen to a pool.
 type Event interface{ event() }
 
-// Arrived brings pieces to be made.
+// GroupArrived brings pieces to be made.
 type GroupArrived struct{ Group Group }
 
-// Withdrawn tells that pieces are not needed any more.
+// GroupWithdrawn tells that pieces are not needed any more.
 type GroupWithdrawn struct{ ID GroupID }
 
 // CallEnded brings the end of a call.
@@ -161,17 +161,17 @@
 	Results []PieceResult
 }
 
-// Made is a result and where it lies.
+// ResultRef is a result and where it lies.
 type ResultRef struct {
 	Handle string
 	// Address is that of the endpoint that made it.
 	Address string
 }
 
-// Freed names results that are not needed any more.
+// ResultsReleased names results that are not needed any more.
 type ResultsReleased struct{ Results []ResultRef }
 
-// FreeEnded tells that a call that freed results is over, well or not.
+// FreeCallEnded tells that a call that freed results is over, well or not.
 type FreeCallEnded struct{ Results []ResultRef }
 
 // EndpointsChanged brings the endpoints that may get work.
@@ -185,10 +185,10 @@
 // OriginLost tells that an entry has ended: its requests need no more pieces.
 type OriginLost struct{ Origin string }
 
-// Closing tells that this entry stops: what has not begun is asked for elsewhere.
+// Stopping tells that this entry stops: what has not begun is asked for elsewhere.
 type Stopping struct{}
 
-// HandedBack tells that another entry collects now: what waits is asked for there, but for what is kept here.
+// Reassigned tells that another entry collects now: what waits is asked for there, but for what is kept here.
 type Reassigned struct{}
 
 // Ticked lets time pass.
@@ -235,10 +235,10 @@
 	Handles []string
 }
 
-// InputsRead tells the entry that has the request that the endpoints have fetched the inputs of all of a group's pieces.
+// InputsFetched tells the entry that has the request that the endpoints have fetched the inputs of all of a group's pieces.
 type InputsFetched struct{ ID GroupID }
 
-// Judged tells that an endpoint was taken out of use or let back.
+// HealthChanged tells that an endpoint was taken out of use or let back.
 type HealthChanged struct {
 	Endpoint registrar.Endpoint
 	OutOfUse bool
--- a/collector/fetch.go
+++ b/collector/fetch.go
@@ -17,7 +17,7 @@
 	shortLife = 500 * time.Millisecond
 )
 
-// FetchedAfter is how long after it was sent a call's inputs lie at the endpoint, which come from a stage's endpoints.
+// FetchDelay is how long after it was sent a call's inputs lie at the endpoint, which come from a stage's endpoints.
 func FetchDelay(stage *cataloger.StagePool, inputBytes int64) time.Duration {
 	return fetchMargin + fetchFactor*stage.FetchTime(inputBytes)
 }
@@ -52,7 +52,7 @@
 	p.emit(InputsFetched{ID: g.ID})
 }
 
-// Short tells whether space for results, and not time, held calls back lately.
+// ShortOfSpace tells whether space for results, and not time, held calls back lately.
 func (p *Pool) ShortOfSpace(now time.Time) bool {
 	return !p.shortAt.IsZero() && now.Sub(p.shortAt) < shortLife
 }
--- a/divider/divider.go
+++ b/divider/divider.go
@@ -44,7 +44,7 @@
 	return Pool{Service: service, Zone: zone}
 }
 
-// Takes tells whether an endpoint is one of the pool's.
+// Contains tells whether an endpoint is one of the pool's.
 func (p Pool) Contains(e *registrar.Endpoint) bool {
 	return e.Service == p.Service && (p.Zone == "" || e.Zone == p.Zone)
 }
@@ -75,7 +75,7 @@
 	return &Divider{open: make(map[string]map[string]int), divided: make(map[string]bool), total: make(map[string]int)}
 }
 
-// Told notes that a peer says that a service is divided. An entry that starts while endpoints are few would else take it for one
+// MarkDivided notes that a peer says that a service is divided. An entry that starts while endpoints are few would else take it for one
 // pool beside those that know it as divided, and two would collect for each endpoint.
 func (d *Divider) MarkDivided(service string) {
 	if d.total[service] >= joinBelow {
--- a/planner/plan.go
+++ b/planner/plan.go
@@ -65,7 +65,7 @@
 	return Load{Wait: max(0, p.PredictedWait(now)), Turnaround: p.Turnaround(), ShortOfSpace: p.ShortOfSpace(now), OverloadedFor: p.OverloadedFor(now)}
 }
 
-// Freed are results of one stage that nothing needs any more.
+// ReleasedResults are results of one stage that nothing needs any more.
 type ReleasedResults struct {
 	Service string
 	Stage   int
@@ -121,7 +121,7 @@
 // Service is that of a stage.
 func (p *Plan) Service(stage int) string { return p.cfg.Stages[stage].Service }
 
-// Zones are where the results of a stage lie, by piece.
+// ResultZones are where the results of a stage lie, by piece.
 func (p *Plan) ResultZones(stage int) []string { return p.stages[stage].zones }
 
 // StageDone tells whether all pieces of a stage are made.
@@ -178,7 +178,7 @@
 	return true
 }
 
-// Group gives the pieces of a stage that are to be asked for, and takes them as asked for.
+// StartStage gives the pieces of a stage that are to be asked for, and takes them as asked for.
 func (p *Plan) StartStage(stage int, view View, now time.Time) collector.Group {
 	t := &p.stages[stage]
 	t.asked = true
@@ -222,7 +222,7 @@
 	}
 }
 
-// Took takes a piece's result.
+// AddResult takes a piece's result.
 func (p *Plan) AddResult(stage int, d collector.Deliver) []ReleasedResults {
 	t := &p.stages[stage]
 	if t.made[d.Segment].Handle != "" {
@@ -237,7 +237,7 @@
 	return p.freeInputs(stage)
 }
 
-// InputsRead notes that the inputs of a stage were fetched. They are of no more use unless a piece fails, one in some
+// InputsFetched notes that the inputs of a stage were fetched. They are of no more use unless a piece fails, one in some
 // hundred; they are then made again. While more waits at the stage than its next calls take they are kept all the same:
 // the space that they take keeps the stage before from making more than this one can use, for groups that will be late.
 func (p *Plan) InputsFetched(stage int, view View) []ReleasedResults {
@@ -248,7 +248,7 @@
 	return p.freeInputs(stage)
 }
 
-// Remake has a stage's inputs made again that have lapsed, and then what is missing of the stage itself. Without it a
+// RecomputeInputs has a stage's inputs made again that have lapsed, and then what is missing of the stage itself. Without it a
 // request that waited for longer than results are kept would fail, although there is time left. It lists the stages that
 // are no longer asked for, and tells whether it may be done.
 func (p *Plan) RecomputeInputs(stage int) (ended []int, freed []ReleasedResults, again bool) {
@@ -262,7 +262,7 @@
 	return append(ended, stage), freed, true
 }
 
-// LastFetched is how long after the request was sent the model engine has fetched the results that it takes, and whether
+// FinalFetchDelay is how long after the request was sent the model engine has fetched the results that it takes, and whether
 // space for them is so short that they should be given back as soon as it has.
 func (p *Plan) FinalFetchDelay(view View) (after time.Duration, short bool) {
 	for _, i := range p.last() {
@@ -277,13 +277,13 @@
 	return after, short && !p.cfg.Off.Has(switcher.FetchedFreed)
 }
 
-// LastFreed tells whether results that the request itself takes were given back: another endpoint can't be sent it before they
+// FinalResultsFreed tells whether results that the request itself takes were given back: another endpoint can't be sent it before they
 // are made again.
 func (p *Plan) FinalResultsFreed() bool {
 	return slices.ContainsFunc(p.last(), func(i int) bool { return p.stages[i].freed })
 }
 
-// RemakeLast has the results made again that the request itself takes and that were given back, to be due by other times than
+// RecomputeFinalResults has the results made again that the request itself takes and that were given back, to be due by other times than
 // before. It lists the stages that are no longer asked for, and tells whether it may be done.
 func (p *Plan) RecomputeFinalResults(due, firstBy time.Time) (ended []int, freed []ReleasedResults, again bool) {
 	if p.remakes >= maxRemakes {
@@ -361,7 +361,7 @@
 	return []ReleasedResults{{Service: p.Service(stage), Stage: stage, Results: made}}
 }
 
-// FreeLast gives back what the request itself took.
+// FreeFinalResults gives back what the request itself took.
 func (p *Plan) FreeFinalResults() []ReleasedResults {
 	var freed []ReleasedResults
 	for _, stage := range p.last() {
@@ -379,7 +379,7 @@
 	return freed
 }
 
-// Inputs lists the results that the request itself takes.
+// RequestInputs lists the results that the request itself takes.
 func (p *Plan) RequestInputs() []string {
 	var handles []string
 	for _, stage := range p.last() {
@@ -390,7 +390,7 @@
 	return handles
 }
 
-// ZoneBytes tells where the inputs of the request itself lie.
+// InputBytesByZone tells where the inputs of the request itself lie.
 func (p *Plan) InputBytesByZone() map[string]int64 {
 	zones := make(map[string]int64)
 	for _, stage := range p.last() {
--- a/planner/timing.go
+++ b/planner/timing.go
@@ -13,7 +13,7 @@
 	// earlyFactor is how many times its usual time before the others are done a stage with large results is begun: nine
 	// of ten groups take at most about twice the usual time.
 	earlyFactor = 1.5
-	// LookAgain is how often a stage that waits for others should be looked at: a tenth of what a call takes at least.
+	// RecheckInterval is how often a stage that waits for others should be looked at: a tenth of what a call takes at least.
 	RecheckInterval = 15 * time.Millisecond
 	// shortReturn is when a caller may come back that was refused for what is over in a moment: a start, a full endpoint.
 	// It is spread by as much again, so that callers refused together do not come back together.
@@ -24,18 +24,18 @@
 // give up.
 const maxOver = 2 * time.Second
 
-// ReturnAfter is when a refused caller should come back: after what waits now is done, and, where more comes than can be
+// RetryAfter is when a refused caller should come back: after what waits now is done, and, where more comes than can be
 // made, after as long again as that has lasted. How long a surge will go on nobody knows; it has as often as not as long
 // again to go as it has lasted. The draw is from 0 to 1.
 func RetryAfter(load Load, draw float64) time.Duration {
 	return load.Wait + min(load.OverloadedFor, maxOver) + shortReturn + time.Duration(draw*float64(shortReturn))
 }
 
-// LastStart is when the model engine must have the request for its first event to find the caller still there. Results
+// LatestModelStart is when the model engine must have the request for its first event to find the caller still there. Results
 // that come later are of no use to anybody, and a caller that is told before it leaves can still come back.
 func (p *Plan) LatestModelStart() time.Time { return p.cfg.FirstEventDeadline.Add(-p.cfg.ModelTime) }
 
-// Overload tells whether the first event can't come before the caller leaves, by what waits at the stages on its way, and
+// Overloaded tells whether the first event can't come before the caller leaves, by what waits at the stages on its way, and
 // names the service where most waits.
 func (p *Plan) Overloaded(view View, now time.Time) (service string, over bool) {
 	if p.cfg.Off.Has(switcher.OverloadRefused) {
