--- a/collector/call.go
+++ b/collector/call.go
@@ -12,65 +12,66 @@
 	"geraniumline/switcher"
 )
 
-// endpoint is one endpoint of the pool.
+// endpoint is an endpoint of the pool with its health and the resources that the pool uses there.
 type endpoint struct {
 	registrar.Endpoint
 	health ejector.Record
-	// calls is how many of this pool's calls are there.
+	// calls is the number of this pool's calls in progress at the endpoint.
 	calls int
-	// used is the space that results take there, those of calls under way too.
-	used int64
-	// backoff keeps calls from an endpoint that has no place or no space.
+	// usedBytes is the space that results occupy at the endpoint, including those of calls in progress.
+	usedBytes int64
+	// backoff pauses calls to an endpoint that is full or has no result space.
 	backoff regulator.Backoff
-	// roomSince is when the endpoint began to wait for space.
-	roomSince time.Time
-	gone      bool
+	// spaceWaitSince is when the endpoint began to wait for space.
+	spaceWaitSince time.Time
+	// removed is set once the endpoint is no longer in the pool.
+	removed bool
 }
 
-func (e *endpoint) free(slots int, now time.Time) bool {
+func (e *endpoint) acceptsCall(slots int, now time.Time) bool {
 	return e.calls < slots && !e.backoff.Holds(now)
 }
 
-// call is one call under way.
+// call is a call in progress.
 type call struct {
 	id       uint64
 	endpoint *endpoint
-	pieces   []member
+	pieces   []callPiece
 	bytes    int64
-	began    time.Time
+	sentAt   time.Time
 	expected time.Duration
-	// patience is when the pieces are asked for elsewhere.
-	patience time.Time
-	overdue  bool
-	// fetchedAt is when its inputs lie at the endpoint; fetched is set from then on.
-	fetchedAt time.Time
-	fetched   bool
+	// overdueAt is when the pieces are queued for another endpoint.
+	overdueAt time.Time
+	overdue   bool
+	// inputsFetchedAt is when the endpoint is expected to have fetched the inputs; inputsFetched is set from then on.
+	inputsFetchedAt time.Time
+	inputsFetched   bool
 }
 
-// member is a piece as part of a call.
-type member struct {
+// callPiece is a piece that is part of a call.
+type callPiece struct {
 	id      GroupID
 	segment int
 	bytes   int64
 }
 
-// result is a result that lies at its maker.
+// result is a result stored at the endpoint that produced it.
 type result struct {
-	maker   *endpoint
-	bytes   int64
-	expires time.Time
+	producer *endpoint
+	bytes    int64
+	expires  time.Time
 }
 
-// sendCalls fills calls to the endpoints that can take one, the fastest first.
+// sendCalls fills calls to the available endpoints, fastest first.
 func (p *Pool) sendCalls(now time.Time) {
 	if len(p.groups) == 0 {
 		return
 	}
-	free := p.freeEndpoints(now)
+	free := p.availableEndpoints(now)
 	if len(free) == 0 {
 		return
 	}
-	waiting := p.ordered(now)
+	waiting := p.orderedGroups(now)
 	for _, e := range free {
 		waiting = slices.DeleteFunc(waiting, func(g *group) bool { return len(g.waiting) == 0 })
 		if len(waiting) == 0 {
@@ -80,16 +81,16 @@
 	}
 }
 
-func (p *Pool) freeEndpoints(now time.Time) []*endpoint {
+func (p *Pool) availableEndpoints(now time.Time) []*endpoint {
 	var free []*endpoint
-	p.inZone = make(map[string]int)
+	p.inUseByZone = make(map[string]int)
 	for _, e := range p.endpoints {
 		p.health.Advance(&e.health, now)
 		if e.health.State() == ejector.InUse {
-			p.inZone[e.Zone]++
+			p.inUseByZone[e.Zone]++
 		}
-		out := e.health.State() == ejector.Ejected || e.health.State() == ejector.Probing && e.calls > 0
-		if !out && e.free(p.cfg.Stage.Slots, now) && p.allows(e, now) {
+		blocked := e.health.State() == ejector.Ejected || e.health.State() == ejector.Probing && e.calls > 0
+		if !blocked && e.acceptsCall(p.cfg.Stage.Slots, now) && p.gateAllows(e, now) {
 			free = append(free, e)
 		}
 	}
@@ -99,74 +100,74 @@
 	return free
 }
 
-func (p *Pool) allows(e *endpoint, now time.Time) bool {
+func (p *Pool) gateAllows(e *endpoint, now time.Time) bool {
 	return p.cfg.Gate == nil || !p.cfg.Gate.SoleFreeAt(e.ID, now).After(now)
 }
 
-// fillCall takes waiting pieces in their order for as long as the call and the endpoint's space have room.
+// fillCall adds waiting pieces in order until the call is full or the endpoint has no space left, and sends the call.
 func (p *Pool) fillCall(e *endpoint, waiting []*group, now time.Time) {
-	waiting = allowedAt(e, waiting)
-	room := int64(roomShare*float64(p.cfg.Stage.ResultSpaceBytes)) - e.used
-	if p.waitsForRoom(e, waiting, room, now) {
+	waiting = groupsAllowedAt(e, waiting)
+	space := int64(usableSpaceShare*float64(p.cfg.Stage.ResultSpaceBytes)) - e.usedBytes
+	if p.waitsForSpace(e, waiting, space, now) {
 		return
 	}
-	e.roomSince = time.Time{}
-	c := &call{endpoint: e, began: now}
+	e.spaceWaitSince = time.Time{}
+	c := &call{endpoint: e, sentAt: now}
 	var pieces []Piece
 	inputBytes := int64(0)
-	ahead := make(map[string]int)
-	for _, g := range p.nearFirst(e, waiting) {
-		before := ahead[g.PreferredZone]
-		ahead[g.PreferredZone] += len(g.waiting)
-		if p.waitsForZone(g, e, before, now) {
+	queuedByZone := make(map[string]int)
+	for _, g := range p.preferZone(e, waiting) {
+		queuedAhead := queuedByZone[g.PreferredZone]
+		queuedByZone[g.PreferredZone] += len(g.waiting)
+		if p.waitsForZone(g, e, queuedAhead, now) {
 			continue
 		}
-		late := p.yields(g, now)
-		for len(g.waiting) > 0 && len(pieces) < p.cfg.Stage.Batch && g.ResultBytes <= room {
+		late := p.deprioritized(g, now)
+		for len(g.waiting) > 0 && len(pieces) < p.cfg.Stage.Batch && g.ResultBytes <= space {
 			segment := g.waiting[0]
 			g.waiting = g.waiting[1:]
 			g.tries[segment]++
-			room -= g.ResultBytes
+			space -= g.ResultBytes
 			p.shares.add(g.Account, now)
 			if late {
-				p.late.add(1, now)
+				p.lateRate.add(1, now)
 			}
 			c.bytes += g.ResultBytes
 			inputBytes += g.InputBytes
-			c.pieces = append(c.pieces, member{id: g.ID, segment: segment, bytes: g.ResultBytes})
+			c.pieces = append(c.pieces, callPiece{id: g.ID, segment: segment, bytes: g.ResultBytes})
 			pieces = append(pieces, g.piece(segment))
 			if g.PreferredZone == "" {
-				// The group's other pieces should be made beside these.
+				// The group's other pieces should be processed in the same zone.
 				g.PreferredZone = e.Zone
 			}
 		}
-		if len(g.waiting) > 0 && len(pieces) < p.cfg.Stage.Batch && g.ResultBytes > room {
-			p.shortAt = now
+		if len(g.waiting) > 0 && len(pieces) < p.cfg.Stage.Batch && g.ResultBytes > space {
+			p.lastSpaceShortage = now
 		}
 	}
 	if len(pieces) == 0 {
 		return
 	}
-	p.lastCall++
-	c.id = p.lastCall
+	p.lastCallID++
+	c.id = p.lastCallID
 	c.expected = p.cfg.Stage.CallDuration(len(pieces))
-	c.fetchedAt = p.fetched(inputBytes, now)
-	c.patience = now.Add(patienceFactor*c.expected + patienceMargin)
+	c.inputsFetchedAt = p.inputsFetchedAt(inputBytes, now)
+	c.overdueAt = now.Add(overdueFactor*c.expected + overdueMargin)
 	e.calls++
-	e.used += c.bytes
+	e.usedBytes += c.bytes
 	p.calls[c.id] = c
-	left := 0
-	if last := c.pieces[len(c.pieces)-1].bytes; last > 0 {
-		left = int(room / last)
+	remaining := 0
+	if lastBytes := c.pieces[len(c.pieces)-1].bytes; lastBytes > 0 {
+		remaining = int(space / lastBytes)
 	}
 	if p.cfg.Gate != nil {
 		p.cfg.Gate.SentSole(e.ID, now)
 	}
-	p.emit(SendCall{Call: c.id, Endpoint: e.Endpoint, Pieces: pieces, Timeout: timeoutFactor * c.expected, RemainingResults: left})
+	p.emit(SendCall{Call: c.id, Endpoint: e.Endpoint, Pieces: pieces, Timeout: timeoutFactor * c.expected, RemainingResults: remaining})
 }
 
-// allowedAt leaves the groups whose pieces may be made at the endpoint.
-func allowedAt(e *endpoint, waiting []*group) []*group {
+// groupsAllowedAt returns the groups whose pieces may be processed at the endpoint.
+func groupsAllowedAt(e *endpoint, waiting []*group) []*group {
 	if !slices.ContainsFunc(waiting, func(g *group) bool { return len(g.Regions) > 0 }) {
 		return waiting
 	}
@@ -175,56 +176,56 @@
 	})
 }
 
-// nearFirst puts those groups first, of the ones that would all be in calls within about a call's time, whose results are
-// wanted in the endpoint's zone. While pieces wait, an endpoint that takes the first of the queue makes over half of them in
-// another zone, and all inputs cross with them.
-func (p *Pool) nearFirst(e *endpoint, waiting []*group) []*group {
+// preferZone moves groups to the front that would gain nothing from an endpoint in another zone. It reorders only the groups that would all be in
+// calls within about one call's duration. In a backlog, an endpoint that always took the head of the queue would process
+// over half of the pieces in the wrong zone, and all their inputs would cross zones.
+func (p *Pool) preferZone(e *endpoint, waiting []*group) []*group {
 	if p.cfg.Off.Has(switcher.NearFirst) {
 		return waiting
 	}
 	window := int(math.Ceil(float64(p.cfg.Stage.Batch) * max(p.capacity(), 1)))
-	var near, far []*group
+	var preferred, others []*group
 	for i, g := range waiting {
 		if window <= 0 {
-			far = append(far, waiting[i:]...)
+			others = append(others, waiting[i:]...)
 			break
 		}
 		window -= len(g.waiting)
 		if g.started() || g.CrossZoneBytes < ZoneAffinityBytes || g.PreferredZone == "" || g.PreferredZone == e.Zone {
-			near = append(near, g)
+			preferred = append(preferred, g)
 			continue
 		}
-		far = append(far, g)
+		others = append(others, g)
 	}
-	return append(near, far...)
+	return append(preferred, others...)
 }
 
-// waitsForRoom tells whether the endpoint should wait for space, since the pieces that find space would fill less than
-// half of the call that the waiting ones could fill.
-func (p *Pool) waitsForRoom(e *endpoint, waiting []*group, room int64, now time.Time) bool {
+// waitsForSpace reports whether the endpoint should wait for space because the pieces that fit would fill less than half
+// of the call that the waiting pieces could fill.
+func (p *Pool) waitsForSpace(e *endpoint, waiting []*group, space int64, now time.Time) bool {
 	if p.cfg.Off.Has(switcher.RoomWait) {
 		return false
 	}
-	fits, wanted := 0, 0
+	fits, queued := 0, 0
 	for _, g := range waiting {
-		wanted += len(g.waiting)
+		queued += len(g.waiting)
 		n := len(g.waiting)
 		if g.ResultBytes > 0 {
-			n = min(n, int(max(room, 0)/g.ResultBytes))
+			n = min(n, int(max(space, 0)/g.ResultBytes))
 		}
 		fits += n
-		room -= int64(n) * g.ResultBytes
-		if wanted >= p.cfg.Stage.Batch {
+		space -= int64(n) * g.ResultBytes
+		if queued >= p.cfg.Stage.Batch {
 			break
 		}
 	}
-	if 2*fits >= min(wanted, p.cfg.Stage.Batch) {
+	if 2*fits >= min(queued, p.cfg.Stage.Batch) {
 		return false
 	}
-	if e.roomSince.IsZero() {
-		e.roomSince = now
+	if e.spaceWaitSince.IsZero() {
+		e.spaceWaitSince = now
 	}
-	return fits == 0 || now.Sub(e.roomSince) < roomWait
+	return fits == 0 || now.Sub(e.spaceWaitSince) < maxSpaceWait
 }
 
 func (g *group) piece(segment int) Piece {
@@ -238,11 +239,11 @@
 	}
 }
 
-// takeOverdue asks for the pieces of a silent call elsewhere. A piece may be made again, and the one that comes first
-// is used; without this a stalled endpoint would hold its requests until their deadline.
-func (p *Pool) takeOverdue(c *call, now time.Time) {
+// requeueOverdue queues the pieces of an overdue call for another endpoint. Pieces are safe to repeat, and the first
+// result is used. Without this, a stalled endpoint would hold up its requests until their deadline.
+func (p *Pool) requeueOverdue(c *call, now time.Time) {
 	c.overdue = true
-	p.judge(c.endpoint, ejector.Bad, Broken, now)
+	p.recordHealth(c.endpoint, ejector.Bad, Broken, now)
 	for _, m := range c.pieces {
 		if g, known := p.groups[m.id]; known {
 			p.requeue(g, m.segment, Failed)
@@ -250,23 +251,23 @@
 	}
 }
 
-func (p *Pool) takeEnd(e CallEnded, now time.Time) {
+func (p *Pool) handleCallEnd(e CallEnded, now time.Time) {
 	c, known := p.calls[e.Call]
 	if !known {
 		return
 	}
 	delete(p.calls, e.Call)
 	c.endpoint.calls--
-	c.endpoint.used -= c.bytes
+	c.endpoint.usedBytes -= c.bytes
 	if e.Outcome == Answered && len(e.Results) == len(c.pieces) {
-		p.takeResults(c, e.Results, now)
+		p.handleResults(c, e.Results, now)
 		return
 	}
-	p.judgeFailure(c, e.Outcome, now)
+	p.recordFailure(c, e.Outcome, now)
 	for _, m := range c.pieces {
 		if g, known := p.groups[m.id]; known {
 			if e.Outcome == Refused || e.Outcome == Unreachable || e.Outcome == Unanswered {
-				// The endpoint took no work on, so the try does not count.
+				// The endpoint did not start the work, so the try does not count.
 				g.tries[m.segment]--
 			}
 			p.requeue(g, m.segment, Failed)
@@ -274,54 +275,54 @@
 	}
 }
 
-func (p *Pool) judgeFailure(c *call, end CallOutcome, now time.Time) {
-	switch end {
+func (p *Pool) recordFailure(c *call, outcome CallOutcome, now time.Time) {
+	switch outcome {
 	case Refused:
-		c.endpoint.backoff.Refused(refusedPauses, now)
+		c.endpoint.backoff.Refused(refusalBackoff, now)
 	case Unreachable:
-		p.judge(c.endpoint, ejector.Down, end, now)
+		p.recordHealth(c.endpoint, ejector.Down, outcome, now)
 	default:
 		if !c.overdue {
-			p.judge(c.endpoint, ejector.Bad, Broken, now)
+			p.recordHealth(c.endpoint, ejector.Bad, Broken, now)
 		}
 	}
 }
 
-func (p *Pool) judge(e *endpoint, end ejector.End, why CallOutcome, now time.Time) {
-	if e.gone {
+func (p *Pool) recordHealth(e *endpoint, verdict ejector.End, cause CallOutcome, now time.Time) {
+	if e.removed {
 		return
 	}
-	if p.health.Ended(&e.health, end, false, now) {
-		p.emit(HealthChanged{Endpoint: e.Endpoint, OutOfUse: e.health.State() != ejector.InUse, Cause: why})
+	if p.health.Ended(&e.health, verdict, false, now) {
+		p.emit(HealthChanged{Endpoint: e.Endpoint, OutOfUse: e.health.State() != ejector.InUse, Cause: cause})
 	}
 }
 
-func (p *Pool) takeResults(c *call, results []PieceResult, now time.Time) {
-	if !c.overdue && !c.endpoint.gone {
-		p.judge(c.endpoint, p.health.Took(&c.endpoint.health, now.Sub(c.began), c.expected), Answered, now)
+func (p *Pool) handleResults(c *call, results []PieceResult, now time.Time) {
+	if !c.overdue && !c.endpoint.removed {
+		p.recordHealth(c.endpoint, p.health.Took(&c.endpoint.health, now.Sub(c.sentAt), c.expected), Answered, now)
 	}
-	if noneFits(results) {
-		c.endpoint.backoff.Refused(refusedPauses, now)
+	if allOutOfSpace(results) {
+		c.endpoint.backoff.Refused(refusalBackoff, now)
 	} else {
 		c.endpoint.backoff.Served()
 	}
 	var unused []string
 	for i, r := range results {
 		m := c.pieces[i]
-		g, wanted := p.groups[m.id]
-		wanted = wanted && g.wants(m.segment)
+		g, needed := p.groups[m.id]
+		needed = needed && g.wants(m.segment)
 		if r.Handle == "" {
-			p.takeReason(g, wanted, m.segment, r.Reason)
+			p.handleFailedPiece(g, needed, m.segment, r.Reason)
 			continue
 		}
-		if !wanted {
+		if !needed {
 			unused = append(unused, r.Handle)
 			continue
 		}
-		p.keepResult(c.endpoint, r.Handle, m.bytes, now)
-		p.dropWaiting(g, m.segment)
+		p.trackResult(c.endpoint, r.Handle, m.bytes, now)
+		p.removeWaiting(g, m.segment)
 		p.deliver(g, m.segment, r, c.endpoint)
-		if _, open := p.groups[m.id]; !open && !g.cameLate {
+		if _, open := p.groups[m.id]; !open && !g.arrivedLate {
 			p.turnaround.add(now.Sub(g.arrived))
 		}
 	}
@@ -330,9 +331,9 @@
 	}
 }
 
-// noneFits tells whether a call found no space for any of its pieces. Another entry's results may lie there that this
-// pool knows nothing of.
-func noneFits(results []PieceResult) bool {
+// allOutOfSpace reports whether the endpoint had no space for any piece of the call. Its space may be taken by results
+// that another entry collected and that this pool does not count.
+func allOutOfSpace(results []PieceResult) bool {
 	for _, r := range results {
 		if r.Reason != NoSpace {
 			return false
@@ -341,55 +342,55 @@
 	return true
 }
 
-// takeReason decides what becomes of a piece without a result. Only what another call can mend is tried again.
-func (p *Pool) takeReason(g *group, wanted bool, segment int, why Reason) {
-	if !wanted {
+// handleFailedPiece fails or requeues a piece without a result. It is retried only if another call can succeed.
+func (p *Pool) handleFailedPiece(g *group, needed bool, segment int, reason Reason) {
+	if !needed {
 		return
 	}
-	switch why {
+	switch reason {
 	case InputGone, Late:
-		p.dropWaiting(g, segment)
-		p.deliver(g, segment, PieceResult{Reason: why}, nil)
+		p.removeWaiting(g, segment)
+		p.deliver(g, segment, PieceResult{Reason: reason}, nil)
 	case NoSpace:
-		// The endpoint took no work on, so the try does not count.
+		// The endpoint did not start the work, so the try does not count.
 		g.tries[segment]--
-		p.requeue(g, segment, why)
+		p.requeue(g, segment, reason)
 	default:
-		p.requeue(g, segment, why)
+		p.requeue(g, segment, reason)
 	}
 }
 
-func (p *Pool) dropWaiting(g *group, segment int) {
+func (p *Pool) removeWaiting(g *group, segment int) {
 	g.waiting = slices.DeleteFunc(g.waiting, func(s int) bool { return s == segment })
 }
 
-func (p *Pool) keepResult(maker *endpoint, handle string, bytes int64, now time.Time) {
-	maker.used += bytes
-	p.results[handle] = &result{maker: maker, bytes: bytes, expires: now.Add(p.cfg.Stage.ResultTTL)}
+func (p *Pool) trackResult(producer *endpoint, handle string, bytes int64, now time.Time) {
+	producer.usedBytes += bytes
+	p.results[handle] = &result{producer: producer, bytes: bytes, expires: now.Add(p.cfg.Stage.ResultTTL)}
 }
 
-// free gives results back, one call for each maker. Results that another entry collected are freed at their maker too:
-// after a change of the collecting entry nobody else knows of them.
-func (p *Pool) free(made []ResultRef) {
-	byMaker := make(map[string][]string)
+// freeResults frees results with one call to each endpoint that stores some. This includes results that another entry
+// collected: after a change of the collecting entry, no other entry has a record of them.
+func (p *Pool) freeResults(results []ResultRef) {
+	byAddress := make(map[string][]string)
 	var order []string
-	for _, m := range made {
-		if len(byMaker[m.Address]) == 0 {
-			order = append(order, m.Address)
+	for _, r := range results {
+		if len(byAddress[r.Address]) == 0 {
+			order = append(order, r.Address)
 		}
-		byMaker[m.Address] = append(byMaker[m.Address], m.Handle)
+		byAddress[r.Address] = append(byAddress[r.Address], r.Handle)
 	}
 	for _, address := range order {
-		p.emit(FreeResults{Address: address, Handles: byMaker[address]})
+		p.emit(FreeResults{Address: address, Handles: byAddress[address]})
 	}
 }
 
-// takeFreed counts the space of freed results as free, and not before: a call that is sent at the same time as the free
-// would reach the endpoint first, and its pieces would find no space.
-func (p *Pool) takeFreed(made []ResultRef) {
-	for _, m := range made {
+// reclaimSpace counts the space of freed results as available again. This must wait until the call that frees them has
+// ended: a call sent at the same time would reach the endpoint first, and its pieces would find no space.
+func (p *Pool) reclaimSpace(results []ResultRef) {
+	for _, m := range results {
 		if r, known := p.results[m.Handle]; known {
-			r.maker.used -= r.bytes
+			r.producer.usedBytes -= r.bytes
 			delete(p.results, m.Handle)
 		}
 	}
--- a/collector/collector.go
+++ b/collector/collector.go
@@ -1,9 +1,10 @@
-// Package collector makes calls of many requests' pieces to the endpoints of one stage's service. One entry collects
-// for all: a call takes long before its first piece, so calls that each entry fills alone waste most of the pool.
+// Package collector batches the pieces of many requests into calls to the endpoints of one stage service. One entry
+// collects for all entries: a call has a high fixed cost, so partly filled calls from each entry would waste most of
+// the pool's capacity.
 //
-// Pieces wait here and not at endpoints, where nothing could be put before them. They are ordered by whether they can
-// still be on time, by priority, and by when they are due. The package is pure: events and the present time go in,
-// effects come out.
+// Pieces are queued here and not at endpoints, where more urgent pieces could not overtake them. They are ordered by
+// whether they can still be on time, by priority, and by due time. The package is pure: it receives events and the
+// current time, and returns effects.
 package collector
 
 import (
@@ -19,97 +20,99 @@
 )
 
 const (
-	// maxTries is how many calls one piece may be part of.
+	// maxTries is the maximum number of calls that include the same piece.
 	maxTries = 4
-	// patienceFactor is how much longer than usual a call may take before its pieces are asked for elsewhere. The
-	// slowest sound endpoints take 1.6 times as long as the fastest.
-	patienceFactor = 2
-	// timeoutFactor is how much longer than usual a call may take before its connection is closed.
+	// overdueFactor is the multiple of a call's expected duration after which its pieces are queued for another
+	// endpoint. The slowest healthy endpoints take 1.6 times as long as the fastest.
+	overdueFactor = 2
+	// timeoutFactor is the multiple of a call's expected duration after which its connection is closed.
 	timeoutFactor = 6
-	// patienceMargin covers the way there and back and the fetching of inputs.
-	patienceMargin = 60 * time.Millisecond
-	// roomShare is the part of an endpoint's space that is planned for: the sizes of results are approximate, and a
-	// piece that finds no space is made a call later than the others of its group.
-	roomShare = 0.95
-	// roomWait is how long a free endpoint may wait for space for half a call. A call takes long before its first
-	// piece: one that is sent with the few pieces that find space costs more of the endpoint than the wait.
-	roomWait = 100 * time.Millisecond
-	// HeavyBytes is what must cross zones for a group to wait for an endpoint of its own zone.
+	// overdueMargin covers the network round trip and the fetching of inputs.
+	overdueMargin = 60 * time.Millisecond
+	// usableSpaceShare is the share of an endpoint's result space that calls may fill: result sizes are approximate,
+	// and a piece that finds no space is processed one call later than the rest of its group.
+	usableSpaceShare = 0.95
+	// maxSpaceWait limits how long an idle endpoint waits for space for half a call. Because of a call's fixed cost, a
+	// call with only the few pieces that fit would cost more of the endpoint's time than the wait.
+	maxSpaceWait = 100 * time.Millisecond
+	// ZoneAffinityBytes is the minimum number of bytes that would cross zones for a group to wait for an endpoint in
+	// its preferred zone.
 	ZoneAffinityBytes = 500_000
-	// zoneSlack is how many calls must fit before the results are due for a group to wait for an endpoint of its
-	// zone: the wait for the next free one takes half a call at most times, and one is for the call itself.
-	zoneSlack = 2.5
-	// expireEvery is how often groups are looked for that can't be made while more than backlogGroups wait, a tenth of a
-	// call; else it is at each tick. Ordered that often, a backlog takes so much of a collecting entry's processor that its
-	// answers come late, and others get the pieces in its place.
-	expireEvery   = 30 * time.Millisecond
-	backlogGroups = 50
-	// overLife is how long after a group was last given up more is still believed to come than can be made: three calls.
-	overLife = time.Second
-	// zoneCalls is how much of each of a zone's next calls groups may fill that wait for them. What would wait for longer
-	// goes to other zones: endpoints there would stand idle beside a queue.
-	zoneCalls = 0.5
+	// zoneWaitSlack is the number of calls that must fit before a group's due time for it to wait for an endpoint in
+	// its preferred zone. Waiting for the next free endpoint usually takes half a call, and the call itself takes one.
+	zoneWaitSlack = 2.5
+	// expiryInterval is the minimum time between checks for groups that cannot be processed in time while there are more
+	// than backlogThreshold groups: a tenth of a call. Smaller queues are checked at every tick. Sorting a backlog that
+	// often takes so much CPU time that the collecting entry answers late, and its peers send the pieces to other entries.
+	expiryInterval   = 30 * time.Millisecond
+	backlogThreshold = 50
+	// overloadExpiry is how long the pool counts as overloaded after a group last failed with Overload: three calls.
+	overloadExpiry = time.Second
+	// zoneQueueShare is the share of a zone's next calls that groups waiting for that zone may fill. Further groups go to
+	// other zones, whose endpoints would otherwise be idle while pieces are queued.
+	zoneQueueShare = 0.5
 )
 
-// refusedPauses are how long an endpoint that was full gets no call; the first one is about half of a usual call. Another entry
-// may collect for the same endpoints for a while, and two that ask again as fast as they are refused keep each other out.
-var refusedPauses = regulator.Pauses{First: 80 * time.Millisecond, Longest: 640 * time.Millisecond}
+// refusalBackoff sets the pauses after an endpoint refused a call because it was full; the first is about half of a usual
+// call. Two entries may collect for the same endpoints for a while. If both retried at once after each refusal, they would
+// keep each other out.
+var refusalBackoff = regulator.Pauses{First: 80 * time.Millisecond, Longest: 640 * time.Millisecond}
 
-// Gate says which calls may go to endpoints that ask for few.
+// Gate limits calls to endpoints that have requested a pause or a lower rate.
 type Gate interface {
-	// SoleFreeAt tells from when on a call may go to an endpoint that no other entry sends to.
+	// SoleFreeAt returns the earliest time for the next call to an endpoint that only this entry sends calls to.
 	SoleFreeAt(endpoint string, now time.Time) time.Time
-	// Limit gives the calls a second that an endpoint takes, if it has named a limit.
+	// Limit returns the rate limit that an endpoint has requested, in calls per second, if any.
 	Limit(endpoint string) (perSecond float64, limited bool)
-	// SentSole notes a call to such an endpoint.
+	// SentSole records a call to an endpoint that only this entry sends calls to.
 	SentSole(endpoint string, now time.Time)
 }
 
-// Config sets a Pool up.
+// Config configures a Pool.
 type Config struct {
 	Service string
 	Stage   cataloger.StagePool
 	Ejector ejector.Config
-	// Gate bounds the calls to endpoints that ask for few; nil sends to them as to any other.
+	// Gate limits calls to endpoints that have requested it. If it is nil, such requests are ignored.
 	Gate Gate
-	// Off are the mechanisms that are switched off.
+	// Off holds the mechanisms that are switched off.
 	Off switcher.Off
 }
 
-// Pool is the state of one stage service.
+// Pool queues the pieces of one stage service and assigns them to calls.
 type Pool struct {
-	cfg       Config
-	health    ejector.Pool
-	endpoints []*endpoint
-	groups    map[GroupID]*group
-	calls     map[uint64]*call
-	results   map[string]*result
-	lastCall  uint64
-	// closing is set once this entry stops.
-	closing bool
-	// evacuated is set while none of the service's endpoints may get new work, by the operator's order.
+	cfg        Config
+	health     ejector.Pool
+	endpoints  []*endpoint
+	groups     map[GroupID]*group
+	calls      map[uint64]*call
+	results    map[string]*result
+	lastCallID uint64
+	// stopping is set once this entry begins to shut down.
+	stopping bool
+	// evacuated is set while an operator's evacuation keeps all of the service's endpoints from new work.
 	evacuated bool
-	// waiting is how many pieces were in no call when the present event came.
-	waiting int
-	// shortAt is when a call was last kept from being full by space.
-	shortAt time.Time
-	// expiredAt is when groups were last looked for that can't be made.
-	expiredAt time.Time
-	// overSince is when groups began to be given up since others go before them, overAt when one last was.
-	overSince time.Time
-	overAt    time.Time
-	// turnaround is how long groups that came in time took lately.
+	// waitingPieces is the number of pieces in no call when the current event arrived.
+	waitingPieces int
+	// lastSpaceShortage is when a call could last not be filled for lack of result space.
+	lastSpaceShortage time.Time
+	// lastExpiryCheck is when the pool last looked for groups that cannot be processed in time.
+	lastExpiryCheck time.Time
+	// overloadSince is when groups began to fail with Overload, lastOverload when one last did.
+	overloadSince time.Time
+	lastOverload  time.Time
+	// turnaround is the recent mean time from arrival to last result of groups that did not arrive late.
 	turnaround turnaround
-	// late counts the pieces of late groups that calls took lately.
-	late pastRate
-	// shares are what client accounts have had lately.
+	// lateRate is the recent rate at which pieces of late groups were added to calls.
+	lateRate recentRate
+	// shares holds the recent usage of each client account.
 	shares shares
-	// inZone counts the endpoints in use by zone.
-	inZone  map[string]int
-	effects []Effect
+	// inUseByZone is the number of endpoints in use in each zone.
+	inUseByZone map[string]int
+	effects     []Effect
 }
 
-// New makes a pool without endpoints.
+// New returns a pool without endpoints.
 func New(cfg Config) *Pool {
 	return &Pool{
 		cfg:     cfg,
@@ -120,44 +123,44 @@
 	}
 }
 
-// SetStage takes what a newer configuration says of the service.
+// SetStage applies the service's settings from a newer configuration.
 func (p *Pool) SetStage(stage cataloger.StagePool) { p.cfg.Stage = stage }
 
-// Reduce takes an event and gives what is to be done.
+// Reduce applies an event and returns the effects to perform.
 func (p *Pool) Reduce(ev Event, now time.Time) []Effect {
 	p.effects = nil
-	p.waiting = p.WaitingPieces()
+	p.waitingPieces = p.WaitingPieces()
 	switch e := ev.(type) {
 	case GroupArrived:
-		p.takeGroup(e.Group, now)
+		p.addGroup(e.Group, now)
 		if p.evacuated {
-			p.giveUpAll(Evacuated, everyGroup, now)
+			p.failWaitingIf(Evacuated, everyGroup, now)
 		}
 	case GroupWithdrawn:
 		p.withdraw(func(id GroupID) bool { return id == e.ID })
 	case OriginLost:
 		p.withdraw(func(id GroupID) bool { return id.Origin == e.Origin })
 	case CallEnded:
-		p.takeEnd(e, now)
+		p.handleCallEnd(e, now)
 	case ResultsReleased:
-		p.free(e.Results)
+		p.freeResults(e.Results)
 	case FreeCallEnded:
-		p.takeFreed(e.Results)
+		p.reclaimSpace(e.Results)
 	case EndpointsChanged:
 		p.setEndpoints(e.Endpoints)
 		p.evacuated = e.Evacuated
 		if p.evacuated {
-			p.giveUpAll(Evacuated, everyGroup, now)
+			p.failWaitingIf(Evacuated, everyGroup, now)
 		}
 	case Stopping:
-		p.closing = true
+		p.stopping = true
 	case Reassigned:
-		p.giveUpAll(Moved, notKept, now)
+		p.failWaitingIf(Moved, notPinned, now)
 	case Ticked:
 		p.tick(now)
 	}
-	if p.closing {
-		p.giveUpAll(Moved, everyGroup, now)
+	if p.stopping {
+		p.failWaitingIf(Moved, everyGroup, now)
 	}
 	p.sendCalls(now)
 	return p.effects
@@ -165,7 +168,7 @@
 
 func (p *Pool) emit(e Effect) { p.effects = append(p.effects, e) }
 
-// Waiting is how many pieces are in no call.
+// WaitingPieces returns the number of pieces that are in no call.
 func (p *Pool) WaitingPieces() int {
 	n := 0
 	for _, g := range p.groups {
@@ -174,21 +177,21 @@
 	return n
 }
 
-// Wait predicts how long a piece that comes now, no more urgent than others, would wait for its call to begin.
+// PredictedWait estimates how long a piece that arrives now, no more urgent than others, would wait for its call to begin.
 func (p *Pool) PredictedWait(now time.Time) time.Duration {
-	return max(p.queueTime(p.WaitingPieces(), p.capacity()), p.heldUntil(now).Sub(now))
+	return max(p.queueTime(p.WaitingPieces(), p.capacity()), p.throttledUntil(now).Sub(now))
 }
 
-// Over tells for how long more has come than can be made: groups were given up since others went before them. It is zero
-// once none has been for a while.
+// OverloadedFor returns how long groups have been failing because others go before them. It returns zero once none has
+// failed for overloadExpiry.
 func (p *Pool) OverloadedFor(now time.Time) time.Duration {
-	if p.overAt.IsZero() || now.Sub(p.overAt) >= overLife {
+	if p.lastOverload.IsZero() || now.Sub(p.lastOverload) >= overloadExpiry {
 		return 0
 	}
-	return now.Sub(p.overSince)
+	return now.Sub(p.overloadSince)
 }
 
-// Turnaround is how long a group takes from its arrival to its last result, as seen lately; 0 before any was seen.
+// Turnaround returns the recent mean time from a group's arrival to its last result, or 0 before the first group is done.
 func (p *Pool) Turnaround() time.Duration { return p.turnaround.mean }
 
 func (p *Pool) setEndpoints(all []registrar.Endpoint) {
@@ -198,7 +201,7 @@
 	}
 	list := make([]*endpoint, 0, len(all))
 	for _, e := range all {
-		// One that has started again is another endpoint: the space and the calls of its earlier start are gone.
+		// A restarted endpoint is treated as a new one: the results and calls of its previous process are lost.
 		if old, ok := known[e.ID]; ok && old.SameStart(&e) {
 			old.Endpoint = e
 			list = append(list, old)
@@ -208,32 +211,33 @@
 		p.health.Add()
 		list = append(list, &endpoint{Endpoint: e})
 	}
-	for _, gone := range known {
-		p.health.Remove(&gone.health)
-		gone.gone = true
+	for _, e := range known {
+		p.health.Remove(&e.health)
+		e.removed = true
 	}
 	p.endpoints = list
 }
 
-// tick ends what has waited too long, and gives back the space of results that have lapsed.
+// tick requeues the pieces of overdue calls, fails groups that cannot be processed in time, and reclaims the space of
+// expired results.
 func (p *Pool) tick(now time.Time) {
 	for _, c := range p.callsInOrder() {
-		if !c.overdue && now.After(c.patience) {
-			p.takeOverdue(c, now)
+		if !c.overdue && now.After(c.overdueAt) {
+			p.requeueOverdue(c, now)
 		}
 	}
-	p.tellRead(now)
+	p.reportFetched(now)
 	p.expireGroups(now)
 	for handle, r := range p.results {
 		if now.After(r.expires) {
-			r.maker.used -= r.bytes
+			r.producer.usedBytes -= r.bytes
 			delete(p.results, handle)
 		}
 	}
 }
 
-// callsInOrder lists the calls under way in the order in which they were sent, so that the same events give the same effects
-// in the same order.
+// callsInOrder returns the calls in progress in the order in which they were sent, so that the same events always produce
+// the same effects in the same order.
 func (p *Pool) callsInOrder() []*call {
 	list := make([]*call, 0, len(p.calls))
 	for _, id := range slices.Sorted(maps.Keys(p.calls)) {
@@ -242,5 +246,5 @@
 	return list
 }
 
-// Busy tells whether any piece is wanted.
+// Busy reports whether the pool has any groups.
 func (p *Pool) Busy() bool { return len(p.groups) > 0 }
--- a/collector/event.go
+++ b/collector/event.go
@@ -6,45 +6,46 @@
 	"geraniumline/registrar"
 )
 
-// GroupID names the pieces of one stage of one request.
+// GroupID identifies the pieces of one stage of one request.
 type GroupID struct {
-	// Origin is the entry that has the request.
+	// Origin is the entry that handles the request.
 	Origin  string
 	Request string
 	Stage   int
 }
 
-// Group is pieces of one stage of one request that are to be made.
+// Group is a set of pieces of one stage of one request that are to be processed.
 type Group struct {
 	ID GroupID
-	// Segments number the pieces.
+	// Segments are the numbers of the pieces within the stage.
 	Segments []int
-	// Key is the input of pieces whose stage comes first; Inputs are the results that all others take.
+	// Key is the input of pieces of a first stage. Inputs are the handles of the results that pieces of later stages use.
 	Key    string
 	Inputs []string
-	// Due is when the results are needed for an answer on time at the usual pace of the later stages, Latest at their
-	// fastest; it is Due where it is not set. Deadline is when they are of no use any more.
+	// Due is when the results are needed for an answer on time if later stages take their usual time, LatestDue if they
+	// are as fast as possible; it defaults to Due. Results are useless after Deadline.
 	Due       time.Time
 	LatestDue time.Time
 	Deadline  time.Time
 	Priority  int
 	Account   string
-	// ResultBytes is the size of one result.
+	// ResultBytes is the expected size of one result.
 	ResultBytes int64
-	// Zone is where the pieces should be made: where their inputs lie or their results are wanted. It is empty where
-	// that is all the same.
+	// PreferredZone is the availability zone where the pieces should be processed: the one that holds their inputs or
+	// that needs their results. It is empty if there is no preference.
 	PreferredZone string
-	// Kept groups stay here though another entry is said to have the duty: that one left their origin without an answer.
+	// Pinned groups stay at this entry although another one is assigned to collect: that one did not answer their origin.
 	Pinned bool
-	// Regions are those where the pieces may be made; empty where all are.
+	// Regions are the regions where the pieces may be processed; empty allows all.
 	Regions []string
-	// FarBytes are what crosses availability zones if the pieces are made in another one, or in several.
+	// CrossZoneBytes is the number of bytes that cross availability zones if the pieces are processed in another zone or
+	// in several.
 	CrossZoneBytes int64
-	// InputBytes is the size of all inputs of one piece.
+	// InputBytes is the total size of the inputs of one piece.
 	InputBytes int64
-	// TellRead asks for an InputsRead.
+	// NotifyInputsFetched requests an InputsFetched effect.
 	NotifyInputsFetched bool
-	// Holding groups keep much of the space of the endpoints that made their inputs.
+	// HoldsSpace is set if the group's inputs occupy much of the result space of the endpoints that produced them.
 	HoldsSpace bool
 }
 
@@ -58,31 +59,32 @@
 	Deadline time.Time
 }
 
-// Reason tells why a piece has no result.
+// Reason is the reason why a piece has no result.
 type Reason uint8
 
-// The reasons. None stands with a result.
+// The reasons why a piece has no result.
 const (
+	// None accompanies a result.
 	None Reason = iota
-	// Late pieces could not be made before their deadline.
+	// Late pieces could not be processed before their deadline.
 	Late
-	// InputGone pieces need a result that is no longer there.
+	// InputGone pieces need a result that no longer exists.
 	InputGone
-	// NoRoom pieces found no space for their result.
+	// NoSpace pieces found no space for their result.
 	NoSpace
-	// Failed pieces were tried as often as allowed.
+	// Failed pieces failed in a call, and their tries are used up.
 	Failed
-	// Overload pieces would wait longer than their deadline allows.
+	// Overload pieces would have to wait beyond their deadline.
 	Overload
-	// Moved pieces are to be asked for at another entry: this one stops.
+	// Moved pieces must be requested from another entry, since this one no longer collects them.
 	Moved
-	// Evacuated pieces have no endpoint that may get new work.
+	// Evacuated pieces have no endpoint that may receive new work.
 	Evacuated
-	// HeldBack pieces have no endpoint that takes calls before their deadline: all have asked for fewer.
+	// Throttled pieces have no endpoint that accepts calls before their deadline: all have requested fewer calls.
 	Throttled
 )
 
-// String gives the reason as logs and metrics name it.
+// String returns the reason's name in logs and metrics.
 func (r Reason) String() string {
 	switch r {
 	case Late:
@@ -106,30 +108,30 @@
 	}
 }
 
-// PieceResult is what a call brought for one piece.
+// PieceResult is the outcome of a call for one piece: the handle of its result, or the reason why it has none.
 type PieceResult struct {
 	Handle string
 	Reason Reason
 }
 
-// CallEnd tells how a call went.
+// CallOutcome is how a call ended.
 type CallOutcome uint8
 
-// The ends of calls.
+// The outcomes of calls.
 const (
 	// Answered calls have a result or a reason for each piece.
 	Answered CallOutcome = iota
-	// Refused calls were turned away unrun by an endpoint that is full or leaving.
+	// Refused calls were rejected before they ran, by an endpoint that is full or leaving.
 	Refused
-	// Unreachable endpoints refuse connections.
+	// Unreachable means that the endpoint refused the connection.
 	Unreachable
-	// Unanswered endpoints let connections come to nothing.
+	// Unanswered means that the call could not be sent although the endpoint did not refuse the connection.
 	Unanswered
-	// Broken calls ended without an answer.
+	// Broken calls ended without a usable answer.
 	Broken
 )
 
-// String gives the end as logs name it.
+// String returns the outcome's name in logs.
 func (e CallOutcome) String() string {
 	switch e {
 	case Answered:
@@ -145,53 +147,53 @@
 	}
 }
 
-// Event is what can happen to a pool.
+// Event is an input to a pool.
 type Event interface{ event() }
 
-// Arrived brings pieces to be made.
+// GroupArrived adds pieces to process.
 type GroupArrived struct{ Group Group }
 
-// Withdrawn tells that pieces are not needed any more.
+// GroupWithdrawn reports that pieces are no longer needed.
 type GroupWithdrawn struct{ ID GroupID }
 
-// CallEnded brings the end of a call.
+// CallEnded reports the outcome of a call.
 type CallEnded struct {
 	Call    uint64
 	Outcome CallOutcome
 	Results []PieceResult
 }
 
-// Made is a result and where it lies.
+// ResultRef identifies a result and the endpoint that stores it.
 type ResultRef struct {
 	Handle string
-	// Address is that of the endpoint that made it.
+	// Address is the address of the endpoint that produced the result.
 	Address string
 }
 
-// Freed names results that are not needed any more.
+// ResultsReleased reports results that are no longer needed.
 type ResultsReleased struct{ Results []ResultRef }
 
-// FreeEnded tells that a call that freed results is over, well or not.
+// FreeCallEnded reports that a call to free results has ended, successfully or not.
 type FreeCallEnded struct{ Results []ResultRef }
 
-// EndpointsChanged brings the endpoints that may get work.
+// EndpointsChanged replaces the list of endpoints that may receive work.
 type EndpointsChanged struct {
 	Endpoints []registrar.Endpoint
-	// Evacuated tells that there are others, which the operator lets have no new work, and none besides: what waits is told
-	// so at once.
+	// Evacuated is set if the service has endpoints but the operator has evacuated all of them. Waiting pieces then fail at
+	// once.
 	Evacuated bool
 }
 
-// OriginLost tells that an entry has ended: its requests need no more pieces.
+// OriginLost reports that an entry is gone and its requests need no more pieces.
 type OriginLost struct{ Origin string }
 
-// Closing tells that this entry stops: what has not begun is asked for elsewhere.
+// Stopping reports that this entry shuts down. Pieces in no call must be requested elsewhere.
 type Stopping struct{}
 
-// HandedBack tells that another entry collects now: what waits is asked for there, but for what is kept here.
+// Reassigned reports that another entry collects now. Waiting pieces must be requested there, except those of pinned groups.
 type Reassigned struct{}
 
-// Ticked lets time pass.
+// Ticked reports that time has passed.
 type Ticked struct{}
 
 func (GroupArrived) event()     {}
@@ -205,40 +207,40 @@
 func (Reassigned) event()       {}
 func (Ticked) event()           {}
 
-// Effect is what is to be done.
+// Effect is an action that the caller of Reduce must perform.
 type Effect interface{ effect() }
 
-// SendCall asks for a call to an endpoint.
+// SendCall requests a call to an endpoint.
 type SendCall struct {
 	Call     uint64
 	Endpoint registrar.Endpoint
 	Pieces   []Piece
-	// Timeout is when the call is given up.
+	// Timeout is the duration after which the call is aborted.
 	Timeout time.Duration
-	// Free is how many more results of the last piece's size the endpoint has space for.
+	// RemainingResults is the number of further results of the last piece's size that the endpoint has space for.
 	RemainingResults int
 }
 
-// Deliver hands a piece's result, or the reason why there is none, to the entry that has the request.
+// Deliver passes a piece's result, or the reason why there is none, to the entry that handles the request.
 type Deliver struct {
 	ID      GroupID
 	Segment int
 	Result  PieceResult
-	// Address and Zone are those of the endpoint where the result lies.
+	// Address and Zone are those of the endpoint that stores the result.
 	Address string
 	Zone    string
 }
 
-// FreeResults gives the space of results back at their maker.
+// FreeResults requests that an endpoint frees results that it stores.
 type FreeResults struct {
 	Address string
 	Handles []string
 }
 
-// InputsRead tells the entry that has the request that the endpoints have fetched the inputs of all of a group's pieces.
+// InputsFetched notifies the entry that handles the request that endpoints have fetched the inputs of all pieces of a group.
 type InputsFetched struct{ ID GroupID }
 
-// Judged tells that an endpoint was taken out of use or let back.
+// HealthChanged reports that an endpoint was taken out of use or put back into use.
 type HealthChanged struct {
 	Endpoint registrar.Endpoint
 	OutOfUse bool
--- a/collector/fetch.go
+++ b/collector/fetch.go
@@ -7,52 +7,54 @@
 )
 
 const (
-	// fetchFactor is how many times its links' time a call's fetching of inputs is taken for: many calls fetch from one
-	// maker at a time.
+	// fetchFactor is the multiple of the pure transfer time that fetching a call's inputs is assumed to take, since many
+	// calls fetch from the same endpoint at a time.
 	fetchFactor = 3
-	// fetchMargin covers the way to the endpoint and the asking for each input.
+	// fetchMargin covers the network delay to the endpoint and the request for each input.
 	fetchMargin = 40 * time.Millisecond
-	// shortLife is how long a pool is taken to be short of space after a call that space kept from being full: longer
-	// than a usual call, so that it holds between the calls of a surge.
-	shortLife = 500 * time.Millisecond
+	// shortageExpiry is how long a pool counts as short of space after a call could not be filled for lack of space. It is
+	// longer than a usual call, so that the state persists between the calls of a surge.
+	shortageExpiry = 500 * time.Millisecond
 )
 
-// FetchedAfter is how long after it was sent a call's inputs lie at the endpoint, which come from a stage's endpoints.
+// FetchDelay returns the time after which a call's inputs, fetched over the links of a stage's endpoints, are assumed to be
+// fetched.
 func FetchDelay(stage *cataloger.StagePool, inputBytes int64) time.Duration {
 	return fetchMargin + fetchFactor*stage.FetchTime(inputBytes)
 }
 
-// fetched is when the inputs of a call that is sent now will lie at the endpoint.
-func (p *Pool) fetched(inputBytes int64, now time.Time) time.Time {
+// inputsFetchedAt returns when the inputs of a call sent now are assumed to be fetched.
+func (p *Pool) inputsFetchedAt(inputBytes int64, now time.Time) time.Time {
 	return now.Add(FetchDelay(&p.cfg.Stage, inputBytes))
 }
 
-// tellRead tells entries whose groups' inputs are all fetched, so that they can give them back. In a surge the space for a
-// stage's results, and not its time, bounds it: most of the time that a result lies there the next stage has read it already.
-func (p *Pool) tellRead(now time.Time) {
+// reportFetched notifies entries of groups whose inputs are all fetched, so that they can free them. In a surge, a stage is
+// limited by the space for its results and not by processing time, and for most of the time that a result is stored, the
+// next stage has already read it.
+func (p *Pool) reportFetched(now time.Time) {
 	for _, c := range p.callsInOrder() {
-		if c.fetched || now.Before(c.fetchedAt) {
+		if c.inputsFetched || now.Before(c.inputsFetchedAt) {
 			continue
 		}
-		c.fetched = true
+		c.inputsFetched = true
 		for _, m := range c.pieces {
 			if g, known := p.groups[m.id]; known && g.NotifyInputsFetched {
-				p.noteRead(g, m.segment)
+				p.markFetched(g, m.segment)
 			}
 		}
 	}
 }
 
-func (p *Pool) noteRead(g *group, segment int) {
-	g.read[segment] = true
-	if g.readTold || len(g.read) < len(g.Segments) {
+func (p *Pool) markFetched(g *group, segment int) {
+	g.inputsFetched[segment] = true
+	if g.fetchReported || len(g.inputsFetched) < len(g.Segments) {
 		return
 	}
-	g.readTold = true
+	g.fetchReported = true
 	p.emit(InputsFetched{ID: g.ID})
 }
 
-// Short tells whether space for results, and not time, held calls back lately.
+// ShortOfSpace reports whether a lack of result space, and not of time, recently kept calls from being full.
 func (p *Pool) ShortOfSpace(now time.Time) bool {
-	return !p.shortAt.IsZero() && now.Sub(p.shortAt) < shortLife
+	return !p.lastSpaceShortage.IsZero() && now.Sub(p.lastSpaceShortage) < shortageExpiry
 }
--- a/collector/order_test.go
+++ b/collector/order_test.go
@@ -8,9 +8,9 @@
 	"geraniumline/registrar"
 )
 
-// BenchmarkOrdered orders the backlog of a surge.
+// BenchmarkOrdered measures the sorting of a surge's backlog.
 func BenchmarkOrdered(b *testing.B) {
-	p := New(Config{Stage: usualStage()})
+	p := New(Config{Stage: defaultStage()})
 	p.Reduce(EndpointsChanged{Endpoints: []registrar.Endpoint{}}, start)
 	for i := range 500 {
 		g := Group{
@@ -24,6 +24,6 @@
 		p.Reduce(GroupArrived{Group: g}, start)
 	}
 	for b.Loop() {
-		p.ordered(start)
+		p.orderedGroups(start)
 	}
 }
--- a/collector/rate.go
+++ b/collector/rate.go
@@ -2,36 +2,36 @@
 
 import "time"
 
-// rateWindow is the time over which a rate is taken: some ten calls.
+// rateWindow is the window for measuring a rate: about ten calls.
 const rateWindow = 2 * time.Second
 
-// pastRate is how much was counted a second, over the last window and the present one.
-type pastRate struct {
-	began         time.Time
-	present, past int
+// recentRate measures a rate per second over the previous window and the current one.
+type recentRate struct {
+	windowStart       time.Time
+	current, previous int
 }
 
-func (r *pastRate) add(n int, now time.Time) {
+func (r *recentRate) add(n int, now time.Time) {
 	r.roll(now)
-	r.present += n
+	r.current += n
 }
 
-func (r *pastRate) roll(now time.Time) {
-	switch since := now.Sub(r.began); {
+func (r *recentRate) roll(now time.Time) {
+	switch since := now.Sub(r.windowStart); {
 	case since < rateWindow:
 		return
 	case since < 2*rateWindow:
-		r.past = r.present
-		r.began = r.began.Add(rateWindow)
+		r.previous = r.current
+		r.windowStart = r.windowStart.Add(rateWindow)
 	default:
-		r.past = 0
-		r.began = now
+		r.previous = 0
+		r.windowStart = now
 	}
-	r.present = 0
+	r.current = 0
 }
 
-func (r *pastRate) perSecond(now time.Time) float64 {
+func (r *recentRate) perSecond(now time.Time) float64 {
 	r.roll(now)
-	span := rateWindow + now.Sub(r.began)
-	return float64(r.past+r.present) / span.Seconds()
+	span := rateWindow + now.Sub(r.windowStart)
+	return float64(r.previous+r.current) / span.Seconds()
 }
--- a/collector/share.go
+++ b/collector/share.go
@@ -3,31 +3,31 @@
 import "time"
 
 const (
-	// overShareDelay is what a client account's pieces yield for each time its fair share that it has had lately, and
-	// maxShareDelay the most. Under a surge of one large account, its own requests become late first; the delay is
-	// well under an objective, so that urgency and due time still tell.
-	overShareDelay = 150 * time.Millisecond
-	maxShareDelay  = 600 * time.Millisecond
+	// delayPerExcessShare is the delay of a client account's pieces for each fair share that it recently used beyond its
+	// own; maxShareDelay limits it. In a surge of one large account, that account's requests become late first. The delay
+	// is well below an objective, so that priority and due time still matter.
+	delayPerExcessShare = 150 * time.Millisecond
+	maxShareDelay       = 600 * time.Millisecond
 )
 
-// shares counts the pieces that calls took, by client account.
+// shares measures the rate of pieces added to calls, by client account.
 type shares struct {
-	byAccount map[string]*pastRate
+	byAccount map[string]*recentRate
 }
 
 func (s *shares) add(account string, now time.Time) {
 	if s.byAccount == nil {
-		s.byAccount = make(map[string]*pastRate)
+		s.byAccount = make(map[string]*recentRate)
 	}
 	r, known := s.byAccount[account]
 	if !known {
-		r = &pastRate{}
+		r = &recentRate{}
 		s.byAccount[account] = r
 	}
 	r.add(1, now)
 }
 
-// delays gives how far each account's pieces yield now. Accounts without work are forgotten.
+// delays returns the current delay of each account's pieces. Accounts without recent work are removed.
 func (s *shares) delays(now time.Time) map[string]time.Duration {
 	total := 0.0
 	rates := make(map[string]float64, len(s.byAccount))
@@ -42,9 +42,9 @@
 	}
 	delays := make(map[string]time.Duration, len(rates))
 	for account, rate := range rates {
-		over := rate/(total/float64(len(rates))) - 1
-		if over > 0 {
-			delays[account] = min(maxShareDelay, time.Duration(over*float64(overShareDelay)))
+		excess := rate/(total/float64(len(rates))) - 1
+		if excess > 0 {
+			delays[account] = min(maxShareDelay, time.Duration(excess*float64(delayPerExcessShare)))
 		}
 	}
 	return delays
--- a/collector/turnaround.go
+++ b/collector/turnaround.go
@@ -2,10 +2,11 @@
 
 import "time"
 
-// turnaroundWeight is the weight of the newest group in the mean turnaround: some twenty groups, a second's worth under load.
+// turnaroundWeight is the weight of the newest group in the moving average of the turnaround: it spans about twenty groups,
+// one second's worth under load.
 const turnaroundWeight = 0.05
 
-// turnaround is the time that groups take to pass through a pool.
+// turnaround is the moving average of the time that groups take to pass through a pool.
 type turnaround struct {
 	mean time.Duration
 }
