--- a/cataloger/cataloger_test.go
+++ b/cataloger/cataloger_test.go
@@ -18,7 +18,7 @@
 	return c
 }
 
-func TestMatchTakesTheLongestPrefix(t *testing.T) {
+func TestMatchPrefersTheLongestPrefix(t *testing.T) {
 	c := newCatalog(t, Config{Routes: []Route{route("short", "/a/"), route("long", "/a/b/")}})
 	for _, tc := range []struct{ name, host, path, want string }{
 		{"longest", "a.example", "/a/b/c", "long"},
@@ -49,14 +49,14 @@
 	require.InDelta(t, 1000, n, 150)
 }
 
-func TestLastStagesAreThoseThatNothingFollows(t *testing.T) {
+func TestFinalStagesHaveNoDependents(t *testing.T) {
 	r := Route{Stages: []Stage{{}, {}, {DependsOn: []int{1}}, {DependsOn: []int{2}}}}
 	require.Equal(t, []int{0, 3}, r.FinalStages([]int{2, 1, 6, 16}))
 	require.Equal(t, []int{3}, r.FinalStages([]int{0, 1, 6, 16}))
 	require.Equal(t, []int{0, 2}, r.FinalStages([]int{2, 1, 6, 0}))
 }
 
-func TestNewRefusesWhatCannotBeCarriedOut(t *testing.T) {
+func TestNewRejectsInvalidRoutes(t *testing.T) {
 	bad := route("r", "/a/")
 	bad.Stages = []Stage{{Service: "s", DependsOn: []int{0}}}
 	_, err := New(Config{Routes: []Route{bad}})
@@ -84,7 +84,7 @@
 	}
 }
 
-func TestKeysNameAccounts(t *testing.T) {
+func TestAccountsAreFoundByKey(t *testing.T) {
 	c := newCatalog(t, Config{Accounts: []Account{{Name: "small", Keys: []string{"k1", "k2"}}}})
 	require.True(t, c.RequiresKeys())
 	a, known := c.Account("k2")
--- a/collector/world_test.go
+++ b/collector/world_test.go
@@ -28,7 +28,7 @@
 	freed       []FreeResults
 	// fetched holds the groups whose inputs were reported as fetched.
 	fetched []GroupID
-	// freeAfter is how long after its delivery a result is released; if negative, it never is.
+	// freeAfter is how long after its delivery a result is released; if below 0, it never is.
 	freeAfter time.Duration
 	sequence  int
 	// busyUntil is when each endpoint finishes its calls from all pools; nil if there is only one pool.
--- a/divider/divider.go
+++ b/divider/divider.go
@@ -1,6 +1,6 @@
-// Package divider decides by which parts a stage's service is collected. One entry can order and call for so many pieces a
-// second; beyond that its processor, and not the endpoints, bounds a burst. So the endpoints of a service with many of them are
-// collected by availability zone, each zone by an entry of its own. The package is pure.
+// Package divider divides stage services into pools, each of which is collected by one entry. The CPU of one entry limits
+// how many pieces per second it can sort and send in calls; in a burst, that limit would be reached before the capacity of
+// many endpoints. A service with many endpoints is therefore divided by availability zone. The package is pure.
 package divider
 
 import (
@@ -15,17 +15,18 @@
 	"geraniumline/registrar"
 )
 
-// Pool names what one entry collects for: all endpoints of a service, or those in one availability zone.
+// Pool identifies the endpoints that one entry collects for: all of a service's, or those in one availability zone.
 type Pool struct {
 	Service string
-	// Zone is empty where the pool has the endpoints of all zones.
+	// Zone is empty if the pool has the endpoints of all zones.
 	Zone string
 }
 
-// separator stands between the service and the zone in a pool's name.
+// separator separates the service from the zone in a pool's name.
 const separator = "@"
 
-// String gives the pool's name, by which entries ask for its pieces. Services whose names hold the separator are escaped.
+// String returns the pool's name, which entries use in messages about its pieces. A separator in the service's name is
+// escaped.
 func (p Pool) String() string {
 	service := url.QueryEscape(p.Service)
 	if p.Zone == "" {
@@ -34,7 +35,7 @@
 	return service + separator + p.Zone
 }
 
-// Parse reads a pool's name. One that no pool has is taken as a service's as it stands.
+// Parse parses a pool's name. If it is not valid, the whole name is used as the service's name.
 func Parse(name string) Pool {
 	escaped, zone, _ := strings.Cut(name, separator)
 	service, err := url.QueryUnescape(escaped)
@@ -44,56 +45,56 @@
 	return Pool{Service: service, Zone: zone}
 }
 
-// Takes tells whether an endpoint is one of the pool's.
+// Contains reports whether an endpoint belongs to the pool.
 func (p Pool) Contains(e *registrar.Endpoint) bool {
 	return e.Service == p.Service && (p.Zone == "" || e.Zone == p.Zone)
 }
 
 const (
-	// divideFrom is the number of endpoints from which a service is divided. Entries that know of one endpoint more or less
-	// differ in it for a moment: then two collect for one endpoint, which turns away what it can't hold.
-	divideFrom = 48
-	// joinBelow is the number below which it is one pool again. The gap keeps endpoints that come and go near the bound from
-	// dividing and joining it again and again.
-	joinBelow = 36
-	// leastInZone is how many endpoints a zone has at least for the service to be divided: calls of a smaller pool are less
-	// full, and one slow endpoint is a large part of it.
-	leastInZone = 8
+	// divideThreshold is the number of endpoints from which a service is divided. Entries whose lists differ by one endpoint
+	// may disagree for a moment. Two entries then collect for the same endpoint, which refuses calls that it cannot hold.
+	divideThreshold = 48
+	// joinThreshold is the number of endpoints below which a divided service becomes one pool again. The gap keeps a service
+	// from being divided and joined repeatedly when its number of endpoints changes near the threshold.
+	joinThreshold = 36
+	// minZoneEndpoints is the minimum number of endpoints in each zone for a service to be divided. The calls of a smaller
+	// pool would be less full, and one slow endpoint would be a large part of it.
+	minZoneEndpoints = 8
 )
 
-// Divider knows which services are divided.
+// Divider decides which services are divided.
 type Divider struct {
-	// open counts the endpoints that may get new work, by service and zone.
-	open    map[string]map[string]int
-	divided map[string]bool
-	// total counts all registered endpoints by service.
-	total map[string]int
+	// available is the number of endpoints that may receive new work, by service and zone.
+	available map[string]map[string]int
+	divided   map[string]bool
+	// registered is the number of all registered endpoints by service.
+	registered map[string]int
 }
 
-// New makes a divider that knows no endpoint.
+// New returns a divider without endpoints.
 func New() *Divider {
-	return &Divider{open: make(map[string]map[string]int), divided: make(map[string]bool), total: make(map[string]int)}
+	return &Divider{available: make(map[string]map[string]int), divided: make(map[string]bool), registered: make(map[string]int)}
 }
 
-// Told notes that a peer says that a service is divided. An entry that starts while endpoints are few would else take it for one
-// pool beside those that know it as divided, and two would collect for each endpoint.
+// MarkDivided records that a peer treats a service as divided, unless it has too few endpoints. Otherwise an entry that starts while the service has few
+// endpoints would treat it as one pool while its peers keep it divided, and two entries would collect for each endpoint.
 func (d *Divider) MarkDivided(service string) {
-	if d.total[service] >= joinBelow {
+	if d.registered[service] >= joinThreshold {
 		d.divided[service] = true
 	}
 }
 
-// SetEndpoints takes all registered endpoints of stages' services, and which of them may get new work. Those that may not count
-// for the division: an evacuation of one zone must not have all others collected anew.
-func (d *Divider) SetEndpoints(registered, open []registrar.Endpoint) {
-	all := count(registered)
-	d.open = count(open)
-	d.total = make(map[string]int, len(all))
+// SetEndpoints sets all registered endpoints of stage services and those of them that may receive new work. The division
+// depends on all registered ones, so that the evacuation of one zone does not change the pools of the others.
+func (d *Divider) SetEndpoints(registered, available []registrar.Endpoint) {
+	all := countByZone(registered)
+	d.available = countByZone(available)
+	d.registered = make(map[string]int, len(all))
 	for service, zones := range all {
 		for _, n := range zones {
-			d.total[service] += n
+			d.registered[service] += n
 		}
-		d.divided[service] = d.divides(service, zones)
+		d.divided[service] = d.shouldDivide(service, zones)
 	}
 	for service := range d.divided {
 		if all[service] == nil {
@@ -102,21 +103,21 @@
 	}
 }
 
-func (d *Divider) divides(service string, zones map[string]int) bool {
-	least := divideFrom
+func (d *Divider) shouldDivide(service string, zones map[string]int) bool {
+	smallestZone := divideThreshold
 	for _, n := range zones {
-		least = min(least, n)
+		smallestZone = min(smallestZone, n)
 	}
 	if len(zones) < 2 {
 		return false
 	}
 	if d.divided[service] {
-		return d.total[service] >= joinBelow
+		return d.registered[service] >= joinThreshold
 	}
-	return d.total[service] >= divideFrom && least >= leastInZone
+	return d.registered[service] >= divideThreshold && smallestZone >= minZoneEndpoints
 }
 
-func count(endpoints []registrar.Endpoint) map[string]map[string]int {
+func countByZone(endpoints []registrar.Endpoint) map[string]map[string]int {
 	counts := make(map[string]map[string]int)
 	for i := range endpoints {
 		e := &endpoints[i]
@@ -128,12 +129,12 @@
 	return counts
 }
 
-// Pools lists the pools of a service in the order of their names.
+// Pools returns the pools of a service, sorted by name.
 func (d *Divider) Pools(service string) []Pool {
 	if !d.divided[service] {
 		return []Pool{{Service: service}}
 	}
-	zones := slices.Sorted(maps.Keys(d.open[service]))
+	zones := slices.Sorted(maps.Keys(d.available[service]))
 	pools := make([]Pool, 0, len(zones))
 	for _, zone := range zones {
 		pools = append(pools, Pool{Service: service, Zone: zone})
@@ -144,22 +145,22 @@
 	return pools
 }
 
-// Query says for what a pool is chosen.
+// Query is the input of Choose.
 type Query struct {
 	Service string
-	// Draw is the same for all stages of a request, so that they are done in one zone as far as each has endpoints there.
+	// Seed is the same for all stages of a request, so that they run in one zone if each of them has endpoints there.
 	Seed uint64
-	// Near is the zone where the results are wanted; empty where that is all the same.
+	// PreferredZone is the zone where the results are needed; empty if there is no preference.
 	PreferredZone string
-	// Allows tells whether the pieces may be made in a zone; nil where they may be in all.
+	// ZoneAllowed reports whether the pieces may be processed in a zone; nil allows all zones.
 	ZoneAllowed func(zone string) bool
-	// Patience is how much longer the chosen pool may keep pieces waiting than the least loaded one.
+	// MaxExtraWait is how much longer pieces may wait in the chosen pool than in the least loaded one.
 	MaxExtraWait time.Duration
 }
 
-// Choose gives the pool that a request's pieces are asked for at. Each zone gets its part of the work by its number of
-// endpoints; a pool with a longer wait than the others by more than the patience is passed over, so that a zone that has lost
-// endpoints, or has the large requests of a moment, does not make its part of all requests late.
+// Choose returns the pool that processes a request's pieces. Work is distributed over the zones in proportion to their
+// endpoints. A pool whose wait exceeds the shortest one by more than MaxExtraWait is avoided, so that a zone that has lost
+// endpoints, or happens to have large requests, does not make its share of all requests late.
 func (d *Divider) Choose(query Query, wait func(Pool) time.Duration) Pool {
 	pools := d.Pools(query.Service)
 	if len(pools) == 1 {
@@ -169,35 +170,35 @@
 		pools = slices.DeleteFunc(pools, func(p Pool) bool { return !query.ZoneAllowed(p.Zone) })
 	}
 	if len(pools) == 0 {
-		// Nothing may be made anywhere: the pool of all endpoints finds none that may get the pieces.
+		// No zone is allowed. The pool of all endpoints will find none that may process the pieces.
 		return Pool{Service: query.Service}
 	}
-	chosen := d.drawn(pools, query.Seed)
-	if near := (Pool{Service: query.Service, Zone: query.PreferredZone}); slices.Contains(pools, near) {
-		chosen = near
+	chosen := d.weightedPool(pools, query.Seed)
+	if preferred := (Pool{Service: query.Service, Zone: query.PreferredZone}); slices.Contains(pools, preferred) {
+		chosen = preferred
 	}
-	best, least := chosen, wait(chosen)
+	best, shortest := chosen, wait(chosen)
 	for _, p := range pools {
-		if w := wait(p); w < least {
-			best, least = p, w
+		if w := wait(p); w < shortest {
+			best, shortest = p, w
 		}
 	}
-	if wait(chosen) > least+query.MaxExtraWait {
+	if wait(chosen) > shortest+query.MaxExtraWait {
 		return best
 	}
 	return chosen
 }
 
-// drawn picks a pool in proportion to the pools' endpoints.
-func (d *Divider) drawn(pools []Pool, draw uint64) Pool {
+// weightedPool selects a pool with a probability proportional to its number of endpoints.
+func (d *Divider) weightedPool(pools []Pool, seed uint64) Pool {
 	total := 0
 	for _, p := range pools {
-		total += d.open[p.Service][p.Zone]
+		total += d.available[p.Service][p.Zone]
 	}
-	// The same part of the whole for all services, however many endpoints each has.
-	at := int(float64(hasher.Mix(draw)) / math.MaxUint64 * float64(total))
+	// The position is the same fraction of the total for all services, regardless of their number of endpoints.
+	position := int(float64(hasher.Mix(seed)) / math.MaxUint64 * float64(total))
 	for _, p := range pools {
-		if at -= d.open[p.Service][p.Zone]; at < 0 {
+		if position -= d.available[p.Service][p.Zone]; position < 0 {
 			return p
 		}
 	}
--- a/divider/divider_test.go
+++ b/divider/divider_test.go
@@ -10,7 +10,7 @@
 	"geraniumline/registrar"
 )
 
-// endpoints makes so many endpoints of the service in each zone.
+// endpoints returns the given number of endpoints of the service in each zone.
 func endpoints(service string, inZone ...int) []registrar.Endpoint {
 	var list []registrar.Endpoint
 	for zone, n := range inZone {
@@ -23,7 +23,7 @@
 
 func idle(Pool) time.Duration { return 0 }
 
-func TestNamesAreReadBack(t *testing.T) {
+func TestPoolNamesRoundTrip(t *testing.T) {
 	for _, p := range []Pool{{Service: "encode"}, {Service: "encode", Zone: "z0"}, {Service: "a@b"}, {Service: "a@b", Zone: "z0"}, {Service: "a%40b+c"}} {
 		require.Equal(t, p, Parse(p.String()))
 	}
@@ -40,28 +40,28 @@
 
 func TestLargeServicesAreDividedByZones(t *testing.T) {
 	d := New()
-	set := func(inZone ...int) int {
+	setEndpoints := func(inZone ...int) int {
 		list := endpoints("s", inZone...)
 		d.SetEndpoints(list, list)
 		return len(d.Pools("s"))
 	}
-	require.Equal(t, 1, set(6, 6, 6))
-	require.Equal(t, 1, set(divideFrom+1), "one zone")
-	require.Equal(t, 1, set(divideFrom, leastInZone-1), "a zone with few endpoints")
-	require.Equal(t, 3, set(divideFrom/3, divideFrom/3, divideFrom/3))
-	require.Equal(t, 3, set(divideFrom/3-1, divideFrom/3, divideFrom/3), "one that leaves does not join it")
-	require.Equal(t, 1, set(2, 2, joinBelow-5))
+	require.Equal(t, 1, setEndpoints(6, 6, 6))
+	require.Equal(t, 1, setEndpoints(divideThreshold+1), "one zone")
+	require.Equal(t, 1, setEndpoints(divideThreshold, minZoneEndpoints-1), "a zone with few endpoints")
+	require.Equal(t, 3, setEndpoints(divideThreshold/3, divideThreshold/3, divideThreshold/3))
+	require.Equal(t, 3, setEndpoints(divideThreshold/3-1, divideThreshold/3, divideThreshold/3), "one endpoint that leaves does not join the pools")
+	require.Equal(t, 1, setEndpoints(2, 2, joinThreshold-5))
 	d.MarkDivided("s")
-	require.Equal(t, 1, set(2, 2, joinBelow-5), "a peer's word does not divide what is small")
-	require.Equal(t, 1, set(joinBelow/3, joinBelow/3, joinBelow/3))
+	require.Equal(t, 1, setEndpoints(2, 2, joinThreshold-5), "a peer's report does not divide a small service")
+	require.Equal(t, 1, setEndpoints(joinThreshold/3, joinThreshold/3, joinThreshold/3))
 	d.MarkDivided("s")
-	require.Equal(t, 3, set(joinBelow/3, joinBelow/3, joinBelow/3), "one that a peer has divided")
+	require.Equal(t, 3, setEndpoints(joinThreshold/3, joinThreshold/3, joinThreshold/3), "a peer reported it as divided")
 	require.Equal(t, []Pool{{Service: "other"}}, d.Pools("other"))
 }
 
-// A zone is evacuated. The others stay as they are, and the zone gets nothing: collected anew, all that waits anywhere would
-// move at the moment when there is least to serve it.
-func TestAnEvacuationMovesNoOtherZone(t *testing.T) {
+// One zone is evacuated and receives no work. The pools of the other zones must not change: otherwise all waiting pieces
+// would move to another entry just when capacity is lowest.
+func TestAnEvacuationKeepsOtherZones(t *testing.T) {
 	d := New()
 	all := endpoints("s", 20, 20, 20)
 	d.SetEndpoints(all, all[20:])
@@ -71,25 +71,26 @@
 	}
 }
 
-// Requests are spread by the endpoints of the zones, and the stages of one are done in one zone as far as each has endpoints.
-func TestWorkIsSpreadByEndpoints(t *testing.T) {
+// Requests are distributed in proportion to the zones' endpoints, and the stages of one request run in the same zone if each
+// has endpoints there.
+func TestWorkIsProportionalToEndpoints(t *testing.T) {
 	d := New()
 	all := append(endpoints("first", 24, 12, 12), endpoints("second", 40, 20, 20)...)
 	d.SetEndpoints(all, all)
-	in := make(map[string]int)
+	byZone := make(map[string]int)
 	const draws = 10_000
 	for draw := range uint64(draws) {
 		first := d.Choose(Query{Service: "first", Seed: draw}, idle)
 		require.Equal(t, first.Zone, d.Choose(Query{Service: "second", Seed: draw}, idle).Zone)
-		in[first.Zone]++
+		byZone[first.Zone]++
 	}
-	require.InDelta(t, draws/2, in["z0"], draws/50)
-	require.InDelta(t, draws/4, in["z1"], draws/50)
+	require.InDelta(t, draws/2, byZone["z0"], draws/50)
+	require.InDelta(t, draws/4, byZone["z1"], draws/50)
 	require.Equal(t, "z2", d.Choose(Query{Service: "first", PreferredZone: "z2"}, idle).Zone)
 }
 
-// A request may be served in one region, whose zones' pools are loaded. It must wait there all the same.
-func TestPiecesStayInZonesThatAreAllowed(t *testing.T) {
+// A request may be processed in only one zone, whose pool is loaded. It must still wait there.
+func TestPiecesStayInAllowedZones(t *testing.T) {
 	d := New()
 	all := endpoints("s", 20, 20, 20)
 	d.SetEndpoints(all, all)
@@ -106,9 +107,9 @@
 	require.Equal(t, Pool{Service: "s"}, d.Choose(Query{Service: "s", ZoneAllowed: func(string) bool { return false }}, idle))
 }
 
-// One zone has lost endpoints and a queue grows there. What comes goes to the others once its wait is longer by the patience,
-// and not before.
-func TestALoadedZoneIsPassedOver(t *testing.T) {
+// One zone has lost endpoints and its queue grows. New pieces go to the other zones only once its wait is longer by more than
+// MaxExtraWait.
+func TestAnOverloadedZoneIsAvoided(t *testing.T) {
 	d := New()
 	all := endpoints("s", 20, 20, 20)
 	d.SetEndpoints(all, all)
--- a/planner/plan.go
+++ b/planner/plan.go
@@ -1,6 +1,6 @@
-// Package planner decides how the stages of one request are done: which stage is asked for when, what its pieces need, where
-// they should be made, when they are due, what is made again, and whose results are given back. It is pure: the present time
-// and what is known of the pools are given to it.
+// Package planner plans the stages of one request: when each stage is requested, the inputs, preferred zone and due time of
+// its pieces, which results are recomputed, and which are freed. It is pure: the current time and the state of the pools are
+// passed in.
 package planner
 
 import (
@@ -12,122 +12,123 @@
 	"geraniumline/switcher"
 )
 
-// maxRemakes is how often a request's lapsed stage results are made again.
-const maxRemakes = 2
+// maxRecomputes is the maximum number of times that a request's lost stage results are recomputed.
+const maxRecomputes = 2
 
-// Config says what a request's stages are planned by.
+// Config describes a request whose stages are planned.
 type Config struct {
-	// Origin is the entry that has the request, Request its id.
+	// Origin is the entry that handles the request, Request the request's ID.
 	Origin  string
 	Request string
 	Stages  []cataloger.Stage
-	// Counts are the numbers of the stages' pieces; a stage that has none named has one.
+	// PieceCounts holds the number of pieces of each stage; stages beyond its end have one piece.
 	PieceCounts []int
-	// Key is the input of the first stages' pieces.
+	// Key is the input of pieces of first stages.
 	Key      string
 	Priority int
 	Account  string
-	// Regions are those where the stages may be done; empty where all are.
+	// Regions are the regions where the stages may run; empty allows all.
 	Regions []string
-	// Due is when the first event is on time, FirstBy when the caller leaves that has none.
+	// Due is the time until which the first event is on time. The caller disconnects if it has no event by
+	// FirstEventDeadline.
 	Due                time.Time
 	FirstEventDeadline time.Time
-	// HomeZone is where the model engine that holds the prompt's shared parts is.
+	// HomeZone is the zone of the model engine that caches the prompt's shared parts.
 	HomeZone string
-	// ModelTime is what the model engine is predicted to take after the last stage.
+	// ModelTime is the predicted time of the model engine after the last stage.
 	ModelTime time.Duration
-	// Off are the mechanisms of policy that are switched off.
+	// Off holds the policy mechanisms that are switched off.
 	Off switcher.Off
 }
 
-// View is what is known of the stages' pools at present.
+// View provides the current state of the stages' pools.
 type View interface {
-	// Pool says how a service's endpoints take calls.
+	// Pool returns the settings of a service's endpoints.
 	Pool(service string) (cataloger.StagePool, bool)
-	// Load is the newest load known of a service's pool; zero where there is none.
+	// Load returns the most recent load of a service's pool, or the zero value if there is none.
 	Load(service string) Load
 }
 
-// Load is what is said of a pool at the entry that collects for it.
+// Load is the load of a pool as reported by the entry that collects for it.
 type Load struct {
-	// Wait is how long a piece that comes now would wait for its call.
+	// Wait is how long a piece that arrives now would wait for its call.
 	Wait time.Duration
-	// Turnaround is how long groups of pieces take there.
+	// Turnaround is the mean time that groups of pieces take there.
 	Turnaround time.Duration
-	// Short tells that it is short of space for results.
+	// ShortOfSpace is set if the pool lacks space for results.
 	ShortOfSpace bool
-	// Over is for how long more has come there than can be made.
+	// OverloadedFor is how long more pieces have been arriving than the pool can process.
 	OverloadedFor time.Duration
 }
 
-// LoadOf gives the load of a pool at the entry that collects for it.
+// LoadOf returns the load of a pool that this entry collects for.
 func LoadOf(p *collector.Pool, now time.Time) Load {
 	return Load{Wait: max(0, p.PredictedWait(now)), Turnaround: p.Turnaround(), ShortOfSpace: p.ShortOfSpace(now), OverloadedFor: p.OverloadedFor(now)}
 }
 
-// Freed are results of one stage that nothing needs any more.
+// ReleasedResults holds results of one stage that are no longer needed.
 type ReleasedResults struct {
 	Service string
 	Stage   int
 	Results []collector.ResultRef
 }
 
-// stage is how far one stage of a request is.
+// stage is the progress of one stage of a request.
 type stage struct {
-	// count is the number of its pieces, missing how many have no result.
-	count   int
-	missing int
-	// made and zones hold the results and where they lie, by segment.
-	made  []collector.ResultRef
-	zones []string
-	// asked is set while its pieces are asked for, since askedAt.
-	asked   bool
-	askedAt time.Time
-	// read is set once endpoints have fetched its inputs, freed once its results were given back.
-	read  bool
-	freed bool
+	// pieceCount is the number of its pieces, missing the number of those without a result.
+	pieceCount int
+	missing    int
+	// results and zones hold the results and their availability zones by segment.
+	results []collector.ResultRef
+	zones   []string
+	// requested is set while its pieces are requested, since requestedAt.
+	requested   bool
+	requestedAt time.Time
+	// inputsFetched is set once endpoints have fetched its inputs, freed once its results were freed.
+	inputsFetched bool
+	freed         bool
 }
 
-// Plan is the stages of one request.
+// Plan tracks the stages of one request.
 type Plan struct {
-	cfg     Config
-	stages  []stage
-	remakes int
+	cfg        Config
+	stages     []stage
+	recomputes int
 }
 
-// New makes the plan of a request none of whose stages is done.
+// New returns the plan of a request with no stage done.
 func New(cfg Config) *Plan {
 	p := &Plan{cfg: cfg, stages: make([]stage, len(cfg.Stages))}
 	for i := range p.stages {
-		p.stages[i].count = 1
+		p.stages[i].pieceCount = 1
 		if i < len(cfg.PieceCounts) {
-			p.stages[i].count = cfg.PieceCounts[i]
+			p.stages[i].pieceCount = cfg.PieceCounts[i]
 		}
-		p.stages[i].clear()
+		p.stages[i].reset()
 	}
 	return p
 }
 
-// clear forgets what the stage has made.
-func (t *stage) clear() {
+// reset discards the stage's results.
+func (t *stage) reset() {
 	*t = stage{
-		count:   t.count,
-		missing: t.count,
-		made:    make([]collector.ResultRef, t.count),
-		zones:   make([]string, t.count),
+		pieceCount: t.pieceCount,
+		missing:    t.pieceCount,
+		results:    make([]collector.ResultRef, t.pieceCount),
+		zones:      make([]string, t.pieceCount),
 	}
 }
 
-// Service is that of a stage.
+// Service returns the service of a stage.
 func (p *Plan) Service(stage int) string { return p.cfg.Stages[stage].Service }
 
-// Zones are where the results of a stage lie, by piece.
+// ResultZones returns the zones of a stage's results by piece.
 func (p *Plan) ResultZones(stage int) []string { return p.stages[stage].zones }
 
-// StageDone tells whether all pieces of a stage are made.
+// StageDone reports whether all pieces of a stage have results.
 func (p *Plan) StageDone(stage int) bool { return p.stages[stage].missing == 0 }
 
-// Done tells whether all stages are.
+// Done reports whether all stages are done.
 func (p *Plan) Done() bool {
 	for i := range p.stages {
 		if !p.StageDone(i) {
@@ -137,27 +138,28 @@
 	return true
 }
 
-// counts are the numbers of pieces of all stages.
-func (p *Plan) counts() []int {
+// pieceCounts returns the numbers of pieces of all stages.
+func (p *Plan) pieceCounts() []int {
 	counts := make([]int, len(p.stages))
 	for i := range p.stages {
-		counts[i] = p.stages[i].count
+		counts[i] = p.stages[i].pieceCount
 	}
 	return counts
 }
 
-// last are the stages whose results the request itself takes.
-func (p *Plan) last() []int {
+// finalStages returns the stages whose results are inputs of the request itself.
+func (p *Plan) finalStages() []int {
 	route := cataloger.Route{Stages: p.cfg.Stages}
-	return route.FinalStages(p.counts())
+	return route.FinalStages(p.pieceCounts())
 }
 
-// Next lists the stages whose pieces should be asked for now: those whose inputs are all made, unless their results would
-// only lie there until other stages are done. It tells whether to look again later for such.
+// Next returns the stages whose pieces should be requested now: those whose inputs are complete, except stages whose results
+// would only be stored until other stages are done. If there are such exceptions, again is true and Next should be called
+// again later.
 func (p *Plan) Next(view View, now time.Time) (next []int, again bool) {
 	for i := range p.stages {
 		t := &p.stages[i]
-		if t.asked || t.missing == 0 || !p.ready(i) {
+		if t.requested || t.missing == 0 || !p.inputsReady(i) {
 			continue
 		}
 		if p.tooEarly(i, view, now) {
@@ -169,66 +171,66 @@
 	return next, again
 }
 
-func (p *Plan) ready(stage int) bool {
-	for _, before := range p.cfg.Stages[stage].DependsOn {
-		if p.stages[before].missing > 0 {
+func (p *Plan) inputsReady(stage int) bool {
+	for _, input := range p.cfg.Stages[stage].DependsOn {
+		if p.stages[input].missing > 0 {
 			return false
 		}
 	}
 	return true
 }
 
-// Group gives the pieces of a stage that are to be asked for, and takes them as asked for.
+// StartStage returns the pieces of a stage to request and marks the stage as requested.
 func (p *Plan) StartStage(stage int, view View, now time.Time) collector.Group {
 	t := &p.stages[stage]
-	t.asked = true
-	t.askedAt = now
+	t.requested = true
+	t.requestedAt = now
 	cfg := &p.cfg.Stages[stage]
 	g := collector.Group{
 		ID:          collector.GroupID{Origin: p.cfg.Origin, Request: p.cfg.Request, Stage: stage},
-		Due:         p.cfg.Due.Add(-p.cfg.ModelTime - p.usualAfter(stage, view)),
-		Deadline:    p.LatestModelStart().Add(-p.leastAfter(stage, view)),
+		Due:         p.cfg.Due.Add(-p.cfg.ModelTime - p.usualTimeAfter(stage, view)),
+		Deadline:    p.LatestModelStart().Add(-p.minTimeAfter(stage, view)),
 		Priority:    p.cfg.Priority,
 		Account:     p.cfg.Account,
 		Regions:     p.cfg.Regions,
 		ResultBytes: cfg.ResultBytes,
-		HoldsSpace:  p.holding(stage, view),
+		HoldsSpace:  p.inputsHoldSpace(stage, view),
 	}
-	g.PreferredZone, g.CrossZoneBytes = p.wantedZone(stage)
-	for n, made := range t.made {
-		if made.Handle == "" {
+	g.PreferredZone, g.CrossZoneBytes = p.preferredZone(stage)
+	for n, result := range t.results {
+		if result.Handle == "" {
 			g.Segments = append(g.Segments, n)
 		}
 	}
 	g.LatestDue = g.Due
 	if len(cfg.DependsOn) == 0 {
-		// Later stages take the most urgent first, so that what groups take there at present says little of one that comes
-		// late. Judged by it, first stages put most groups last under a surge.
+		// Later stages process the most urgent groups first, so their current turnaround says little about a late group. Based
+		// on it, first stages would put most groups last in a surge.
 		g.Key = p.cfg.Key
-		g.LatestDue = p.cfg.Due.Add(-p.cfg.ModelTime - p.leastAfter(stage, view))
+		g.LatestDue = p.cfg.Due.Add(-p.cfg.ModelTime - p.minTimeAfter(stage, view))
 	}
 	p.addInputs(&g, stage, view)
 	return g
 }
 
 func (p *Plan) addInputs(g *collector.Group, stage int, view View) {
-	for _, before := range p.cfg.Stages[stage].DependsOn {
-		for _, made := range p.stages[before].made {
-			g.Inputs = append(g.Inputs, made.Handle)
-			g.InputBytes += p.cfg.Stages[before].ResultBytes
+	for _, input := range p.cfg.Stages[stage].DependsOn {
+		for _, result := range p.stages[input].results {
+			g.Inputs = append(g.Inputs, result.Handle)
+			g.InputBytes += p.cfg.Stages[input].ResultBytes
 		}
-		short := view.Load(p.Service(before)).ShortOfSpace && !p.cfg.Off.Has(switcher.FetchedFreed)
-		g.NotifyInputsFetched = g.NotifyInputsFetched || short
+		shortOfSpace := view.Load(p.Service(input)).ShortOfSpace && !p.cfg.Off.Has(switcher.FetchedFreed)
+		g.NotifyInputsFetched = g.NotifyInputsFetched || shortOfSpace
 	}
 }
 
-// Took takes a piece's result.
+// AddResult stores a piece's result and returns the results to free.
 func (p *Plan) AddResult(stage int, d collector.Deliver) []ReleasedResults {
 	t := &p.stages[stage]
-	if t.made[d.Segment].Handle != "" {
-		return p.give(stage, collector.ResultRef{Handle: d.Result.Handle, Address: d.Address})
+	if t.results[d.Segment].Handle != "" {
+		return p.resultsToFree(stage, collector.ResultRef{Handle: d.Result.Handle, Address: d.Address})
 	}
-	t.made[d.Segment] = collector.ResultRef{Handle: d.Result.Handle, Address: d.Address}
+	t.results[d.Segment] = collector.ResultRef{Handle: d.Result.Handle, Address: d.Address}
 	t.zones[d.Segment] = d.Zone
 	t.missing--
 	if t.missing > 0 {
@@ -237,66 +239,67 @@
 	return p.freeInputs(stage)
 }
 
-// InputsRead notes that the inputs of a stage were fetched. They are of no more use unless a piece fails, one in some
-// hundred; they are then made again. While more waits at the stage than its next calls take they are kept all the same:
-// the space that they take keeps the stage before from making more than this one can use, for groups that will be late.
+// InputsFetched records that the inputs of a stage were fetched and returns the results to free. The inputs are needed again
+// only if a piece fails, about one in a hundred, and are then recomputed. While the stage has more waiting pieces than fit in
+// its next calls, the inputs are kept: the space that they occupy keeps the previous stage from producing more than this one
+// can use, for groups that will be late.
 func (p *Plan) InputsFetched(stage int, view View) []ReleasedResults {
 	if view.Load(p.Service(stage)).Wait > 0 {
 		return nil
 	}
-	p.stages[stage].read = true
+	p.stages[stage].inputsFetched = true
 	return p.freeInputs(stage)
 }
 
-// Remake has a stage's inputs made again that have lapsed, and then what is missing of the stage itself. Without it a
-// request that waited for longer than results are kept would fail, although there is time left. It lists the stages that
-// are no longer asked for, and tells whether it may be done.
-func (p *Plan) RecomputeInputs(stage int) (ended []int, freed []ReleasedResults, again bool) {
-	if p.remakes >= maxRemakes {
+// RecomputeInputs resets a stage's inputs, which have expired, so that they are recomputed, and then the missing pieces of the
+// stage itself. Otherwise a request that waited for longer than results are kept would fail although there is time left. It
+// returns the stages that are no longer requested, the results to free, and whether another attempt is allowed.
+func (p *Plan) RecomputeInputs(stage int) (ended []int, freed []ReleasedResults, allowed bool) {
+	if p.recomputes >= maxRecomputes {
 		return nil, nil, false
 	}
-	p.remakes++
-	p.stages[stage].asked = false
-	p.stages[stage].read = false
+	p.recomputes++
+	p.stages[stage].requested = false
+	p.stages[stage].inputsFetched = false
 	ended, freed = p.resetInputs(stage)
 	return append(ended, stage), freed, true
 }
 
-// LastFetched is how long after the request was sent the model engine has fetched the results that it takes, and whether
-// space for them is so short that they should be given back as soon as it has.
-func (p *Plan) FinalFetchDelay(view View) (after time.Duration, short bool) {
-	for _, i := range p.last() {
+// FinalFetchDelay returns how long after the request was sent the model engine is assumed to have fetched the results of the
+// final stages, and whether space for them is so short that they should be freed then.
+func (p *Plan) FinalFetchDelay(view View) (delay time.Duration, shortOfSpace bool) {
+	for _, i := range p.finalStages() {
 		pool, known := view.Pool(p.Service(i))
 		if !known {
 			continue
 		}
-		bytes := p.cfg.Stages[i].ResultBytes * int64(p.stages[i].count)
-		after = max(after, collector.FetchDelay(&pool, bytes))
-		short = short || view.Load(p.Service(i)).ShortOfSpace
+		bytes := p.cfg.Stages[i].ResultBytes * int64(p.stages[i].pieceCount)
+		delay = max(delay, collector.FetchDelay(&pool, bytes))
+		shortOfSpace = shortOfSpace || view.Load(p.Service(i)).ShortOfSpace
 	}
-	return after, short && !p.cfg.Off.Has(switcher.FetchedFreed)
+	return delay, shortOfSpace && !p.cfg.Off.Has(switcher.FetchedFreed)
 }
 
-// LastFreed tells whether results that the request itself takes were given back: another endpoint can't be sent it before they
-// are made again.
+// FinalResultsFreed reports whether results of final stages were freed. They must then be recomputed before the request can
+// be sent to another endpoint.
 func (p *Plan) FinalResultsFreed() bool {
-	return slices.ContainsFunc(p.last(), func(i int) bool { return p.stages[i].freed })
+	return slices.ContainsFunc(p.finalStages(), func(i int) bool { return p.stages[i].freed })
 }
 
-// RemakeLast has the results made again that the request itself takes and that were given back, to be due by other times than
-// before. It lists the stages that are no longer asked for, and tells whether it may be done.
-func (p *Plan) RecomputeFinalResults(due, firstBy time.Time) (ended []int, freed []ReleasedResults, again bool) {
-	if p.remakes >= maxRemakes {
+// RecomputeFinalResults resets the final stages whose results were freed, so that they are recomputed, and sets new due times.
+// It returns the stages that are no longer requested, the results to free, and whether another attempt is allowed.
+func (p *Plan) RecomputeFinalResults(due, firstEventDeadline time.Time) (ended []int, freed []ReleasedResults, allowed bool) {
+	if p.recomputes >= maxRecomputes {
 		return nil, nil, false
 	}
-	p.remakes++
-	p.cfg.Due, p.cfg.FirstEventDeadline = due, firstBy
-	for _, stage := range p.last() {
+	p.recomputes++
+	p.cfg.Due, p.cfg.FirstEventDeadline = due, firstEventDeadline
+	for _, stage := range p.finalStages() {
 		if !p.stages[stage].freed {
 			continue
 		}
 		ended = append(ended, stage)
-		p.stages[stage].clear()
+		p.stages[stage].reset()
 		if slices.ContainsFunc(p.cfg.Stages[stage].DependsOn, func(i int) bool { return p.stages[i].freed }) {
 			moreEnded, moreFreed := p.resetInputs(stage)
 			ended = append(ended, moreEnded...)
@@ -306,14 +309,14 @@
 	return ended, freed, true
 }
 
-// resetInputs has the inputs of a stage made anew, and theirs where those were given back already.
+// resetInputs resets the stages that produce a stage's inputs, and recursively their inputs if those were freed.
 func (p *Plan) resetInputs(stage int) (ended []int, freed []ReleasedResults) {
-	for _, before := range p.cfg.Stages[stage].DependsOn {
-		ended = append(ended, before)
-		freed = append(freed, p.free(before)...)
-		p.stages[before].clear()
-		if slices.ContainsFunc(p.cfg.Stages[before].DependsOn, func(i int) bool { return p.stages[i].freed }) {
-			moreEnded, moreFreed := p.resetInputs(before)
+	for _, input := range p.cfg.Stages[stage].DependsOn {
+		ended = append(ended, input)
+		freed = append(freed, p.free(input)...)
+		p.stages[input].reset()
+		if slices.ContainsFunc(p.cfg.Stages[input].DependsOn, func(i int) bool { return p.stages[i].freed }) {
+			moreEnded, moreFreed := p.resetInputs(input)
 			ended = append(ended, moreEnded...)
 			freed = append(freed, moreFreed...)
 		}
@@ -321,22 +324,22 @@
 	return ended, freed
 }
 
-// freeInputs gives back the results that only a stage which is done, or has fetched them, has needed.
+// freeInputs returns those inputs of a stage that no unfinished stage still has to fetch.
 func (p *Plan) freeInputs(stage int) []ReleasedResults {
 	var freed []ReleasedResults
-	for _, before := range p.cfg.Stages[stage].DependsOn {
-		if !p.needed(before) {
-			freed = append(freed, p.free(before)...)
+	for _, input := range p.cfg.Stages[stage].DependsOn {
+		if !p.needed(input) {
+			freed = append(freed, p.free(input)...)
 		}
 	}
 	return freed
 }
 
-// needed tells whether a stage that is not done still has to fetch the results of this one.
+// needed reports whether an unfinished stage still has to fetch the results of this one.
 func (p *Plan) needed(stage int) bool {
 	for i, next := range p.cfg.Stages {
 		t := &p.stages[i]
-		if t.missing > 0 && !t.read && slices.Contains(next.DependsOn, stage) {
+		if t.missing > 0 && !t.inputsFetched && slices.Contains(next.DependsOn, stage) {
 			return true
 		}
 	}
@@ -349,28 +352,28 @@
 		return nil
 	}
 	t.freed = true
-	return p.give(stage, t.made...)
+	return p.resultsToFree(stage, t.results...)
 }
 
-// give lists results to be given back; pieces that were not made have none.
-func (p *Plan) give(stage int, made ...collector.ResultRef) []ReleasedResults {
-	made = slices.DeleteFunc(slices.Clone(made), func(m collector.ResultRef) bool { return m.Handle == "" })
-	if len(made) == 0 {
+// resultsToFree lists a stage's results as ReleasedResults, leaving out pieces without a result.
+func (p *Plan) resultsToFree(stage int, results ...collector.ResultRef) []ReleasedResults {
+	results = slices.DeleteFunc(slices.Clone(results), func(r collector.ResultRef) bool { return r.Handle == "" })
+	if len(results) == 0 {
 		return nil
 	}
-	return []ReleasedResults{{Service: p.Service(stage), Stage: stage, Results: made}}
+	return []ReleasedResults{{Service: p.Service(stage), Stage: stage, Results: results}}
 }
 
-// FreeLast gives back what the request itself took.
+// FreeFinalResults returns the results of the final stages, to be freed.
 func (p *Plan) FreeFinalResults() []ReleasedResults {
 	var freed []ReleasedResults
-	for _, stage := range p.last() {
+	for _, stage := range p.finalStages() {
 		freed = append(freed, p.free(stage)...)
 	}
 	return freed
 }
 
-// FreeAll gives everything back: nothing of the stages is needed any more.
+// FreeAll returns all results that have not been freed: none of them is needed any more.
 func (p *Plan) FreeAll() []ReleasedResults {
 	var freed []ReleasedResults
 	for i := range p.stages {
@@ -379,21 +382,21 @@
 	return freed
 }
 
-// Inputs lists the results that the request itself takes.
+// RequestInputs returns the handles of the results that are inputs of the request itself.
 func (p *Plan) RequestInputs() []string {
 	var handles []string
-	for _, stage := range p.last() {
-		for _, m := range p.stages[stage].made {
-			handles = append(handles, m.Handle)
+	for _, stage := range p.finalStages() {
+		for _, r := range p.stages[stage].results {
+			handles = append(handles, r.Handle)
 		}
 	}
 	return handles
 }
 
-// ZoneBytes tells where the inputs of the request itself lie.
+// InputBytesByZone returns the size in bytes of the request's own inputs by availability zone.
 func (p *Plan) InputBytesByZone() map[string]int64 {
 	zones := make(map[string]int64)
-	for _, stage := range p.last() {
+	for _, stage := range p.finalStages() {
 		for _, zone := range p.stages[stage].zones {
 			zones[zone] += p.cfg.Stages[stage].ResultBytes
 		}
