--- a/cataloger/cataloger.go
+++ b/cataloger/cataloger.go
@@ -1,5 +1,5 @@
-// Package cataloger holds one version of the configuration that requests are forwarded by: routes, services,
-// client accounts and the limits of callers' connections. A Catalog never changes; a newer version is another one.
+// Package cataloger holds one version of the configuration used to forward requests: routes, services, client accounts and
+// the limits of callers' connections. A Catalog is immutable; each version has its own.
 package cataloger
 
 import (
@@ -9,9 +9,9 @@
 	"strings"
 )
 
-// Config is the content of a Catalog.
+// Config is the configuration from which a Catalog is built.
 type Config struct {
-	// Version only grows from one configuration to the next.
+	// Version increases from one configuration to the next.
 	Version  int64
 	Routes   []Route
 	Services []Service
@@ -19,18 +19,18 @@
 	Accounts []Account
 }
 
-// Catalog answers what holds for a request.
+// Catalog looks up the routes, services and client accounts of a configuration.
 type Catalog struct {
 	version  int64
 	limits   Limits
 	byHost   map[string][]*Route
 	services map[string]*Service
-	// stages are the names of the stages' services in their order.
+	// stages holds the sorted names of the stage services.
 	stages []string
 	byKey  map[string]*Account
 }
 
-// StageError tells of a stage that takes results of a stage that does not come before it.
+// StageError reports a stage that depends on a stage that does not precede it.
 type StageError struct {
 	Route     string
 	Stage     int
@@ -38,15 +38,15 @@
 }
 
 func (e *StageError) Error() string {
-	return fmt.Sprintf("route %s: stage %d takes results of stage %d, which is not before it", e.Route, e.Stage, e.DependsOn)
+	return fmt.Sprintf("route %s: stage %d depends on stage %d, which does not precede it", e.Route, e.Stage, e.DependsOn)
 }
 
-// TargetError tells of a route without a service.
+// TargetError reports a route without a target service.
 type TargetError struct{ Route string }
 
-func (e *TargetError) Error() string { return fmt.Sprintf("route %s names no service", e.Route) }
+func (e *TargetError) Error() string { return fmt.Sprintf("route %s has no target service", e.Route) }
 
-// New checks and indexes a configuration.
+// New validates and indexes a configuration. It returns a *TargetError or a *StageError for an invalid route.
 func New(cfg Config) (*Catalog, error) {
 	c := &Catalog{
 		version:  cfg.Version,
@@ -57,7 +57,7 @@
 	}
 	for i := range cfg.Routes {
 		r := &cfg.Routes[i]
-		if err := checkRoute(r); err != nil {
+		if err := validateRoute(r); err != nil {
 			return nil, err
 		}
 		host := strings.ToLower(r.Host)
@@ -79,38 +79,37 @@
 	return c, nil
 }
 
-func checkRoute(r *Route) error {
+func validateRoute(r *Route) error {
 	if len(r.Targets) == 0 {
 		return &TargetError{Route: r.Name}
 	}
-	for i, s := range r.Stages {
-		for _, after := range s.DependsOn {
-			if after < 0 || after >= i {
-				return &StageError{Route: r.Name, Stage: i, DependsOn: after}
+	for i, stage := range r.Stages {
+		for _, dependency := range stage.DependsOn {
+			if dependency < 0 || dependency >= i {
+				return &StageError{Route: r.Name, Stage: i, DependsOn: dependency}
 			}
 		}
 	}
 	return nil
 }
 
-// Version is the configuration's number.
+// Version returns the version of the configuration.
 func (c *Catalog) Version() int64 { return c.version }
 
-// Limits are the bounds of callers' connections.
+// Limits returns the limits of callers' connections.
 func (c *Catalog) Limits() Limits { return c.limits }
 
-// Homes gives the regions that a host's routes may be served in, in the order of their names; none where all of them may be
-// in any.
+// AllowedRegions returns the sorted regions listed by a host's routes. It returns none if no route of the host is restricted.
 func (c *Catalog) AllowedRegions(host string) []string {
-	var homes []string
+	var regions []string
 	for _, r := range c.byHost[strings.ToLower(host)] {
-		homes = append(homes, r.AllowedRegions...)
+		regions = append(regions, r.AllowedRegions...)
 	}
-	slices.Sort(homes)
-	return slices.Compact(homes)
+	slices.Sort(regions)
+	return slices.Compact(regions)
 }
 
-// Match gives the route of the host whose prefix is the longest that begins the path.
+// Match returns the host's route with the longest prefix that matches the path. A port in host is ignored.
 func (c *Catalog) Match(host, path string) (*Route, bool) {
 	if name, _, err := net.SplitHostPort(host); err == nil {
 		host = name
@@ -124,23 +123,23 @@
 	return best, best != nil
 }
 
-// Service gives a service by its name.
+// Service returns the service with the given name.
 func (c *Catalog) Service(name string) (*Service, bool) {
 	s, known := c.services[name]
 	return s, known
 }
 
-// Services gives all services by name. The map must not be changed.
+// Services returns all services by name. The map must not be modified.
 func (c *Catalog) Services() map[string]*Service { return c.services }
 
-// StageServices lists the names of the services that stages use, in their order. The list must not be changed.
+// StageServices returns the sorted names of the stage services. The slice must not be modified.
 func (c *Catalog) StageServices() []string { return c.stages }
 
-// Account gives the client account that holds a key.
+// Account returns the client account that owns a key.
 func (c *Catalog) Account(key string) (*Account, bool) {
 	a, known := c.byKey[key]
 	return a, known
 }
 
-// NeedsKeys tells whether requests must carry a key, except on anonymous routes.
+// RequiresKeys reports whether requests must carry a key, except on anonymous routes.
 func (c *Catalog) RequiresKeys() bool { return len(c.byKey) > 0 }
--- a/cataloger/cataloger_test.go
+++ b/cataloger/cataloger_test.go
@@ -23,9 +23,9 @@
 	for _, tc := range []struct{ name, host, path, want string }{
 		{"longest", "a.example", "/a/b/c", "long"},
 		{"shorter", "a.example", "/a/c", "short"},
-		{"host in capitals with port", "A.Example:8080", "/a/c", "short"},
+		{"upper-case host with port", "A.Example:8080", "/a/c", "short"},
 		{"other host", "b.example", "/a/c", ""},
-		{"prefix without its last slash", "a.example", "/a", ""},
+		{"prefix without its trailing slash", "a.example", "/a", ""},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			got, found := c.Match(tc.host, tc.path)
@@ -78,7 +78,7 @@
 		{"idempotent", Route{Kind: Idempotent}, true},
 		{"not idempotent", Route{Kind: NonIdempotent, Resumable: true}, false},
 		{"stream", Route{Kind: Streaming}, false},
-		{"stream that may be resumed", Route{Kind: Streaming, Resumable: true}, true},
+		{"resumable stream", Route{Kind: Streaming, Resumable: true}, true},
 	} {
 		t.Run(tc.name, func(t *testing.T) { require.Equal(t, tc.want, tc.route.Repeatable()) })
 	}
--- a/cataloger/route.go
+++ b/cataloger/route.go
@@ -6,72 +6,73 @@
 	"geraniumline/hasher"
 )
 
-// RouteKind says what may be repeated of a route's requests.
+// RouteKind determines whether a route's requests may be repeated.
 type RouteKind uint8
 
-// The kinds of route.
+// The kinds of routes.
 const (
 	// Idempotent requests may run more than once.
 	Idempotent RouteKind = iota + 1
-	// NonIdempotent requests run at most once for each attempt of the caller.
+	// NonIdempotent requests run at most once per attempt of the caller.
 	NonIdempotent
-	// Streaming requests are answered by a series of events. They are repeated only where the route is Resumable.
+	// Streaming requests are answered by a stream of events. They are repeated only if the route is Resumable.
 	Streaming
 )
 
-// Target is a service that takes a part of a route's requests.
+// Target is a service that receives a share of a route's requests.
 type Target struct {
 	Service string
-	// Weight is the target's part, relative to the sum over the route's targets.
+	// Weight is the target's share, relative to the sum over the route's targets.
 	Weight int
 }
 
-// Stage is work that is done before a route's request can run.
+// Stage is work that must be done before a route's request can run.
 type Stage struct {
 	Service string
-	// After are the stages whose results this one takes as its input.
+	// DependsOn holds the indices of the stages whose results are inputs of this one.
 	DependsOn []int
-	// ResultBytes is the usual size of one result.
+	// ResultBytes is the expected size of one result.
 	ResultBytes int64
 }
 
-// Route says where the requests of a host and path prefix go and what holds for them.
+// Route determines the services for the requests of a host and path prefix, and how these requests are handled.
 type Route struct {
 	Name       string
 	Host       string
 	PathPrefix string
 	Kind       RouteKind
-	// Timeout is the longest time a request may be kept waiting.
+	// Timeout is the maximum duration of a request.
 	Timeout time.Duration
-	// Objective is the time within which an answer counts as on time: up to the first event of a stream.
+	// Objective is the maximum time for an answer to count as on time; for a stream, until its first event.
 	Objective time.Duration
-	// Priority is the route's rank, 0 first.
+	// Priority is the route's priority; 0 is the most urgent.
 	Priority int
 	Targets  []Target
 	Stages   []Stage
-	// MaxAttempts is how many endpoints one attempt of the caller may run on.
+	// MaxAttempts is the maximum number of endpoints that one attempt of the caller may run on.
 	MaxAttempts int
-	// Anonymous routes need no key.
+	// Anonymous routes require no key.
 	Anonymous bool
-	// Sticky routes carry prompts whose parts endpoints cache.
+	// Sticky routes have prompts whose parts endpoints cache.
 	Sticky bool
-	// Resumable streams may go on at another endpoint after an event.
+	// Resumable streams can continue at another endpoint after an event.
 	Resumable bool
-	// EventGap is the longest pause between events for which a stream counts as on time.
+	// EventGap is the maximum time between events for a stream to count as on time.
 	EventGap time.Duration
-	// Homes are the regions that requests of the route may be served in; empty where all are.
+	// AllowedRegions are the regions where requests of the route may be processed; empty allows all.
 	AllowedRegions []string
-	// FirstEventPatience is how long callers wait for a stream's first event before they leave; 0 where they wait until
+	// FirstEventTimeout is how long callers wait for a stream's first event before they disconnect; 0 if they wait until
 	// their deadline.
 	FirstEventTimeout time.Duration
 }
 
-// Repeatable tells whether a request may be sent again after it may have run.
+// Repeatable reports whether a request that may already have run may be sent again.
 func (r *Route) Repeatable() bool {
 	return r.Kind == Idempotent || r.Kind == Streaming && r.Resumable
 }
 
-// Target picks the service for a request: the same for the same seed, and in proportion to the weights over all.
+// Target selects the service for a request. It depends only on the seed, and over all seeds, services are selected in
+// proportion to their weights.
 func (r *Route) Target(seed uint64) string {
 	total := 0
 	for _, t := range r.Targets {
@@ -80,33 +81,33 @@
 	if total <= 0 {
 		return r.Targets[0].Service
 	}
-	at := int(hasher.Mix(seed) % uint64(total))
+	position := int(hasher.Mix(seed) % uint64(total))
 	for _, t := range r.Targets {
-		if at < t.Weight {
+		if position < t.Weight {
 			return t.Service
 		}
-		at -= t.Weight
+		position -= t.Weight
 	}
 	return r.Targets[len(r.Targets)-1].Service
 }
 
-// LastStages gives the stages whose results no other stage takes. With counts, stages that have no piece in this
-// request are passed over, and the stages before them take their place only if nothing else follows them.
+// FinalStages returns the stages whose results no other stage uses. Stages for which counts is 0 have no pieces in this
+// request and are skipped; the stages that they depend on are then final if no other stage uses their results.
 func (r *Route) FinalStages(counts []int) []int {
-	followed := make([]bool, len(r.Stages))
+	hasDependent := make([]bool, len(r.Stages))
 	for i, s := range r.Stages {
 		if counts[i] == 0 {
 			continue
 		}
-		for _, before := range s.DependsOn {
-			followed[before] = true
+		for _, dependency := range s.DependsOn {
+			hasDependent[dependency] = true
 		}
 	}
-	var last []int
+	var final []int
 	for i := range r.Stages {
-		if counts[i] > 0 && !followed[i] {
-			last = append(last, i)
+		if counts[i] > 0 && !hasDependent[i] {
+			final = append(final, i)
 		}
 	}
-	return last
+	return final
 }
--- a/cataloger/service.go
+++ b/cataloger/service.go
@@ -2,30 +2,30 @@
 
 import "time"
 
-// StagePool says how the endpoints of a service that works on stages take calls. Each value is for one endpoint.
+// StagePool describes the capacity of a stage service's endpoints. Each value applies to one endpoint.
 type StagePool struct {
-	// Slots is how many calls an endpoint works on at a time, Queue how many more may wait there.
+	// Slots is the number of calls that an endpoint processes at a time, Queue how many more can wait there.
 	Slots int
 	Queue int
-	// Batch is the most pieces of one call.
+	// Batch is the maximum number of pieces in one call.
 	Batch int
-	// CallTime is what a call takes besides its pieces, ItemTime what a piece adds.
+	// CallOverhead is the fixed time of a call, PieceTime the additional time for each piece.
 	CallOverhead time.Duration
 	PieceTime    time.Duration
-	// RoomBytes is the space for results that have not been freed.
+	// ResultSpaceBytes is the space for results that have not been freed.
 	ResultSpaceBytes int64
-	// ResultTTL is how long a result is kept that is not freed.
+	// ResultTTL is how long a result is kept if it is not freed.
 	ResultTTL time.Duration
-	// LinkBytes is what an endpoint's link carries in a second; 0 where the configuration does not say.
+	// LinkBytesPerSecond is the bandwidth of an endpoint's link; 0 if it is not configured.
 	LinkBytesPerSecond int64
 }
 
-// CallDuration is the usual time of a call with n pieces.
+// CallDuration returns the usual duration of a call with n pieces.
 func (p *StagePool) CallDuration(n int) time.Duration {
 	return p.CallOverhead + time.Duration(n)*p.PieceTime
 }
 
-// FetchTime is how long an endpoint takes to fetch inputs of so many bytes; 0 where its link is not known.
+// FetchTime returns how long an endpoint takes to fetch inputs of the given size in bytes, or 0 if its bandwidth is unknown.
 func (p *StagePool) FetchTime(bytes int64) time.Duration {
 	if p.LinkBytesPerSecond <= 0 {
 		return 0
@@ -33,46 +33,46 @@
 	return time.Duration(float64(bytes) / float64(p.LinkBytesPerSecond) * float64(time.Second))
 }
 
-// ModelPool says what a model engine holds.
+// ModelPool describes the capacity of a model engine.
 type ModelPool struct {
-	// Slots is how many requests run at a time in one engine.
+	// Slots is the number of requests that one engine runs at a time.
 	Slots int
-	// CapacityTokens is the memory that running requests and cached prompt parts share.
+	// CapacityTokens is the memory, in tokens, that running requests and cached prompt parts share.
 	CapacityTokens int
 }
 
-// Service is a pool of endpoints that do the same work.
+// Service is a set of endpoints that do the same work.
 type Service struct {
 	Name string
-	// HealthPath answers health checks.
+	// HealthPath is the path for health checks.
 	HealthPath string
-	// ColdTime is how long an endpoint stays cold after its start, ColdPerSecond how many requests a second it bears
-	// meanwhile. Both are 0 where the endpoints are never cold.
+	// ColdTime is how long an endpoint stays cold after its start, ColdPerSecond the number of requests per second that it can
+	// handle meanwhile. Both are 0 if the endpoints are never cold.
 	ColdTime      time.Duration
 	ColdPerSecond float64
-	// MaxConnections is what one endpoint accepts from all entries together.
+	// MaxConnections is the number of connections that one endpoint accepts from all entries together.
 	MaxConnections int
-	// Model is set for model engines, Stage for services that work on stages; neither for plain services.
+	// Model is set for model engines, Stage for stage services; neither is set for plain services.
 	Model *ModelPool
 	Stage *StagePool
 }
 
-// Limits bound what a caller may send and how long it may take.
+// Limits bounds the size and duration of callers' requests.
 type Limits struct {
 	HeaderBytes   int
 	BodyBytes     int64
 	HeaderTimeout time.Duration
-	// IdleTimeout is how long a connection may stay without a request.
+	// IdleTimeout is how long a connection may stay open without a request.
 	IdleTimeout time.Duration
 }
 
-// Account is a client account.
+// Account is a client account with its keys.
 type Account struct {
 	Name string
 	Keys []string
-	// Priority goes before the route's where HasPriority is set.
+	// Priority overrides the route's priority if HasPriority is set.
 	Priority    int
 	HasPriority bool
-	// Homes are the regions that the account's requests may be served in; empty where all are.
+	// AllowedRegions are the regions where the account's requests may be processed; empty allows all.
 	AllowedRegions []string
 }
