--- a/collector/world_test.go
+++ b/collector/world_test.go
@@ -104,8 +104,8 @@
 			w.delivered = append(w.delivered, e)
 			w.deliveredAt[e.ID] = w.now
 			if e.Result.Handle != "" && w.freeAfter >= 0 {
-				refs := ResultRef{Handle: e.Result.Handle, Address: e.Address}
-				w.schedule(w.now.Add(w.freeAfter), ResultsReleased{Results: []ResultRef{refs}})
+				ref := ResultRef{Handle: e.Result.Handle, Address: e.Address}
+				w.schedule(w.now.Add(w.freeAfter), ResultsReleased{Results: []ResultRef{ref}})
 			}
 		case InputsFetched:
 			w.fetched = append(w.fetched, e.ID)
--- a/planner/plan.go
+++ b/planner/plan.go
@@ -253,7 +253,7 @@
 
 // RecomputeInputs resets a stage's inputs, which have expired, so that they are recomputed, and then the missing pieces of the
 // stage itself. Otherwise a request that waited for longer than results are kept would fail although there is time left. It
-// returns the stages that are no longer requested, the results to free, and whether another attempt is allowed.
+// returns the stages that are no longer requested, the results to free, and whether the recomputation is allowed.
 func (p *Plan) RecomputeInputs(stage int) (ended []int, freed []ReleasedResults, allowed bool) {
 	if p.recomputes >= maxRecomputes {
 		return nil, nil, false
@@ -287,7 +287,7 @@
 }
 
 // RecomputeFinalResults resets the final stages whose results were freed, so that they are recomputed, and sets new due times.
-// It returns the stages that are no longer requested, the results to free, and whether another attempt is allowed.
+// It returns the stages that are no longer requested, the results to free, and whether the recomputation is allowed.
 func (p *Plan) RecomputeFinalResults(due, firstEventDeadline time.Time) (ended []int, freed []ReleasedResults, allowed bool) {
 	if p.recomputes >= maxRecomputes {
 		return nil, nil, false
