--- a/ejector/ejector.go
+++ b/ejector/ejector.go
@@ -18,21 +18,21 @@
 const (
 	// recordWeight is the weight of the newest end in an endpoint's share of bad ends: three bad
 	// ends in a row pass ejectAt.
-	recordWeight = 0.3
-	ejectAt      = 0.6
+	endpointWeight = 0.3
+	ejectThreshold = 0.6
 	// ejectDoubtedAt is the bound when peers have ejected the endpoint already: one bad end passes it.
-	ejectDoubtedAt = 0.25
+	peerEjectedThreshold = 0.25
 	// poolWeight is the weight of the newest end in the pool's share of bad ends.
 	poolWeight = 0.02
 	// worseBy is how much worse than its pool an endpoint must be.
-	worseBy = 0.3
+	minExcessOverPool = 0.3
 	// afterProbe is the share of bad ends that an endpoint begins with after a good probe: the next
 	// two bad ends eject it again.
-	afterProbe = 0.3
+	badShareAfterProbe = 0.3
 	// forgiveAfter is how long an endpoint must stay in use for its earlier ejections to be forgotten.
-	forgiveAfter = time.Minute
+	resetEjectionsAfter = time.Minute
 	// restoreAfter is the least time out of use.
-	restoreAfter = 50 * time.Millisecond
+	minEjection = 50 * time.Millisecond
 )
 
 // Config sets a Pool up. Zero fields take the defaults above.
@@ -52,9 +52,9 @@
 	size int
 	out  int
 	// down is how many of those out of use refused a connection last.
-	down  int
-	bad   float64
-	speed median
+	down         int
+	badShare     float64
+	relativeTime median
 }
 
 // NewPool makes a pool without endpoints.
@@ -86,21 +86,21 @@
 
 // Record is what is known of one endpoint. Its zero value is an endpoint in use with no past.
 type Record struct {
-	state     State
-	bad       float64
-	level     float64
-	excess    float64
-	since     time.Time
-	until     time.Time
-	ejections int
-	down      bool
+	state        State
+	badShare     float64
+	slowdown     float64
+	excess       float64
+	ejectedAt    time.Time
+	ejectedUntil time.Time
+	ejections    int
+	down         bool
 }
 
 // State is the endpoint's state as of the last call of Advance.
 func (r *Record) State() State { return r.state }
 
 // Until is when an ejection ends.
-func (r *Record) Until() time.Time { return r.until }
+func (r *Record) Until() time.Time { return r.ejectedUntil }
 
 // Add counts a new endpoint of the pool.
 func (p *Pool) Add() { p.size++ }
@@ -120,7 +120,7 @@
 
 // StartDueProbe lets an ejection end in a probe when its time has come, and tells whether it did.
 func (p *Pool) StartDueProbe(r *Record, now time.Time) bool {
-	if r.state != Ejected || now.Before(r.until) {
+	if r.state != Ejected || now.Before(r.ejectedUntil) {
 		return false
 	}
 	r.state = Probing
@@ -130,7 +130,7 @@
 // ProbeEarly lets an ejection end in a probe early, since no other endpoint is left. It is not ended at
 // once: a pool that refuses all connections would be tried as fast as it refuses.
 func (p *Pool) ProbeEarly(r *Record, now time.Time) {
-	if r.state == Ejected && now.Sub(r.since) >= restoreAfter {
+	if r.state == Ejected && now.Sub(r.ejectedAt) >= minEjection {
 		r.state = Probing
 	}
 }
@@ -175,10 +175,10 @@
 	if end == Good {
 		badness = 0
 	}
-	p.bad += poolWeight * (badness - p.bad)
-	r.bad += recordWeight * (badness - r.bad)
+	p.badShare += poolWeight * (badness - p.badShare)
+	r.badShare += endpointWeight * (badness - r.badShare)
 	if end == Down {
-		r.bad = max(r.bad, ejectAt)
+		r.badShare = max(r.badShare, ejectThreshold)
 	}
 	switch r.state {
 	case Probing:
@@ -186,11 +186,11 @@
 	case Ejected:
 		return false
 	}
-	bound := ejectAt
+	bound := ejectThreshold
 	if doubted {
-		bound = ejectDoubtedAt
+		bound = peerEjectedThreshold
 	}
-	if end != Down && (r.bad < bound || r.bad < p.bad+worseBy || !p.mayEject()) {
+	if end != Down && (r.badShare < bound || r.badShare < p.badShare+minExcessOverPool || !p.canEject()) {
 		return false
 	}
 	p.setDown(r, end == Down)
@@ -201,7 +201,7 @@
 
 // mayEject bounds what is out of use for serving badly: ejecting most of a pool would turn slow answers
 // into none. An endpoint that refuses connections gives no answers at all, so its ejection has no bound.
-func (p *Pool) mayEject() bool {
+func (p *Pool) canEject() bool {
 	up := p.size - p.down
 	if p.cfg.MaxEjectedShare < 0 {
 		return false
@@ -210,12 +210,12 @@
 }
 
 func (p *Pool) eject(r *Record, now time.Time) {
-	if now.Sub(r.until) > forgiveAfter {
+	if now.Sub(r.ejectedUntil) > resetEjectionsAfter {
 		r.ejections = 0
 	}
 	length := p.cfg.BaseEjection << min(r.ejections, 16)
-	r.since = now
-	r.until = now.Add(min(length, p.cfg.MaxEjection))
+	r.ejectedAt = now
+	r.ejectedUntil = now.Add(min(length, p.cfg.MaxEjection))
 	r.ejections++
 	r.state = Ejected
 }
@@ -227,8 +227,8 @@
 		return true
 	}
 	r.state = InUse
-	r.bad = afterProbe
-	r.setLevel(0)
+	r.badShare = badShareAfterProbe
+	r.setSlowdown(0)
 	p.out--
 	return true
 }
--- a/ejector/speed.go
+++ b/ejector/speed.go
@@ -9,11 +9,11 @@
 	// medianStep is how far one call moves the pool's median time, in factors of 2.
 	medianStep = 0.05
 	// levelWeight is the weight of the newest call in an endpoint's own level.
-	levelWeight = 0.2
+	slowdownWeight = 0.2
 	// slowLevel is the time over the median, in factors of 2, from which a call counts as bad: 4 times.
-	slowLevel = 2
+	slowThreshold = 2
 	// maxLevel bounds what one very slow call does to an endpoint's level.
-	maxLevel = 4
+	maxSlowdown = 4
 )
 
 // median follows the median of calls' times against what their stages usually take, in factors of 2,
@@ -43,10 +43,10 @@
 		return Good
 	}
 	x := math.Log2(float64(took) / float64(expected))
-	p.speed.observe(x)
-	over := min(max(x-p.speed.value, -maxLevel), maxLevel)
-	r.setLevel(r.level + levelWeight*(over-r.level))
-	if over > slowLevel {
+	p.relativeTime.observe(x)
+	over := min(max(x-p.relativeTime.value, -maxSlowdown), maxSlowdown)
+	r.setSlowdown(r.slowdown + slowdownWeight*(over-r.slowdown))
+	if over > slowThreshold {
 		return Bad
 	}
 	return Good
@@ -55,10 +55,10 @@
 // SilenceTimeout is the time after which a silent call of a stage counts as bad. It is 0 while the pool's
 // median is not known.
 func (p *Pool) SilenceTimeout(expected time.Duration) time.Duration {
-	if !p.speed.known || expected <= 0 {
+	if !p.relativeTime.known || expected <= 0 {
 		return 0
 	}
-	return time.Duration(float64(expected) * math.Exp2(p.speed.value+slowLevel))
+	return time.Duration(float64(expected) * math.Exp2(p.relativeTime.value+slowThreshold))
 }
 
 // Slowness is the factor by which the endpoint's calls take longer than its pool's; it is 1 for one
@@ -66,8 +66,8 @@
 func (r *Record) Slowness() float64 { return 1 + r.excess }
 
 // setLevel keeps the factor at hand: it is asked for more often than it changes.
-func (r *Record) setLevel(level float64) {
-	r.level = level
+func (r *Record) setSlowdown(level float64) {
+	r.slowdown = level
 	r.excess = 0
 	if level > 0 {
 		r.excess = math.Exp2(level) - 1
--- a/placer/engine.go
+++ b/placer/engine.go
@@ -31,31 +31,31 @@
 	// readAt is when the state was asked for; zero while it never was read.
 	readAt time.Time
 	// doubted tells that the engine failed a call since its state was read.
-	doubted bool
+	doubtful bool
 	// wanted is the last order's state while it is not known whether the order took effect.
-	wanted *Assignment
+	pending *Assignment
 	// ended is when that order's end was told; zero while the order is under way.
-	ended time.Time
+	resultAt time.Time
 	// told is the number of the last order that surely took effect: an engine that ignores numbers need not
 	// report the one that it was told.
-	told     int64
-	retryAt  time.Time
-	failures int
+	confirmedFence int64
+	retryAt        time.Time
+	failures       int
 }
 
 // expected is the state that the engine is in, or goes to if its last order takes effect.
-func (e *engine) expected() *Assignment {
-	if e.wanted != nil {
-		return e.wanted
+func (e *engine) expectedState() *Assignment {
+	if e.pending != nil {
+		return e.pending
 	}
 	return &e.state
 }
 
 // sure tells that the engine's state was read a short time ago and nothing is under way that changes it.
-func (e *engine) sure(now time.Time, freshFor time.Duration) bool {
-	return e.wanted == nil && !e.readAt.IsZero() && now.Sub(e.readAt) < freshFor
+func (e *engine) current(now time.Time, freshFor time.Duration) bool {
+	return e.pending == nil && !e.readAt.IsZero() && now.Sub(e.readAt) < freshFor
 }
 
-func wantedOf(m *publisher.PlacedModel) Assignment {
+func assignmentOf(m *publisher.PlacedModel) Assignment {
 	return Assignment{Model: m.Model, Version: m.Version, Adapters: m.Adapters, Role: m.Role}
 }
--- a/placer/load.go
+++ b/placer/load.go
@@ -9,95 +9,95 @@
 // engine holds, then the one that serves the most demand.
 func (s *survey) nextLoad() (load, bool) {
 	best := load{}
-	for _, candidate := range []load{s.short(), s.unused(), s.outdated(), s.surge()} {
-		if candidate.engine != nil && (best.engine == nil || candidate.before(&best)) {
+	for _, candidate := range []load{s.shortageLoad(), s.unusedEngineLoad(), s.upgradeLoad(), s.rebalanceLoad()} {
+		if candidate.engine != nil && (best.engine == nil || candidate.precedes(&best)) {
 			best = candidate
 		}
 	}
 	return best, best.engine != nil
 }
 
-func (l *load) before(other *load) bool {
+func (l *load) precedes(other *load) bool {
 	if l.model.unserved() != other.model.unserved() {
 		return l.model.unserved()
 	}
-	return l.serves > other.serves
+	return l.servedDemand > other.servedDemand
 }
 
 // short gives an engine to the most pressed model that has fewer copies than it must, or whose only copy can't be
 // brought to the version in force while nothing else serves the model.
-func (s *survey) short() load {
-	to := s.most(func(m *model) bool {
-		return m.copies < m.least() || m.copies == 1 && s.outdatedLast(m)
+func (s *survey) shortageLoad() load {
+	to := s.neediest(func(m *model) bool {
+		return m.copies < m.minCopies() || m.copies == 1 && s.lastCopyOutdated(m)
 	})
 	if to == nil {
 		return load{}
 	}
-	e := s.free()
+	e := s.freeEngine()
 	if e == nil {
-		e = s.from(s.giver(to))
+		e = s.spareEngine(s.donor(to))
 	}
-	return load{engine: e, model: to, serves: to.gain()}
+	return load{engine: e, model: to, servedDemand: to.gain()}
 }
 
 // unused gives an engine without a model of the placement to the most pressed model.
-func (s *survey) unused() load {
-	return s.to(s.most(func(*model) bool { return true }), s.free())
+func (s *survey) unusedEngineLoad() load {
+	return s.loadOnto(s.neediest(func(*model) bool { return true }), s.freeEngine())
 }
 
-func (s *survey) to(m *model, e *engine) load {
+func (s *survey) loadOnto(m *model, e *engine) load {
 	if m == nil || e == nil {
 		return load{}
 	}
-	return load{engine: e, model: m, serves: m.gain()}
+	return load{engine: e, model: m, servedDemand: m.gain()}
 }
 
 // outdated gives an engine the version and adapters in force of the model that it holds.
-func (s *survey) outdated() load {
+func (s *survey) upgradeLoad() load {
 	best := load{}
-	for _, e := range s.idle {
+	for _, e := range s.available {
 		m := s.models[e.state.Model]
-		if s.taken[e] || m == nil || m.placed == nil {
+		if s.assigned[e] || m == nil || m.placed == nil {
 			continue
 		}
-		want := wantedOf(m.placed)
-		if e.state.sameWeights(&want) || !s.spare(e) {
+		want := assignmentOf(m.placed)
+		if e.state.sameWeights(&want) || !s.canSpare(e) {
 			continue
 		}
 		serves := m.demand / float64(max(m.copies, 1))
-		if best.engine == nil || serves > best.serves {
-			best = load{engine: e, model: m, serves: serves}
+		if best.engine == nil || serves > best.servedDemand {
+			best = load{engine: e, model: m, servedDemand: serves}
 		}
 	}
 	return best
 }
 
 // outdatedLast tells that a model's only copy is of another version or other adapters and can't be spared.
-func (s *survey) outdatedLast(m *model) bool {
-	want := wantedOf(m.placed)
-	return slices.ContainsFunc(s.idle, func(e *engine) bool {
-		return e.state.Model == m.name && !e.state.sameWeights(&want) && !s.taken[e] && !s.spare(e)
+func (s *survey) lastCopyOutdated(m *model) bool {
+	want := assignmentOf(m.placed)
+	return slices.ContainsFunc(s.available, func(e *engine) bool {
+		return e.state.Model == m.name && !e.state.sameWeights(&want) && !s.assigned[e] && !s.canSpare(e)
 	})
 }
 
 // surge moves an engine from a quiet model to a busy one, if it has been the busier one for long enough.
-func (s *survey) surge() load {
+func (s *survey) rebalanceLoad() load {
 	to, from := s.imbalance()
-	if to == nil || !s.pressed[to.name] {
+	if to == nil || !s.pressured[to.name] {
 		return load{}
 	}
-	return s.to(to, s.from(from))
+	return s.loadOnto(to, s.spareEngine(from))
 }
 
 // imbalance names the model that gains most by an engine and the one that loses least, if the first is still by
 // MoveRatio the more pressed one after the move. After a move the reverse never holds, so engines do not go to and
 // fro between two models under a steady demand.
 func (s *survey) imbalance() (to, from *model) {
-	to = s.most(func(*model) bool { return true })
+	to = s.neediest(func(*model) bool { return true })
 	if to == nil {
 		return nil, nil
 	}
-	from = s.giver(to)
+	from = s.donor(to)
 	if from == nil || to.gain() <= s.cfg.MoveRatio*from.loss() {
 		return nil, nil
 	}
@@ -119,7 +119,7 @@
 }
 
 // most gives the model of the placement that gains most by an engine, of those that may.
-func (s *survey) most(may func(*model) bool) *model {
+func (s *survey) neediest(may func(*model) bool) *model {
 	var best *model
 	for _, name := range s.names {
 		m := s.models[name]
@@ -134,11 +134,11 @@
 }
 
 // giver gives the model that loses least by an engine, of those that have one to spare.
-func (s *survey) giver(to *model) *model {
+func (s *survey) donor(to *model) *model {
 	var best *model
 	for _, name := range s.names {
 		m := s.models[name]
-		if m == to || m.placed == nil || m.copies <= m.least() || s.from(m) == nil {
+		if m == to || m.placed == nil || m.copies <= m.minCopies() || s.spareEngine(m) == nil {
 			continue
 		}
 		if best == nil || m.loss() < best.loss() {
@@ -149,12 +149,12 @@
 }
 
 // from gives an engine that its model can spare. One that is loading is left alone: its load would be wasted.
-func (s *survey) from(m *model) *engine {
+func (s *survey) spareEngine(m *model) *engine {
 	if m == nil {
 		return nil
 	}
-	for _, e := range s.idle {
-		if e.state.Model == m.name && e.serving() && !s.taken[e] && s.spare(e) {
+	for _, e := range s.available {
+		if e.state.Model == m.name && e.serving() && !s.assigned[e] && s.canSpare(e) {
 			return e
 		}
 	}
@@ -162,30 +162,30 @@
 }
 
 // free gives an engine that holds nothing, or a model that the placement does not name and that can be spared.
-func (s *survey) free() *engine {
-	at := slices.IndexFunc(s.idle, func(e *engine) bool {
+func (s *survey) freeEngine() *engine {
+	at := slices.IndexFunc(s.available, func(e *engine) bool {
 		m := s.models[e.state.Model]
-		return !s.taken[e] && (m == nil || m.placed == nil && e.serving() && s.spare(e))
+		return !s.assigned[e] && (m == nil || m.placed == nil && e.serving() && s.canSpare(e))
 	})
 	if at < 0 {
 		return nil
 	}
-	return s.idle[at]
+	return s.available[at]
 }
 
 // notePressed keeps since when which model has been due an engine of another.
-func (p *Placer) notePressed(s *survey, now time.Time) {
+func (p *Placer) trackPressure(s *survey, now time.Time) {
 	to, _ := s.imbalance()
-	for name := range p.pressed {
+	for name := range p.pressuredSince {
 		if to == nil || name != to.name {
-			delete(p.pressed, name)
+			delete(p.pressuredSince, name)
 		}
 	}
 	if to == nil {
 		return
 	}
-	if _, known := p.pressed[to.name]; !known {
-		p.pressed[to.name] = now
+	if _, known := p.pressuredSince[to.name]; !known {
+		p.pressuredSince[to.name] = now
 	}
-	s.pressed[to.name] = now.Sub(p.pressed[to.name]) >= p.cfg.MoveDelay
+	s.pressured[to.name] = now.Sub(p.pressuredSince[to.name]) >= p.cfg.MoveDelay
 }
--- a/placer/order.go
+++ b/placer/order.go
@@ -31,19 +31,19 @@
 func (p *Placer) Orders(placement *publisher.Placement, inUse map[string]bool, lease Lease, now time.Time) []Order {
 	if p.granted != lease.Granted {
 		p.granted = lease.Granted
-		p.loads.restart()
+		p.loadBucket.reset()
 	}
 	s := p.survey(placement, inUse, lease, now)
-	orders := s.settings()
-	p.notePressed(s, now)
-	p.loads.fill(now)
-	for p.loads.ready(now) {
+	orders := s.ordersWithoutLoad()
+	p.trackPressure(s, now)
+	p.loadBucket.refill(now)
+	for p.loadBucket.ready(now) {
 		best, found := s.nextLoad()
 		if !found {
 			break
 		}
-		p.loads.spend()
-		s.move(best)
+		p.loadBucket.spend()
+		s.apply(best)
 		orders = append(orders, best.order(lease.Fence))
 	}
 	for i := range orders {
@@ -53,17 +53,17 @@
 }
 
 func (e *engine) order(state Assignment) {
-	e.wanted = &state
-	e.ended = time.Time{}
+	e.pending = &state
+	e.resultAt = time.Time{}
 }
 
 // settings gives the orders that need no load: another role, and the fencing number of a new orderer.
 //
 // An engine that has only seen the predecessor's number would take a late order of it. A new orderer so begins with
 // an order of the state that the engine is in, under its own number; after that the engine refuses older ones.
-func (s *survey) settings() []Order {
+func (s *survey) ordersWithoutLoad() []Order {
 	var orders []Order
-	for _, e := range s.idle {
+	for _, e := range s.available {
 		if e.state.Model == "" {
 			continue
 		}
@@ -72,11 +72,11 @@
 		if m := s.models[e.state.Model]; m != nil && m.placed != nil {
 			state.Role = m.placed.Role
 		}
-		if state.Role == e.state.Role && max(e.state.Fence, e.told) >= s.lease.Granted {
+		if state.Role == e.state.Role && max(e.state.Fence, e.confirmedFence) >= s.lease.Granted {
 			continue
 		}
 		state.Fence = s.lease.Fence
-		s.taken[e] = true
+		s.assigned[e] = true
 		orders = append(orders, Order{Address: e.address, State: state})
 	}
 	return orders
@@ -84,13 +84,13 @@
 
 // load is one engine's change to a model.
 type load struct {
-	engine *engine
-	model  *model
-	serves float64
+	engine       *engine
+	model        *model
+	servedDemand float64
 }
 
 func (l *load) order(fence int64) Order {
-	state := wantedOf(l.model.placed)
+	state := assignmentOf(l.model.placed)
 	state.Fence = fence
-	return Order{Address: l.engine.address, State: state, Load: true, ServedDemand: l.serves}
+	return Order{Address: l.engine.address, State: state, Load: true, ServedDemand: l.servedDemand}
 }
--- a/placer/placer.go
+++ b/placer/placer.go
@@ -15,8 +15,8 @@
 	demand    map[string]float64
 	demandAt  time.Time
 	// pressed tells since when a model has been due an engine of another.
-	pressed map[string]time.Time
-	loads   bucket
+	pressuredSince map[string]time.Time
+	loadBucket     bucket
 	// granted is the lease under which the last orders were given.
 	granted int64
 }
@@ -25,18 +25,18 @@
 func New(cfg Config) *Placer {
 	cfg = cfg.withDefaults()
 	return &Placer{
-		cfg:     cfg,
-		engines: map[string]*engine{},
-		demand:  map[string]float64{},
-		pressed: map[string]time.Time{},
-		loads:   newBucket(cfg.LoadsPerSecond, cfg.LoadBurst),
+		cfg:            cfg,
+		engines:        map[string]*engine{},
+		demand:         map[string]float64{},
+		pressuredSince: map[string]time.Time{},
+		loadBucket:     newBucket(cfg.LoadsPerSecond, cfg.LoadBurst),
 	}
 }
 
 // SetPoolCount tells how many pools load from the weight store: its rate is for all of them together, and each pool's
 // orderer may be another entry.
 func (p *Placer) SetPoolCount(pools int) {
-	p.loads.share(p.cfg.LoadsPerSecond, p.cfg.LoadBurst, max(pools, 1))
+	p.loadBucket.setShare(p.cfg.LoadsPerSecond, p.cfg.LoadBurst, max(pools, 1))
 }
 
 // SetEngines takes the addresses of the engines that are in use: live and not leaving. Others are forgotten.
@@ -86,24 +86,24 @@
 	if !known || asked.Before(e.readAt) {
 		return
 	}
-	if e.wanted != nil && (e.ended.IsZero() || asked.Before(e.ended)) {
+	if e.pending != nil && (e.resultAt.IsZero() || asked.Before(e.resultAt)) {
 		return
 	}
-	if e.wanted != nil {
+	if e.pending != nil {
 		e.settle(state, p.cfg.RetryAfter, now)
 	}
 	e.state = state
 	e.readAt = asked
-	e.doubted = false
+	e.doubtful = false
 }
 
 // settle compares an engine's state with its last order.
 func (e *engine) settle(state Assignment, retryAfter time.Duration, now time.Time) {
-	taken := state.sameWeights(e.wanted) && state.Role == e.wanted.Role
-	fence := e.wanted.Fence
-	e.wanted = nil
+	taken := state.sameWeights(e.pending) && state.Role == e.pending.Role
+	fence := e.pending.Fence
+	e.pending = nil
 	if taken {
-		e.told = fence
+		e.confirmedFence = fence
 		e.failures = 0
 		e.retryAt = time.Time{}
 		return
@@ -140,10 +140,10 @@
 // RecordResult takes the end of an order.
 func (p *Placer) RecordResult(address string, result Result, now time.Time) {
 	if r, refused := result.(Refused); refused && r.Limited {
-		p.loads.block(max(r.RetryAfter, p.cfg.RetryAfter), now)
+		p.loadBucket.block(max(r.RetryAfter, p.cfg.RetryAfter), now)
 	}
 	e, known := p.engines[address]
-	if !known || e.wanted == nil {
+	if !known || e.pending == nil {
 		return
 	}
 	switch r := result.(type) {
@@ -152,10 +152,10 @@
 		e.state = r.State
 		e.readAt = now
 	case Refused:
-		e.wanted = nil
+		e.pending = nil
 		e.backOff(max(r.RetryAfter, p.cfg.RetryAfter), now)
 	case Uncertain:
-		e.ended = now
+		e.resultAt = now
 	}
 }
 
@@ -163,7 +163,7 @@
 func (p *Placer) Unsettled() []string {
 	var addresses []string
 	for _, address := range p.addresses {
-		if e := p.engines[address]; e.wanted != nil && !e.ended.IsZero() {
+		if e := p.engines[address]; e.pending != nil && !e.resultAt.IsZero() {
 			addresses = append(addresses, address)
 		}
 	}
@@ -173,13 +173,13 @@
 // OrderInFlight tells that an order to the engine is under way.
 func (p *Placer) OrderInFlight(address string) bool {
 	e, known := p.engines[address]
-	return known && e.wanted != nil && e.ended.IsZero()
+	return known && e.pending != nil && e.resultAt.IsZero()
 }
 
 // MarkDoubtful tells that an engine failed a call, as one does that was given another model.
 func (p *Placer) MarkDoubtful(address string) {
 	if e, known := p.engines[address]; known {
-		e.doubted = true
+		e.doubtful = true
 	}
 }
 
@@ -190,5 +190,5 @@
 	if !known || e.state.Model == "" || now.Sub(e.readAt) > p.cfg.StateMaxAge {
 		return false
 	}
-	return e.doubted || e.state.Model != model || e.state.Loading
+	return e.doubtful || e.state.Model != model || e.state.Loading
 }
--- a/placer/placer_test.go
+++ b/placer/placer_test.go
@@ -10,14 +10,14 @@
 	"geraniumline/publisher"
 )
 
-func ab(least int) *publisher.Placement {
+func modelsAB(least int) *publisher.Placement {
 	return placement(placed("a", least, 1), placed("b", least, 1))
 }
 
 // One model's backlog surges while the other is quiet. Engines move to it, at the weight store's rate and never the
 // quiet one's last; when the surge is over they come back, and no engine moves under a steady demand.
 func TestASurgeMovesCapacityAndBack(t *testing.T) {
-	w := newWorld(t, ab(1), append(repeat("a", 5), repeat("b", 5)...)...)
+	w := newSimulation(t, modelsAB(1), append(repeat("a", 5), repeat("b", 5)...)...)
 	w.run(time.Minute)
 	require.Equal(t, []int{5, 5}, w.copies("a", "b"))
 	require.Empty(t, w.loads, "a quiet pool stays as it is")
@@ -30,12 +30,12 @@
 	moved := len(w.loads)
 	w.run(10 * time.Minute)
 	require.Len(t, w.loads, moved, "a steady demand moves nothing")
-	require.Equal(t, 1, w.lowest["a"])
+	require.Equal(t, 1, w.minServing["a"])
 
 	w.demand["b"] = 0
 	w.run(2 * time.Minute)
 	require.Equal(t, []int{4, 6}, w.copies("a", "b"), "back to within MoveRatio")
-	w.withinLimit(1, 2)
+	w.requireLoadLimit(1, 2)
 }
 
 // Whatever the demand, placement and engines, a model in use that had an engine serving it always has one, the weight
@@ -50,7 +50,7 @@
 			model.Version = rapid.SampledFrom([]string{"1", "2"}).Draw(r, "version")
 			models = append(models, model)
 		}
-		w := newWorld(t, placement(models...), holds...)
+		w := newSimulation(t, placement(models...), holds...)
 		for range 4 {
 			for _, name := range names[:3] {
 				w.demand[name] = float64(rapid.IntRange(0, 100_000).Draw(r, "demand"))
@@ -63,12 +63,12 @@
 		if len(w.loads) != before {
 			r.Fatalf("%d loads under a steady demand", len(w.loads)-before)
 		}
-		for name, least := range w.lowest {
+		for name, least := range w.minServing {
 			if least < 1 {
 				r.Fatalf("nothing served %s", name)
 			}
 		}
-		w.withinLimit(1, 2)
+		w.requireLoadLimit(1, 2)
 	})
 }
 
@@ -76,7 +76,7 @@
 // out in the order of the demand that it serves: one at once and then one a second, since the store's burst may have
 // been spent by the orderer before.
 func TestLoadsGoInOrderOfDemand(t *testing.T) {
-	w := newWorld(t, ab(0), repeat("", 6)...)
+	w := newSimulation(t, modelsAB(0), repeat("", 6)...)
 	w.demand["a"], w.demand["b"] = 1_000, 20_000
 	w.inUse["a"], w.inUse["b"] = true, true
 	var served []string
@@ -89,12 +89,12 @@
 	require.Equal(t, []string{"b"}, served)
 	w.run(10 * time.Second)
 	require.Equal(t, []string{"b", "a", "b", "b", "b", "b"}, served)
-	w.withinLimit(1, 2)
+	w.requireLoadLimit(1, 2)
 }
 
 // The store says that it has had enough. No load of the pool is ordered until the time that it named.
 func TestALimitedStoreIsLeftAlone(t *testing.T) {
-	w := newWorld(t, ab(1), repeat("", 4)...)
+	w := newSimulation(t, modelsAB(1), repeat("", 4)...)
 	orders := 0
 	w.deliver = func(Order) (Result, bool) {
 		orders++
@@ -121,7 +121,7 @@
 	}
 	for _, s := range scenarios {
 		t.Run(s.testName, func(t *testing.T) {
-			w := newWorld(t, ab(2), repeat("", 4)...)
+			w := newSimulation(t, modelsAB(2), repeat("", 4)...)
 			failures := 3
 			w.deliver = func(Order) (Result, bool) {
 				if failures--; failures < 0 {
@@ -142,14 +142,14 @@
 func TestALateOrderOfAnOlderOrderer(t *testing.T) {
 	for _, ignores := range []bool{false, true} {
 		t.Run(map[bool]string{false: "honours", true: "ignores"}[ignores], func(t *testing.T) {
-			w := newWorld(t, ab(2), "a", "a", "b", "b")
+			w := newSimulation(t, modelsAB(2), "a", "a", "b", "b")
 			for _, e := range w.engines {
 				e.ignoreFence = ignores
 				e.state.Fence = 3
 			}
 			w.run(time.Second)
 			late := Assignment{Model: "b", Version: "1", Role: publisher.RoleBoth, Fence: 5}
-			require.Equal(t, ignores, w.engines["e00"].take(late, w.now))
+			require.Equal(t, ignores, w.engines["e00"].accept(late, w.now))
 			w.run(time.Minute)
 			require.Equal(t, []int{2, 2}, w.copies("a", "b"))
 			if !ignores {
@@ -162,7 +162,7 @@
 
 // This entry's lease is over, but it has not read so. An engine's number shows that a newer orderer is at work.
 func TestANewerOrderersEnginesAreLeftAlone(t *testing.T) {
-	w := newWorld(t, ab(2), "a", "a", "a", "a")
+	w := newSimulation(t, modelsAB(2), "a", "a", "a", "a")
 	for _, e := range w.engines {
 		e.state.Fence = 8
 	}
@@ -176,9 +176,9 @@
 // An order is under way, or its reply was lost. Readings that were asked for before it ended show the state from
 // before: taken for the order's failure, they would have the same weights loaded once more.
 func TestOnlyALaterReadingSettlesAnOrder(t *testing.T) {
-	w := newWorld(t, placement(placed("a", 1, 1)), "")
+	w := newSimulation(t, placement(placed("a", 1, 1)), "")
 	old := w.engines["e00"].state
-	w.placer.SetEngines(w.order)
+	w.placer.SetEngines(w.addresses)
 	w.placer.ObserveState("e00", old, w.now, w.now)
 	orders := func() []Order { return w.placer.Orders(w.placed, w.inUse, w.lease, w.now) }
 	given := orders()
@@ -201,10 +201,10 @@
 func TestTheOnlyCopyIsUpgradedBehindAnother(t *testing.T) {
 	p := placement(placed("a", 1, 1), placed("b", 1, 1))
 	p.Models[0].Version = "2"
-	w := newWorld(t, p, "a", "b", "b")
+	w := newSimulation(t, p, "a", "b", "b")
 	w.run(time.Minute)
-	require.Equal(t, 1, w.lowest["a"])
-	require.Equal(t, 1, w.lowest["b"])
+	require.Equal(t, 1, w.minServing["a"])
+	require.Equal(t, 1, w.minServing["b"])
 	for _, e := range w.engines {
 		if e.state.Model == "a" {
 			require.Equal(t, "2", e.state.Version)
@@ -214,9 +214,9 @@
 
 // A role changes: no weights are loaded for it.
 func TestARoleNeedsNoLoad(t *testing.T) {
-	p := ab(1)
+	p := modelsAB(1)
 	p.Models[0].Role = publisher.RolePrefill
-	w := newWorld(t, p, "a", "b")
+	w := newSimulation(t, p, "a", "b")
 	w.run(time.Second)
 	require.Equal(t, publisher.RolePrefill, w.engines["e00"].state.Role)
 	require.Empty(t, w.loads)
@@ -224,7 +224,7 @@
 
 // An engine was not heard of for a while. It may be gone, so the other one is the last copy and is not taken.
 func TestAnUnheardCopyDoesNotCount(t *testing.T) {
-	w := newWorld(t, ab(0), "a", "a", "b")
+	w := newSimulation(t, modelsAB(0), "a", "a", "b")
 	w.run(time.Second)
 	silent := w.now
 	for range 600 {
--- a/placer/survey.go
+++ b/placer/survey.go
@@ -21,7 +21,7 @@
 }
 
 // least is how many copies the model must have: one at least if a pipeline names it, or its requests could not run.
-func (m *model) least() int {
+func (m *model) minCopies() int {
 	switch {
 	case m.placed == nil:
 		return 0
@@ -47,14 +47,14 @@
 	// names are the models by name.
 	names []string
 	// idle are the engines that may be given an order, and taken those that were in this round.
-	idle  []*engine
-	taken map[*engine]bool
+	available []*engine
+	assigned  map[*engine]bool
 	// pressed are the models that have been due an engine of another for long enough.
-	pressed map[string]bool
+	pressured map[string]bool
 }
 
 func (p *Placer) survey(placement *publisher.Placement, inUse map[string]bool, lease Lease, now time.Time) *survey {
-	s := &survey{cfg: p.cfg, lease: lease, now: now, models: map[string]*model{}, taken: map[*engine]bool{}, pressed: map[string]bool{}}
+	s := &survey{cfg: p.cfg, lease: lease, now: now, models: map[string]*model{}, assigned: map[*engine]bool{}, pressured: map[string]bool{}}
 	weights := 0.0
 	for i := range placement.Models {
 		weights += placement.Models[i].Weight
@@ -66,7 +66,7 @@
 		m.demand = p.cfg.BaselineDemand * placed.Weight / weights * float64(len(placement.Models))
 	}
 	for _, address := range p.addresses {
-		s.count(p.engines[address])
+		s.addEngine(p.engines[address])
 	}
 	for name, m := range s.models {
 		m.demand += p.demand[name]
@@ -86,19 +86,19 @@
 	return m
 }
 
-func (s *survey) count(e *engine) {
-	state := e.expected()
+func (s *survey) addEngine(e *engine) {
+	state := e.expectedState()
 	if state.Model != "" {
 		m := s.model(state.Model)
 		m.copies++
-		if !state.Loading && e.sure(s.now, s.cfg.StateMaxAge) {
+		if !state.Loading && e.current(s.now, s.cfg.StateMaxAge) {
 			m.ready++
 		}
 	}
 	// An engine whose number is above this lease's has heard of a newer orderer: this one's time is over, though
 	// it has not read so yet.
-	if e.sure(s.now, s.cfg.StateMaxAge) && !s.now.Before(e.retryAt) && e.state.Fence <= s.lease.Fence {
-		s.idle = append(s.idle, e)
+	if e.current(s.now, s.cfg.StateMaxAge) && !s.now.Before(e.retryAt) && e.state.Fence <= s.lease.Fence {
+		s.available = append(s.available, e)
 	}
 }
 
@@ -107,16 +107,16 @@
 
 // spare tells whether an engine can be taken from its model without harm: it is not the last one that serves a model
 // in use. Copies that are still loading, or were not heard of lately, do not count.
-func (s *survey) spare(e *engine) bool {
+func (s *survey) canSpare(e *engine) bool {
 	m := s.models[e.state.Model]
 	if m == nil || !e.serving() {
 		return m == nil
 	}
-	return m.ready > 1 || !m.inUse && m.least() == 0
+	return m.ready > 1 || !m.inUse && m.minCopies() == 0
 }
 
 // move notes a load that was decided.
-func (s *survey) move(l load) {
+func (s *survey) apply(l load) {
 	if from := s.models[l.engine.state.Model]; from != nil {
 		from.copies--
 		if l.engine.serving() {
@@ -124,5 +124,5 @@
 		}
 	}
 	l.model.copies++
-	s.taken[l.engine] = true
+	s.assigned[l.engine] = true
 }
--- a/placer/world_test.go
+++ b/placer/world_test.go
@@ -17,7 +17,7 @@
 )
 
 // sim is an engine of the model: it loads, and it honours or ignores the fencing number.
-type sim struct {
+type simEngine struct {
 	state       Assignment
 	loadedAt    time.Time
 	ignoreFence bool
@@ -25,7 +25,7 @@
 	orders      int
 }
 
-func (e *sim) take(state Assignment, now time.Time) bool {
+func (e *simEngine) accept(state Assignment, now time.Time) bool {
 	if !e.ignoreFence && state.Fence < e.state.Fence {
 		return false
 	}
@@ -43,20 +43,20 @@
 }
 
 // world is a pool whose engines are read back and ordered each step.
-type world struct {
-	t       *testing.T
-	now     time.Time
-	placer  *Placer
-	placed  *publisher.Placement
-	engines map[string]*sim
-	order   []string
-	demand  map[string]float64
-	inUse   map[string]bool
-	lease   Lease
+type simulation struct {
+	t         *testing.T
+	now       time.Time
+	placer    *Placer
+	placed    *publisher.Placement
+	engines   map[string]*simEngine
+	addresses []string
+	demand    map[string]float64
+	inUse     map[string]bool
+	lease     Lease
 	// loads are the instants at which loads began.
 	loads []time.Time
 	// lowest is the least number of engines that served a model in use.
-	lowest map[string]int
+	minServing map[string]int
 	// deliver says how an order ends, if a test cares; it tells whether the engine is to get it.
 	deliver func(o Order) (Result, bool)
 }
@@ -70,25 +70,25 @@
 }
 
 // newWorld has engines that hold the models named, in this order; an empty name is an engine without a model.
-func newWorld(t *testing.T, p *publisher.Placement, holds ...string) *world {
-	w := &world{
+func newSimulation(t *testing.T, p *publisher.Placement, holds ...string) *simulation {
+	w := &simulation{
 		t: t, now: time.UnixMilli(1_800_000_000_000), placer: New(Config{LoadsPerSecond: 1, LoadBurst: 2}), placed: p,
-		engines: map[string]*sim{}, demand: map[string]float64{}, inUse: map[string]bool{},
-		lease: Lease{Fence: 7, Granted: 7}, lowest: map[string]int{},
+		engines: map[string]*simEngine{}, demand: map[string]float64{}, inUse: map[string]bool{},
+		lease: Lease{Fence: 7, Granted: 7}, minServing: map[string]int{},
 	}
 	for i, name := range holds {
 		address := fmt.Sprintf("e%02d", i)
-		w.order = append(w.order, address)
-		w.engines[address] = &sim{state: Assignment{Model: name, Version: "1", Role: publisher.RoleBoth}}
+		w.addresses = append(w.addresses, address)
+		w.engines[address] = &simEngine{state: Assignment{Model: name, Version: "1", Role: publisher.RoleBoth}}
 		if name != "" {
 			w.inUse[name] = true
-			w.lowest[name] = len(holds)
+			w.minServing[name] = len(holds)
 		}
 	}
 	return w
 }
 
-func (w *world) count(model string, serving bool) int {
+func (w *simulation) count(model string, serving bool) int {
 	n := 0
 	for _, e := range w.engines {
 		if e.state.Model == model && (!serving || !e.state.Loading) {
@@ -98,28 +98,28 @@
 	return n
 }
 
-func (w *world) step() {
+func (w *simulation) step() {
 	w.now = w.now.Add(stepTime)
-	for _, address := range w.order {
+	for _, address := range w.addresses {
 		e := w.engines[address]
 		if e.state.Loading && !w.now.Before(e.loadedAt) {
 			e.state.Loading = false
 		}
 	}
-	w.placer.SetEngines(w.order)
+	w.placer.SetEngines(w.addresses)
 	w.placer.ObserveDemand(w.demand, w.now)
-	for _, address := range w.order {
+	for _, address := range w.addresses {
 		w.placer.ObserveState(address, w.engines[address].state, w.now, w.now)
 	}
 	for _, o := range w.placer.Orders(w.placed, w.inUse, w.lease, w.now) {
-		w.carry(o)
+		w.execute(o)
 	}
-	for model, least := range w.lowest {
-		w.lowest[model] = min(least, w.count(model, true))
+	for model, least := range w.minServing {
+		w.minServing[model] = min(least, w.count(model, true))
 	}
 }
 
-func (w *world) carry(o Order) {
+func (w *simulation) execute(o Order) {
 	e := w.engines[o.Address]
 	before := e.loads
 	var result Result
@@ -127,7 +127,7 @@
 	if w.deliver != nil {
 		result, arrives = w.deliver(o)
 	}
-	if arrives && !e.take(o.State, w.now) && result == nil {
+	if arrives && !e.accept(o.State, w.now) && result == nil {
 		result = Refused{}
 	}
 	if e.loads > before {
@@ -139,14 +139,14 @@
 	w.placer.RecordResult(o.Address, result, w.now)
 }
 
-func (w *world) run(d time.Duration) {
+func (w *simulation) run(d time.Duration) {
 	for range int(d / stepTime) {
 		w.step()
 	}
 }
 
 // withinLimit tells that no span of time saw more loads than the weight store allows.
-func (w *world) withinLimit(rate float64, burst int) {
+func (w *simulation) requireLoadLimit(rate float64, burst int) {
 	w.t.Helper()
 	for i := range w.loads {
 		for j := i; j < len(w.loads); j++ {
@@ -156,7 +156,7 @@
 	}
 }
 
-func (w *world) copies(models ...string) []int {
+func (w *simulation) copies(models ...string) []int {
 	var counts []int
 	for _, model := range models {
 		counts = append(counts, w.count(model, true))
--- a/rationer/rationer.go
+++ b/rationer/rationer.go
@@ -11,7 +11,7 @@
 )
 
 // forgetAfter is how long a call counts: longer than any pause between two.
-const forgetAfter = time.Minute
+const bucketTTL = time.Minute
 
 // Quota is what an endpoint bears.
 type Quota struct {
@@ -24,7 +24,7 @@
 }
 
 // pause is the time in which one sender may make a call more.
-func (n Quota) pause() time.Duration {
+func (n Quota) sendInterval() time.Duration {
 	return time.Duration(float64(n.Senders) / n.PerSecond * float64(time.Second))
 }
 
@@ -78,7 +78,7 @@
 	if level >= 1 {
 		return now
 	}
-	return now.Add(time.Duration((1 - level) * float64(n.pause())))
+	return now.Add(time.Duration((1 - level) * float64(n.sendInterval())))
 }
 
 func (r *Rationer) level(endpoint string, n Quota, now time.Time) float64 {
@@ -86,13 +86,13 @@
 	if !known {
 		return float64(n.Burst)
 	}
-	return min(float64(n.Burst), b.level+now.Sub(b.at).Seconds()/n.pause().Seconds())
+	return min(float64(n.Burst), b.level+now.Sub(b.at).Seconds()/n.sendInterval().Seconds())
 }
 
 // RecordSend notes a call to an endpoint.
 func (r *Rationer) RecordSend(endpoint string, n Quota, now time.Time) {
 	for id, b := range r.buckets {
-		if now.Sub(b.at) > forgetAfter {
+		if now.Sub(b.at) > bucketTTL {
 			delete(r.buckets, id)
 		}
 	}
--- a/regulator/backoff.go
+++ b/regulator/backoff.go
@@ -8,44 +8,46 @@
 	Max     time.Duration
 }
 
-// Backoff keeps calls from an endpoint that refuses them and names no time of rest. Its zero value allows calls.
+// Backoff holds calls back from an endpoint that refuses them without asking for a rest. Its zero value allows calls.
 type Backoff struct {
 	until time.Time
-	// at is when the endpoint last refused a call, inRow how many it has refused since it last served one, total how many ever.
-	at    time.Time
-	inRow int
-	total int
+	// lastRefusal is the time of the last refused call, consecutive the number of refusals since the endpoint last
+	// served a call, and total the number of all refusals.
+	lastRefusal time.Time
+	consecutive int
+	total       int
 }
 
-// maxDoublings keeps the shift in bounds; the longest pause is reached before.
+// maxDoublings keeps the shift in bounds. The longest pause is reached before it.
 const maxDoublings = 16
 
-// RecordRefusal notes a refusal. Each one in a row doubles the pause.
+// RecordRefusal records that the endpoint refused a call. Each consecutive refusal doubles the pause.
 func (b *Backoff) RecordRefusal(p BackoffBounds, now time.Time) {
-	b.until = now.Add(min(p.Max, p.Initial<<min(b.inRow, maxDoublings)))
-	b.at = now
-	b.inRow++
+	b.until = now.Add(min(p.Max, p.Initial<<min(b.consecutive, maxDoublings)))
+	b.lastRefusal = now
+	b.consecutive++
 	b.total++
 }
 
-// RecordPeerRefusal notes that the endpoint refuses a peer's calls, as of a time.
+// RecordPeerRefusal records that the endpoint refused calls of a peer at the given time, which starts the longest
+// pause.
 func (b *Backoff) RecordPeerRefusal(p BackoffBounds, at time.Time) {
 	if until := at.Add(p.Max); until.After(b.until) {
 		b.until = until
 	}
 }
 
-// RecordSuccess notes a call that was not refused.
-func (b *Backoff) RecordSuccess() { b.inRow = 0 }
+// RecordSuccess records a call that was not refused.
+func (b *Backoff) RecordSuccess() { b.consecutive = 0 }
 
-// Active tells whether the pause lasts.
+// Active reports whether the pause is still on.
 func (b *Backoff) Active(now time.Time) bool { return now.Before(b.until) }
 
-// ConsecutiveRefusals is how many calls the endpoint has refused since it last served one.
-func (b *Backoff) ConsecutiveRefusals() int { return b.inRow }
+// ConsecutiveRefusals returns the number of calls that the endpoint has refused since it last served one.
+func (b *Backoff) ConsecutiveRefusals() int { return b.consecutive }
 
-// TotalRefusals is how many calls the endpoint has refused.
+// TotalRefusals returns the number of calls that the endpoint has refused.
 func (b *Backoff) TotalRefusals() int { return b.total }
 
-// LastRefusal is when the endpoint last refused a call.
-func (b *Backoff) LastRefusal() time.Time { return b.at }
+// LastRefusal returns the time at which the endpoint last refused a call.
+func (b *Backoff) LastRefusal() time.Time { return b.lastRefusal }
--- a/regulator/backoff_test.go
+++ b/regulator/backoff_test.go
@@ -7,7 +7,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-func TestEachRefusalInARowDoublesThePause(t *testing.T) {
+func TestEachConsecutiveRefusalDoublesThePause(t *testing.T) {
 	p := BackoffBounds{Initial: 100 * time.Millisecond, Max: 500 * time.Millisecond}
 	var b Backoff
 	require.False(t, b.Active(now))
@@ -22,7 +22,7 @@
 	require.False(t, b.Active(now.Add(p.Initial)))
 }
 
-func TestAPeersWordHoldsForTheLongestPause(t *testing.T) {
+func TestPeerRefusalStartsTheLongestPause(t *testing.T) {
 	p := BackoffBounds{Initial: 100 * time.Millisecond, Max: 500 * time.Millisecond}
 	var b Backoff
 	b.RecordPeerRefusal(p, now)
--- a/regulator/notice.go
+++ b/regulator/notice.go
@@ -2,14 +2,15 @@
 
 import "time"
 
-// Notice is what an endpoint's answer says of the work that the endpoint takes.
+// Notice is what the header of an endpoint's answer says about the work that the endpoint accepts.
 type Notice struct {
-	// Limited is set where the endpoint names a limit.
+	// Limited is set if the endpoint states a limit.
 	Limited bool
-	// PerSecond is that limit: the calls a second that the endpoint takes from all entries together.
+	// PerSecond is that limit: the number of calls a second that the endpoint accepts from all entries together.
 	PerSecond float64
-	// Leaving is set where the endpoint is to end and takes no new work.
+	// Leaving is set if the endpoint is shutting down and accepts no new work.
 	Leaving bool
-	// Rest is how long the endpoint wants nothing from the entry that it has turned away; 0 where it does not say.
+	// Rest is how long the endpoint wants no calls from the entry that it has refused. It is 0 if the endpoint does not
+	// say.
 	Rest time.Duration
 }
--- a/regulator/regulator.go
+++ b/regulator/regulator.go
@@ -1,5 +1,5 @@
-// Package regulator decides which calls may go to endpoints that ask for fewer in their answers. It is pure: the present time
-// is given to it.
+// Package regulator decides which calls may go to endpoints whose answers ask for fewer calls. It has no clock of its
+// own: callers pass in the current time.
 package regulator
 
 import (
@@ -12,32 +12,35 @@
 )
 
 const (
-	// windowTime is the span in which the calls at a limited endpoint are judged, fixedSlack what it may get in it whatever its
-	// limit, beside one and a half times that.
+	// windowTime is the window over which the calls to a limited endpoint are checked. In one window, the endpoint may
+	// get one and a half times its limit plus fixedSlack calls, whatever the limit is.
 	windowTime = 4 * time.Second
 	fixedSlack = 5
-	// replacedSenders is how many of the entries that share a limit may be replaced by others within that span.
+	// replacedSenders is the number of entries sharing a limit that may be replaced by others within one window.
 	replacedSenders = 2
-	// renewAfter is how old the newest answer of a limited endpoint may be, beside the time of renewCalls calls, before further
-	// entries send to it, one more for each widenEvery: its senders may have no calls for it or not reach it, and only an
-	// answer tells that its limit has ended. Entries tell each other of limits in turn, so that what is heard of each is older by
-	// toldEach for each further one: about three times what its share of a heartbeat takes.
-	renewAfter = 5 * time.Second
-	renewCalls = 4
-	toldEach   = 15 * time.Millisecond
-	widenEvery = time.Second
-	// endedLife is how long peers are told that an endpoint's limit has ended.
-	endedLife = 10 * time.Second
+	// staleAfter is the maximum age of the newest answer of a limited endpoint, in addition to the time of
+	// staleAfterCalls calls. After that, one more entry sends to the endpoint for each addSenderEvery: the previous
+	// senders may have no calls for it or be unable to reach it, and only an answer shows that its limit has ended.
+	//
+	// Entries gossip about limits in turn, so each further limit delays news of the others by gossipDelayPerLimit,
+	// about three times what its share of a heartbeat takes.
+	staleAfter          = 5 * time.Second
+	staleAfterCalls     = 4
+	gossipDelayPerLimit = 15 * time.Millisecond
+	addSenderEvery      = time.Second
+	// endedLimitTTL is how long peers are notified that an endpoint's limit has ended.
+	endedLimitTTL = 10 * time.Second
 )
 
-// DefaultMaxRest is the longest time of rest that an endpoint gets: one that asks for more by mistake is tried again.
+// DefaultMaxRest is the longest rest that an endpoint gets. An endpoint that asks for more by mistake is tried again
+// after it.
 const DefaultMaxRest = time.Minute
 
-// Config sets a Regulator up.
+// Config configures a Regulator.
 type Config struct {
-	// Self is this entry's name.
+	// Self is the name of this entry.
 	Self string
-	// MaxRest is the longest time of rest that an endpoint gets; 0 takes DefaultMaxRest.
+	// MaxRest is the longest rest that an endpoint gets. 0 means DefaultMaxRest.
 	MaxRest time.Duration
 }
 
@@ -46,39 +49,40 @@
 	cfg      Config
 	rationer *rationer.Rationer
 	limits   map[string]*limit
-	// leaving are the endpoints that have said that they leave, by when they began.
+	// leaving holds the start time of each endpoint that has announced its shutdown.
 	leaving map[string]time.Time
-	// rests are the times of rest that endpoints have asked this entry for.
+	// rests holds the rests that endpoints have asked this entry for.
 	rests map[string]rest
 }
 
-// rest is a time of rest.
+// rest is a period in which an endpoint wants no calls.
 type rest struct {
 	started time.Time
 	until   time.Time
 }
 
-// limit is the limit that an endpoint has named.
+// limit is the limit that an endpoint has stated.
 type limit struct {
 	started time.Time
-	// perSecond is 0 once the endpoint has said that there is none any more.
+	// perSecond is 0 once the endpoint has stated that it has no limit any more.
 	perSecond float64
-	// at is when the endpoint last said so.
-	at time.Time
+	// reportedAt is the time of the endpoint's last statement.
+	reportedAt time.Time
 }
 
-// Limit is a limit as entries tell it to each other.
+// Limit is a limit as entries exchange it.
 type Limit struct {
 	Endpoint string
-	// Started is when the start of the endpoint began that named it; zero where the endpoint does not say.
+	// Started is the start time of the endpoint process that stated the limit. It is zero if the endpoint does not
+	// report one.
 	Started time.Time
-	// PerSecond is 0 where the limit has ended.
+	// PerSecond is 0 if the limit has ended.
 	PerSecond float64
-	// At is when the endpoint said so.
+	// At is the time of the endpoint's statement.
 	At time.Time
 }
 
-// New makes a regulator that knows of no limit and of no other entry.
+// New returns a regulator without limits and without other entries.
 func New(cfg Config) *Regulator {
 	if cfg.MaxRest == 0 {
 		cfg.MaxRest = DefaultMaxRest
@@ -92,51 +96,51 @@
 	}
 }
 
-// SetEntries takes the names of the entries that live, this one among them, in their order.
+// SetEntries sets the names of the live entries, including this one, in sorted order.
 func (r *Regulator) SetEntries(live []string) { r.rationer.SetEntries(live) }
 
-// Retain forgets what endpoints have said that are not listed any more in the start that said so; a zero time is that of any
-// start.
-func (r *Regulator) Retain(lists func(endpoint string, started time.Time) bool) {
+// Retain discards the notices of endpoints for which listed returns false, because the endpoint is gone or has
+// restarted since. A zero start time matches any start.
+func (r *Regulator) Retain(listed func(endpoint string, started time.Time) bool) {
 	for id, l := range r.limits {
-		if !lists(id, l.started) {
+		if !listed(id, l.started) {
 			delete(r.limits, id)
 		}
 	}
 	for id, known := range r.rests {
-		if !lists(id, known.started) {
+		if !listed(id, known.started) {
 			delete(r.rests, id)
 		}
 	}
 	for id, started := range r.leaving {
-		if !lists(id, started) {
+		if !listed(id, started) {
 			delete(r.leaving, id)
 		}
 	}
 }
 
-// sameStart tells whether two times may be those of one start; a zero one is not known.
+// sameStart reports whether two start times may belong to the same start. A zero time means unknown.
 func sameStart(a, b time.Time) bool { return a.IsZero() || b.IsZero() || a.Equal(b) }
 
-// Change tells what a notice changes of what was known.
+// Change reports which parts of a notice differ from what was known.
 type Change struct {
 	Limit   bool
 	Leaving bool
 	Rest    bool
 }
 
-// ApplyNotice takes the notice of an endpoint's answer.
+// ApplyNotice updates the state of an endpoint from the notice in its answer.
 func (r *Regulator) ApplyNotice(e *registrar.Endpoint, n Notice, now time.Time) Change {
 	return Change{
-		Limit:   r.heardLimit(e, n, now),
+		Limit:   r.updateLimit(e, n, now),
 		Leaving: n.Leaving && r.MarkLeaving(LeavingEndpoint{Endpoint: e.ID, Started: e.Started}),
-		Rest:    n.Rest > 0 && r.heardRest(e, now.Add(min(n.Rest, r.cfg.MaxRest)), now),
+		Rest:    n.Rest > 0 && r.extendRest(e, now.Add(min(n.Rest, r.cfg.MaxRest)), now),
 	}
 }
 
-// heardRest notes the end of a time of rest, and tells whether the endpoint was not resting. A later refusal does not shorten
-// what an earlier one has asked for.
-func (r *Regulator) heardRest(e *registrar.Endpoint, until, now time.Time) bool {
+// extendRest records the end of a rest and reports whether the endpoint was not resting before. A later refusal never
+// shortens a rest that an earlier one asked for.
+func (r *Regulator) extendRest(e *registrar.Endpoint, until, now time.Time) bool {
 	known, rested := r.rests[e.ID]
 	if rested && known.until.After(until) {
 		return false
@@ -145,7 +149,7 @@
 	return !rested || !known.until.After(now)
 }
 
-// RestingEndpoints lists the endpoints that have asked this entry for rest.
+// RestingEndpoints lists the endpoints that have asked this entry for a rest which has not ended.
 func (r *Regulator) RestingEndpoints(now time.Time) []string {
 	var ids []string
 	for id, known := range r.rests {
@@ -158,28 +162,29 @@
 	return ids
 }
 
-// LeavingEndpoint is an endpoint that leaves.
+// LeavingEndpoint is an endpoint that is shutting down.
 type LeavingEndpoint struct {
 	Endpoint string
-	// Started is when the start of it began that said so; zero where it does not say.
+	// Started is the start time of the endpoint process that announced it. It is zero if the endpoint does not report
+	// one.
 	Started time.Time
 }
 
-// MarkLeaving notes an endpoint that leaves, and tells whether that was not known. No answer takes it back: one that says
-// nothing of it may have been on its way for longer.
+// MarkLeaving records that an endpoint is shutting down and reports whether this is new. Answers that do not mention it
+// never revert it, since they may have been sent earlier.
 func (r *Regulator) MarkLeaving(m LeavingEndpoint) bool {
 	_, known := r.leaving[m.Endpoint]
 	r.leaving[m.Endpoint] = m.Started
 	return !known
 }
 
-// IsLeaving tells whether an endpoint has said that it leaves.
+// IsLeaving reports whether an endpoint has announced its shutdown.
 func (r *Regulator) IsLeaving(endpoint string) bool {
 	_, known := r.leaving[endpoint]
 	return known
 }
 
-// LeavingEndpoints lists the endpoints that have said that they leave, in the order of their ids.
+// LeavingEndpoints lists the endpoints that have announced their shutdown, sorted by ID.
 func (r *Regulator) LeavingEndpoints() []LeavingEndpoint {
 	list := make([]LeavingEndpoint, 0, len(r.leaving))
 	for id, started := range r.leaving {
@@ -189,46 +194,47 @@
 	return list
 }
 
-func (r *Regulator) heardLimit(e *registrar.Endpoint, n Notice, now time.Time) bool {
+func (r *Regulator) updateLimit(e *registrar.Endpoint, n Notice, now time.Time) bool {
 	if l, known := r.limits[e.ID]; !n.Limited && (!known || l.perSecond == 0) {
 		return false
 	}
-	return r.take(Limit{Endpoint: e.ID, Started: e.Started, PerSecond: n.PerSecond, At: now})
+	return r.storeLimit(Limit{Endpoint: e.ID, Started: e.Started, PerSecond: n.PerSecond, At: now})
 }
 
-// ApplyPeerLimit takes an endpoint's limit that a peer tells, and tells whether it changes what was known.
+// ApplyPeerLimit records a limit received from a peer and reports whether it changes the known one.
 func (r *Regulator) ApplyPeerLimit(m Limit) bool {
 	l, known := r.limits[m.Endpoint]
-	if known && (!m.At.After(l.at) || !sameStart(m.Started, l.started)) {
+	if known && (!m.At.After(l.reportedAt) || !sameStart(m.Started, l.started)) {
 		return false
 	}
-	return r.take(m)
+	return r.storeLimit(m)
 }
 
-func (r *Regulator) take(m Limit) bool {
+func (r *Regulator) storeLimit(m Limit) bool {
 	before := 0.0
 	if l, known := r.limits[m.Endpoint]; known {
 		before = l.perSecond
 	}
-	r.limits[m.Endpoint] = &limit{started: m.Started, perSecond: m.PerSecond, at: m.At}
+	r.limits[m.Endpoint] = &limit{started: m.Started, perSecond: m.PerSecond, reportedAt: m.At}
 	return before != m.PerSecond
 }
 
-// Limits lists what peers are to be told, in the order of the endpoints' ids.
+// Limits lists the limits to send to peers, including those that have recently ended, sorted by endpoint ID.
 func (r *Regulator) Limits(now time.Time) []Limit {
 	list := make([]Limit, 0, len(r.limits))
 	for id, l := range r.limits {
-		if l.perSecond == 0 && now.Sub(l.at) >= endedLife {
+		if l.perSecond == 0 && now.Sub(l.reportedAt) >= endedLimitTTL {
 			delete(r.limits, id)
 			continue
 		}
-		list = append(list, Limit{Endpoint: id, Started: l.started, PerSecond: l.perSecond, At: l.at})
+		list = append(list, Limit{Endpoint: id, Started: l.started, PerSecond: l.perSecond, At: l.reportedAt})
 	}
 	slices.SortFunc(list, func(a, b Limit) int { return cmp.Compare(a.Endpoint, b.Endpoint) })
 	return list
 }
 
-// Limit gives the calls a second that an endpoint takes from all entries together, if it has named a limit.
+// Limit returns the number of calls a second that an endpoint accepts from all entries together, and whether it has
+// stated a limit.
 func (r *Regulator) Limit(endpoint string) (perSecond float64, limited bool) {
 	l, known := r.limits[endpoint]
 	if !known || l.perSecond == 0 {
@@ -237,7 +243,7 @@
 	return l.perSecond, true
 }
 
-// LimitedEndpoints lists the endpoints that name a limit.
+// LimitedEndpoints lists the endpoints that have stated a limit.
 func (r *Regulator) LimitedEndpoints() []string {
 	var ids []string
 	for id, l := range r.limits {
@@ -248,57 +254,58 @@
 	return ids
 }
 
-// Allows tells whether a call may go now to an endpoint that many entries send to.
+// Allows reports whether a call may be sent now to an endpoint that many entries send to.
 func (r *Regulator) Allows(endpoint string, now time.Time) bool {
 	at, sends := r.NextSendTime(endpoint, now)
 	return sends && !at.After(now)
 }
 
-// NextSendTime tells from when on a call may go to an endpoint that many entries send to. Where this entry sends none, it is about when
-// others may.
+// NextSendTime returns the earliest time at which a call may be sent to an endpoint that many entries send to. If sends
+// is false, this entry sends no calls to it, and at is about when other entries may.
 func (r *Regulator) NextSendTime(endpoint string, now time.Time) (at time.Time, sends bool) {
 	at = r.rests[endpoint].until
 	perSecond, limited := r.Limit(endpoint)
 	if !limited {
 		return at, true
 	}
-	next, sends := r.rationer.NextSendTime(endpoint, r.ration(endpoint, now), now)
+	next, sends := r.rationer.NextSendTime(endpoint, r.quota(endpoint, now), now)
 	if !sends {
 		next = now.Add(time.Duration(float64(time.Second) / perSecond))
 	}
 	return later(at, next), sends
 }
 
-// ration divides an endpoint's limit. In the spans that the limit is judged by (windowTime), the endpoint may get as many calls
-// more than the limit names as slack gives: that is what the senders may send at once, and replaced ones again.
-func (r *Regulator) ration(endpoint string, now time.Time) rationer.Quota {
+// quota divides an endpoint's limit. In one window (windowTime), the endpoint may get slack calls more than its limit.
+// They are divided into the bursts of the senders, and those of senders that replace others.
+func (r *Regulator) quota(endpoint string, now time.Time) rationer.Quota {
 	l := r.limits[endpoint]
 	slack := slackFor(l.perSecond)
 	senders := slack - replacedSenders
-	renewed := l.at.Add(renewAfter + time.Duration(len(r.limits))*toldEach + time.Duration(renewCalls/l.perSecond*float64(time.Second)))
+	renewed := l.reportedAt.Add(staleAfter + time.Duration(len(r.limits))*gossipDelayPerLimit + time.Duration(staleAfterCalls/l.perSecond*float64(time.Second)))
 	if late := now.Sub(renewed); late > 0 {
-		senders += 1 + int(late/widenEvery)
+		senders += 1 + int(late/addSenderEvery)
 	}
 	senders = min(senders, r.rationer.EntryCount())
 	return rationer.Quota{Senders: senders, PerSecond: l.perSecond, Burst: max(1, slack/(senders+replacedSenders))}
 }
 
-// slackFor is how many calls more than a limit names an endpoint may get in a span of windowTime: half as many again, and fixedSlack.
+// slackFor returns how many calls more than its limit an endpoint may get within windowTime: half of the limit, plus
+// fixedSlack.
 func slackFor(perSecond float64) int {
 	return int(perSecond*windowTime.Seconds()/2) + fixedSlack
 }
 
-// SoleNextSendTime tells the same of an endpoint that only this entry sends to.
+// SoleNextSendTime is like NextSendTime, for an endpoint that only this entry sends to.
 func (r *Regulator) SoleNextSendTime(endpoint string, now time.Time) time.Time {
 	at := r.rests[endpoint].until
 	if perSecond, limited := r.Limit(endpoint); limited {
-		at = later(at, r.rationer.SoleNextSendTime(endpoint, soleRation(perSecond), now))
+		at = later(at, r.rationer.SoleNextSendTime(endpoint, soleQuota(perSecond), now))
 	}
 	return at
 }
 
-// soleRation leaves half of the slack to the entry that takes the duty over.
-func soleRation(perSecond float64) rationer.Quota {
+// soleQuota leaves half of the slack to the entry that takes over as the only sender.
+func soleQuota(perSecond float64) rationer.Quota {
 	return rationer.Quota{Senders: 1, PerSecond: perSecond, Burst: max(1, slackFor(perSecond)/2)}
 }
 
@@ -309,25 +316,26 @@
 	return b
 }
 
-// EntryCount counts the entries that live.
+// EntryCount returns the number of live entries.
 func (r *Regulator) EntryCount() int { return r.rationer.EntryCount() }
 
-// ShouldAvoid tells whether an endpoint has asked for so few calls that none should go there which can be left out.
+// ShouldAvoid reports whether an endpoint is limited or resting, so that calls which can be omitted should not go
+// there.
 func (r *Regulator) ShouldAvoid(endpoint string, now time.Time) bool {
 	_, limited := r.Limit(endpoint)
 	return limited || r.rests[endpoint].until.After(now)
 }
 
-// RecordSend notes a call to an endpoint that many entries send to.
+// RecordSend records a call to an endpoint that many entries send to.
 func (r *Regulator) RecordSend(endpoint string, now time.Time) {
 	if _, limited := r.Limit(endpoint); limited {
-		r.rationer.RecordSend(endpoint, r.ration(endpoint, now), now)
+		r.rationer.RecordSend(endpoint, r.quota(endpoint, now), now)
 	}
 }
 
-// RecordSoleSend notes a call to an endpoint that only this entry sends to.
+// RecordSoleSend records a call to an endpoint that only this entry sends to.
 func (r *Regulator) RecordSoleSend(endpoint string, now time.Time) {
 	if perSecond, limited := r.Limit(endpoint); limited {
-		r.rationer.RecordSend(endpoint, soleRation(perSecond), now)
+		r.rationer.RecordSend(endpoint, soleQuota(perSecond), now)
 	}
 }
--- a/regulator/regulator_test.go
+++ b/regulator/regulator_test.go
@@ -27,7 +27,7 @@
 	return r
 }
 
-// senders counts the entries that may send to a limited endpoint, whose limit each has just heard.
+// senders returns the number of entries that may send to a limited endpoint when each has just received its limit.
 func senders(n int, perSecond float64, at time.Time) (count int) {
 	live := names(n)
 	for _, name := range live {
@@ -40,7 +40,7 @@
 	return count
 }
 
-func TestAFewEntriesShareALimit(t *testing.T) {
+func TestSomeEntriesShareALimit(t *testing.T) {
 	require.Equal(t, 4, senders(300, 0.5, now))
 	require.Equal(t, 5, senders(300, 1, now))
 	require.Equal(t, 23, senders(300, 10, now))
@@ -48,16 +48,16 @@
 	require.Equal(t, 1, senders(1, 1, now))
 }
 
-// Guards against a limit that is never found to have ended, since none of those that may send has a call for the endpoint.
-func TestFurtherEntriesSendWhereNobodyHears(t *testing.T) {
-	late := now.Add(renewAfter + renewCalls*time.Second)
+// Guards against a limit that is never found to have ended because no entry that may send has a call for the endpoint.
+func TestMoreEntriesSendWithoutRecentAnswers(t *testing.T) {
+	late := now.Add(staleAfter + staleAfterCalls*time.Second)
 	require.Equal(t, 5, senders(300, 1, late))
-	require.Equal(t, 6, senders(300, 1, late.Add(widenEvery/2)))
-	require.Equal(t, 15, senders(300, 1, late.Add(9*widenEvery+widenEvery/2)))
+	require.Equal(t, 6, senders(300, 1, late.Add(addSenderEvery/2)))
+	require.Equal(t, 15, senders(300, 1, late.Add(9*addSenderEvery+addSenderEvery/2)))
 }
 
-// Guards against an endpoint that nobody sends to since its limit is beyond what counts of entries hold.
-func TestAHugeLimitBoundsNothing(t *testing.T) {
+// Guards against an endpoint that gets no calls because its limit overflows the number of senders.
+func TestHugeLimitAllowsEverything(t *testing.T) {
 	r := newRegulator("entry-001", names(300))
 	r.ApplyPeerLimit(Limit{Endpoint: "a", PerSecond: 1e6, At: now})
 	for range 1000 {
@@ -66,12 +66,12 @@
 	}
 }
 
-func TestASenderKeepsToItsPart(t *testing.T) {
+func TestSenderKeepsToItsQuota(t *testing.T) {
 	e := &registrar.Endpoint{ID: "a"}
 	r := newRegulator("entry", []string{"entry"})
 	require.True(t, r.ApplyNotice(e, Notice{Limited: true, PerSecond: 2}, now).Limit)
-	require.False(t, r.ApplyNotice(e, Notice{Limited: true, PerSecond: 2}, now).Limit, "nothing new")
-	for _, way := range []struct {
+	require.False(t, r.ApplyNotice(e, Notice{Limited: true, PerSecond: 2}, now).Limit, "unchanged")
+	for _, tt := range []struct {
 		name  string
 		free  func() time.Time
 		sent  func(string, time.Time)
@@ -81,22 +81,22 @@
 		{"sole", func() time.Time { return r.SoleNextSendTime("a", now) }, r.RecordSoleSend, 4},
 	} {
 		now := now.Add(time.Minute)
-		for range way.burst {
+		for range tt.burst {
 			at, sends := r.NextSendTime("a", now)
 			require.True(t, sends)
-			require.False(t, at.After(now), way.name)
-			way.sent("a", now)
+			require.False(t, at.After(now), tt.name)
+			tt.sent("a", now)
 		}
-		require.False(t, r.Allows("a", now.Add(400*time.Millisecond)), way.name)
-		require.True(t, r.Allows("a", now.Add(500*time.Millisecond)), way.name)
-		require.Equal(t, now.Add(500*time.Millisecond), r.SoleNextSendTime("a", now), way.name)
+		require.False(t, r.Allows("a", now.Add(400*time.Millisecond)), tt.name)
+		require.True(t, r.Allows("a", now.Add(500*time.Millisecond)), tt.name)
+		require.Equal(t, now.Add(500*time.Millisecond), r.SoleNextSendTime("a", now), tt.name)
 		r.rationer = rationer.New("entry")
 	}
 	require.True(t, r.Allows("b", now), "an endpoint without a limit")
 	require.False(t, r.SoleNextSendTime("b", now).After(now))
 }
 
-func TestWhatEndsALimit(t *testing.T) {
+func TestEndOfLimit(t *testing.T) {
 	started := time.UnixMilli(1000)
 	limited := func() *Regulator {
 		r := newRegulator("entry-001", names(300))
@@ -104,56 +104,56 @@
 		require.Len(t, r.LimitedEndpoints(), 1)
 		return r
 	}
-	t.Run("an answer without one", func(t *testing.T) {
+	t.Run("answer without limit", func(t *testing.T) {
 		r := limited()
 		require.True(t, r.ApplyNotice(&registrar.Endpoint{ID: "a", Started: started}, Notice{}, now.Add(time.Second)).Limit)
 		require.Empty(t, r.LimitedEndpoints())
 		require.True(t, r.Allows("a", now.Add(time.Second)))
 	})
-	t.Run("a peer's word on such an answer", func(t *testing.T) {
+	t.Run("peer's report of such an answer", func(t *testing.T) {
 		r := limited()
 		require.True(t, r.ApplyPeerLimit(Limit{Endpoint: "a", Started: started, At: now.Add(time.Second)}))
 		require.Empty(t, r.LimitedEndpoints())
 	})
-	t.Run("not an older word", func(t *testing.T) {
+	t.Run("not an older report", func(t *testing.T) {
 		r := limited()
 		require.False(t, r.ApplyPeerLimit(Limit{Endpoint: "a", Started: started, At: now.Add(-time.Second)}))
 		require.Len(t, r.LimitedEndpoints(), 1)
 	})
-	t.Run("not the word of an earlier start", func(t *testing.T) {
+	t.Run("not the report of an earlier start", func(t *testing.T) {
 		r := limited()
 		require.False(t, r.ApplyPeerLimit(Limit{Endpoint: "a", Started: started.Add(-time.Hour), At: now.Add(time.Second)}))
 		require.Len(t, r.LimitedEndpoints(), 1)
 	})
-	t.Run("a new start", func(t *testing.T) {
+	t.Run("restart", func(t *testing.T) {
 		r := limited()
-		r.Retain(listed("a", started))
+		r.Retain(listOf("a", started))
 		require.Len(t, r.LimitedEndpoints(), 1)
-		r.Retain(listed("a", started.Add(time.Second)))
+		r.Retain(listOf("a", started.Add(time.Second)))
 		require.Empty(t, r.LimitedEndpoints())
 	})
-	t.Run("the endpoint's end", func(t *testing.T) {
+	t.Run("end of the endpoint", func(t *testing.T) {
 		r := limited()
-		r.Retain(listed("b", started))
+		r.Retain(listOf("b", started))
 		require.Empty(t, r.LimitedEndpoints())
 	})
 }
 
-// listed is a list of one endpoint.
-func listed(id string, started time.Time) func(string, time.Time) bool {
-	return func(asked string, at time.Time) bool {
-		return (&registrar.Endpoint{ID: id, Started: started}).SameStart(&registrar.Endpoint{ID: asked, Started: at})
+// listOf returns a filter for Retain that lists a single endpoint.
+func listOf(id string, started time.Time) func(string, time.Time) bool {
+	return func(otherID string, at time.Time) bool {
+		return (&registrar.Endpoint{ID: id, Started: started}).SameStart(&registrar.Endpoint{ID: otherID, Started: at})
 	}
 }
 
-// Guards against peers that go on to tell of a limit which has ended: they must hear so, but not for ever.
-func TestPeersAreToldThatALimitHasEnded(t *testing.T) {
+// Guards against peers that keep reporting a limit which has ended: they must be notified, but not forever.
+func TestPeersAreNotifiedOfEndedLimit(t *testing.T) {
 	r := newRegulator("entry", []string{"entry"})
 	require.Empty(t, r.Limits(now))
 	e := &registrar.Endpoint{ID: "a"}
 	r.ApplyNotice(e, Notice{Limited: true, PerSecond: 1}, now)
 	require.Equal(t, []Limit{{Endpoint: "a", PerSecond: 1, At: now}}, r.Limits(now.Add(time.Minute)))
 	r.ApplyNotice(e, Notice{}, now)
-	require.Equal(t, []Limit{{Endpoint: "a", At: now}}, r.Limits(now.Add(endedLife-1)))
-	require.Empty(t, r.Limits(now.Add(endedLife)))
+	require.Equal(t, []Limit{{Endpoint: "a", At: now}}, r.Limits(now.Add(endedLimitTTL-1)))
+	require.Empty(t, r.Limits(now.Add(endedLimitTTL)))
 }
--- a/regulator/returns.go
+++ b/regulator/returns.go
@@ -3,31 +3,32 @@
 import "time"
 
 const (
-	// returnSpacing is the least time between two callers that are sent away for the same service: some ten calls of the
-	// shortest kind.
-	returnSpacing = 20 * time.Millisecond
-	// maxReturn is the longest time that a caller is sent away for: beyond it most have given up.
-	maxReturn = 5 * time.Second
+	// minReturnSpacing is the minimum time between two callers that are told to retry the same service: some ten calls
+	// of the shortest kind.
+	minReturnSpacing = 20 * time.Millisecond
+	// maxRetryAfter is the longest time that a caller is told to wait. Most callers give up beyond it.
+	maxRetryAfter = 5 * time.Second
 )
 
-// ReturnSchedule gives the callers that are refused for a service times to come back, one after the other, so that they do not come
-// back together. Callers of an urgent class do not stand behind those of others.
+// ReturnSchedule assigns each refused caller of a service its own time to retry, so that callers do not return all at
+// once. Urgent callers do not queue behind others.
 type ReturnSchedule struct {
-	// urgent and all are the last times that were given to urgent callers and to any.
-	urgent time.Time
-	all    time.Time
+	// lastUrgent and lastAny are the latest times assigned to an urgent caller and to any caller.
+	lastUrgent time.Time
+	lastAny    time.Time
 }
 
-// RetryAfter gives how long a caller is to stay away where the service takes a call again at a time, and then perSecond calls a
-// second from those that come back to this entry; 0 says that it takes as many as before.
+// RetryAfter returns how long a caller is to wait before it retries. free is the time at which the service accepts
+// calls again, and perSecond the rate that it then accepts from callers that return to this entry; 0 means its usual
+// rate.
 func (r *ReturnSchedule) RetryAfter(free time.Time, perSecond float64, urgent bool, now time.Time) time.Duration {
-	spacing := returnSpacing
+	spacing := minReturnSpacing
 	if perSecond > 0 {
 		spacing = max(spacing, time.Duration(float64(time.Second)/perSecond))
 	}
-	last := r.all
+	last := r.lastAny
 	if urgent {
-		last = r.urgent
+		last = r.lastUrgent
 	}
 	at := last.Add(spacing)
 	if at.Before(free) {
@@ -36,15 +37,15 @@
 	if at.Before(now) {
 		at = now
 	}
-	if latest := now.Add(maxReturn); at.After(latest) {
-		// No further place is given out than callers can wait for.
-		return maxReturn
+	if latest := now.Add(maxRetryAfter); at.After(latest) {
+		// Do not assign times that are later than callers are willing to wait.
+		return maxRetryAfter
 	}
 	if urgent {
-		r.urgent = at
+		r.lastUrgent = at
 	}
-	if at.After(r.all) {
-		r.all = at
+	if at.After(r.lastAny) {
+		r.lastAny = at
 	}
 	return at.Sub(now)
 }
--- a/selector/bench_test.go
+++ b/selector/bench_test.go
@@ -5,7 +5,7 @@
 	"testing"
 )
 
-// BenchmarkChoose is one choice of an endpoint by work and shared prompt parts.
+// BenchmarkChoose measures one choice of an endpoint by predicted work and shared prompt parts.
 func BenchmarkChoose(b *testing.B) {
 	for _, n := range []int{9, 90, 900} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
--- a/selector/gate.go
+++ b/selector/gate.go
@@ -8,32 +8,35 @@
 	"geraniumline/registrar"
 )
 
-// Gate says which calls may go to endpoints that bear few.
+// Gate limits the calls to endpoints that accept only a few.
 type Gate interface {
-	// Allows tells whether a call may go now to an endpoint that bears so many calls a second while it is cold.
+	// Allows reports whether a call may be sent to e now. coldPerSecond is the number of calls a second that e accepts
+	// while it is cold.
 	Allows(e *registrar.Endpoint, coldPerSecond float64, now time.Time) bool
-	// NextSendTime tells from when on a call may go to an endpoint by what the endpoint has asked for. Where this entry sends none,
-	// it is about when others may.
+	// NextSendTime returns the earliest time at which a call may be sent to e, given the limits and rests that e has
+	// asked for. If sends is false, this entry sends no calls to e, and at is about when other entries may.
 	NextSendTime(e *registrar.Endpoint, now time.Time) (at time.Time, sends bool)
-	// Limited tells whether an endpoint takes only a few of the calls that would come for the prompt parts that it holds, cold
-	// or not.
+	// Limited reports whether e accepts only some of the calls that its cached prompt parts would attract, whether or
+	// not it is cold.
 	Limited(e *registrar.Endpoint) bool
-	// RecordSend notes a call to an endpoint that bears so many calls a second while it is cold.
+	// RecordSend records a call to e. coldPerSecond is the number of calls a second that e accepts while it is cold.
 	RecordSend(e *registrar.Endpoint, coldPerSecond float64, now time.Time)
 }
 
-func (s *Selector) bearsFew(e *endpoint, now time.Time) bool {
+func (s *Selector) lowCapacity(e *endpoint, now time.Time) bool {
 	return e.Cold(now) || s.cfg.Gate != nil && s.cfg.Gate.Limited(&e.Endpoint)
 }
 
-// Throttle tells of a service whose endpoints have all asked for fewer calls.
+// Throttle describes a service whose endpoints have all asked for fewer calls.
 type Throttle struct {
-	// Until is about when the first of them takes a call again, Here whether from this entry.
+	// Until is about when the first endpoint accepts a call again. Local reports whether it accepts one from this
+	// entry.
 	Until time.Time
 	Local bool
 }
 
-// Throttled tells whether all endpoints in use that a call may go to take none now, by what they have asked for.
+// Throttled reports whether every endpoint of the service that is in use and in one of the regions has asked for no
+// calls at this time. A nil regions allows all regions.
 func (s *Selector) Throttled(service string, regions []string, now time.Time) (Throttle, bool) {
 	p, known := s.pools[service]
 	if !known || s.cfg.Gate == nil {
--- a/selector/memory.go
+++ b/selector/memory.go
@@ -2,8 +2,9 @@
 
 import "geraniumline/hasher"
 
-// chainKeys gives a key for each beginning of the prompt: a part is of use only if all parts before it are held.
-func chainKeys(parts []Part) []uint64 {
+// prefixKeys returns a key for each prefix of the prompt. A cached part is only useful if all parts before it are
+// cached too.
+func prefixKeys(parts []Part) []uint64 {
 	keys := make([]uint64, len(parts))
 	chain := uint64(0)
 	for i, part := range parts {
@@ -13,9 +14,9 @@
 	return keys
 }
 
-// largestShared gives the index of the part by which a prompt finds its home: the largest but the last, which
-// belongs to the request itself unless it is the only one.
-func largestShared(parts []Part) int {
+// largestSharedPart returns the index of the part that determines the prompt's home endpoints: the largest one except
+// the last. The last part belongs to this request alone, unless it is the only part.
+func largestSharedPart(parts []Part) int {
 	best := 0
 	for i := range max(len(parts)-1, 1) {
 		if parts[i].Tokens > parts[best].Tokens {
@@ -25,7 +26,7 @@
 	return best
 }
 
-// sharedTokens is the size of all parts that other requests may have too.
+// sharedTokens returns the total size of the parts that other requests may share, in tokens.
 func sharedTokens(parts []Part) int {
 	n := 0
 	for _, part := range parts[:max(len(parts)-1, 0)] {
@@ -34,14 +35,14 @@
 	return n
 }
 
-// memory holds the prompt beginnings that were sent to an endpoint, the newest ones. It is a hint: what is wrong in it
-// costs time, never a request.
-type memory struct {
+// prefixSet holds the prompt prefixes most recently sent to an endpoint. It is only a hint: a wrong entry costs time
+// but never fails a request.
+type prefixSet struct {
 	keys  map[uint64]struct{}
 	order []uint64
 }
 
-func (m *memory) remember(keys []uint64) {
+func (m *prefixSet) add(keys []uint64) {
 	if m.keys == nil {
 		m.keys = make(map[uint64]struct{})
 	}
@@ -52,14 +53,14 @@
 		m.keys[key] = struct{}{}
 		m.order = append(m.order, key)
 	}
-	for len(m.order) > maxRemembered {
+	for len(m.order) > maxRememberedPrefixes {
 		delete(m.keys, m.order[0])
 		m.order = m.order[1:]
 	}
 }
 
-// held gives the tokens of the longest beginning that the endpoint is believed to hold.
-func (m *memory) held(keys []uint64, parts []Part) int {
+// heldTokens returns the size of the longest prefix that the endpoint is believed to hold, in tokens.
+func (m *prefixSet) heldTokens(keys []uint64, parts []Part) int {
 	n := 0
 	for i, key := range keys {
 		if _, known := m.keys[key]; !known {
--- a/selector/pace.go
+++ b/selector/pace.go
@@ -3,35 +3,37 @@
 import "time"
 
 const (
-	// paceWeight is the weight of the newest call in a service's pace.
-	paceWeight = 0.1
-	// usualPace is the time for a prompt token before any call has been seen: 40 tokens a millisecond.
-	usualPace = 25 * time.Microsecond
-	// firstStep is what a first event takes besides its prompt: the way there and back and a step of the engine.
-	firstStep = 40 * time.Millisecond
-	// leastTokens is the work from which a call tells of the pace; below it the steps of others weigh more.
-	leastTokens = 1000
+	// tokenTimeWeight is the weight of the newest call in a pool's moving average of the time per prompt token.
+	tokenTimeWeight = 0.1
+	// defaultTokenTime is the time per prompt token before any call has been observed: 40 tokens a millisecond.
+	defaultTokenTime = 25 * time.Microsecond
+	// firstEventOverhead is the part of the time to the first event that does not depend on the prompt: the network
+	// round trip and one step of the engine.
+	firstEventOverhead = 40 * time.Millisecond
+	// minObservedTokens is the minimum size of a call that updates the token time. In smaller calls, the engine steps
+	// of other calls dominate the duration.
+	minObservedTokens = 1000
 )
 
-// ObserveFirstEvent takes the time from a call's sending to its first event.
+// ObserveFirstEvent records the time from sending a call to receiving its first event.
 func (s *Selector) ObserveFirstEvent(choice Choice, took time.Duration) {
-	e, known := s.chosen(&choice)
-	if !known || choice.Tokens < leastTokens || took <= firstStep {
+	e, known := s.chosenEndpoint(&choice)
+	if !known || choice.Tokens < minObservedTokens || took <= firstEventOverhead {
 		return
 	}
-	seen := float64(took-firstStep) / float64(choice.Tokens)
-	e.pool.pace += paceWeight * (seen - e.pool.pace)
+	observed := float64(took-firstEventOverhead) / float64(choice.Tokens)
+	e.pool.tokenTime += tokenTimeWeight * (observed - e.pool.tokenTime)
 }
 
-// PredictFirstEvent predicts the time to the first event of a prompt whose shared parts are held.
+// PredictFirstEvent predicts the time to the first event of a prompt whose shared parts are cached.
 func (s *Selector) PredictFirstEvent(service string, parts []Part) time.Duration {
-	pace := float64(usualPace)
+	tokenTime := float64(defaultTokenTime)
 	if p, known := s.pools[service]; known {
-		pace = p.pace
+		tokenTime = p.tokenTime
 	}
 	tokens := s.cfg.CallTokens - sharedTokens(parts)
 	for _, part := range parts {
 		tokens += part.Tokens
 	}
-	return firstStep + time.Duration(pace*float64(tokens))
+	return firstEventOverhead + time.Duration(tokenTime*float64(tokens))
 }
--- a/selector/refusal.go
+++ b/selector/refusal.go
@@ -10,47 +10,48 @@
 	"geraniumline/regulator"
 )
 
-// refusedPauses are how long an endpoint that has refused a call gets none while another one takes them. An endpoint that has
-// room again has its share again within the longest one.
-var refusedPauses = regulator.BackoffBounds{Initial: 80 * time.Millisecond, Max: time.Second}
+// refusalBackoff bounds how long an endpoint that has refused a call gets no calls while another endpoint accepts them.
+// An endpoint with free capacity gets its share again within Max.
+var refusalBackoff = regulator.BackoffBounds{Initial: 80 * time.Millisecond, Max: time.Second}
 
-// RecordRefusal takes the end of a call that its endpoint has refused unrun, and tells whether the endpoint was let back by it. With
-// its calls ended at once it looks idle, and would draw the pool's work.
+// RecordRefusal records that the endpoint refused a call without running it, and reports whether this returned the
+// endpoint to use. Without a backoff, an endpoint whose calls end at once looks idle and would attract the work of the
+// whole pool.
 func (s *Selector) RecordRefusal(choice Choice, now time.Time) bool {
-	e, known := s.chosen(&choice)
+	e, known := s.chosenEndpoint(&choice)
 	if !known {
 		return false
 	}
-	e.backoff.RecordRefusal(refusedPauses, now)
+	e.backoff.RecordRefusal(refusalBackoff, now)
 	s.refusing[e] = true
 	if e.health.State() != ejector.Probing {
 		s.RecordCancel(choice)
 		return false
 	}
-	// It answers, which is what the probe was to find out.
+	// The probe only has to show that the endpoint responds, and it did.
 	return s.RecordEnd(choice, ejector.Good, now)
 }
 
 // Refusal is an endpoint that refuses calls.
 type Refusal struct {
 	Endpoint registrar.Endpoint
-	// At is when it last refused one.
+	// At is the time of its last refusal.
 	At time.Time
 }
 
-// persistentRefusals is how many calls in a row an endpoint must have refused for peers to be told: one that is full for a
-// moment serves some between.
-const persistentRefusals = 3
+// minReportedRefusals is the number of consecutive refusals after which peers are notified. An endpoint that is only
+// briefly full serves some calls in between.
+const minReportedRefusals = 3
 
-// Refusals lists the endpoints that have lately refused this entry's calls in a row, in the order of their ids.
+// Refusals lists the endpoints that have recently refused consecutive calls of this entry, sorted by ID.
 func (s *Selector) Refusals(now time.Time) []Refusal {
 	var list []Refusal
 	for e := range s.refusing {
-		if now.Sub(e.backoff.LastRefusal()) >= refusedPauses.Max {
+		if now.Sub(e.backoff.LastRefusal()) >= refusalBackoff.Max {
 			delete(s.refusing, e)
 			continue
 		}
-		if e.backoff.ConsecutiveRefusals() >= persistentRefusals {
+		if e.backoff.ConsecutiveRefusals() >= minReportedRefusals {
 			list = append(list, Refusal{Endpoint: e.Endpoint, At: e.backoff.LastRefusal()})
 		}
 	}
@@ -58,9 +59,10 @@
 	return list
 }
 
-// RecordPeerRefusal notes that an endpoint refuses a peer's calls, as of a time: while others can, it takes none from here either.
+// RecordPeerRefusal records that an endpoint refused calls of a peer at the given time. It gets no calls from this
+// entry either while other endpoints accept them.
 func (s *Selector) RecordPeerRefusal(endpoint string, at time.Time) {
 	if e, known := s.byID[endpoint]; known {
-		e.backoff.RecordPeerRefusal(refusedPauses, at)
+		e.backoff.RecordPeerRefusal(refusalBackoff, at)
 	}
 }
--- a/selector/selector.go
+++ b/selector/selector.go
@@ -1,5 +1,6 @@
-// Package selector chooses the endpoint of a service that a call goes to, by the work that waits at each and by the
-// prompt parts that each is likely to hold. It is pure: the present time and the random source are given to it.
+// Package selector chooses the endpoint of a service for each call, by the work queued at each endpoint and the prompt
+// parts that each one is likely to have cached. It has no clock or random source of its own: callers pass in the
+// current time and the random source.
 package selector
 
 import (
@@ -17,61 +18,64 @@
 )
 
 const (
-	// DefaultCallTokens is what a call counts beside its prompt: it delays the tokens of all calls beside it
-	// about as much as this many prompt tokens, at a step of 5 ms and 40 prompt tokens a millisecond.
+	// DefaultCallTokens is the work of a call in addition to its prompt, in prompt tokens. A call delays the tokens of
+	// all concurrent calls about as much as this many prompt tokens, at an engine step of 5 ms and 40 prompt tokens a
+	// millisecond.
 	DefaultCallTokens = 400
-	// DefaultCrossZoneTokens is what a megabyte of stage results that must cross availability zones counts, in prompt
-	// tokens: the users' sheets price the crossing of a megabyte like the reading of some 450 tokens.
+	// DefaultCrossZoneTokens is the cost of moving a megabyte of stage results between availability zones, in prompt
+	// tokens. The users' sheets price such a transfer like the processing of some 450 tokens.
 	DefaultCrossZoneTokens = 450
-	// rereadWeight is what the reading of a shared token counts more than a token that waits: a prompt of 13,000
-	// shared tokens goes to the endpoint that holds it until some 30,000 tokens, under a second, wait there.
+	// rereadWeight is the cost of processing a shared token again, relative to a queued token. With it, a prompt of
+	// 13,000 shared tokens goes to the endpoint that holds it until some 30,000 tokens, less than a second of work, are
+	// queued there.
 	rereadWeight = 2.5
-	// homes is how many endpoints a prompt's shared parts are kept at: the first takes all while it can, the second
-	// what the first can't, so that it does not spread over all endpoints.
-	homes = 2
-	// homeShared is the size of shared parts from which a prompt has a home worth waiting for.
-	homeShared = 1000
-	// maxRemembered bounds the prompt parts that are remembered of one endpoint.
-	maxRemembered = 512
+	// homeCount is the number of endpoints that cache a prompt's shared parts. The first one takes all calls it can and
+	// the second the overflow, so that the prompt does not spread to all endpoints.
+	homeCount = 2
+	// minHomeTokens is the minimum size of a prompt's shared parts, in tokens, for a home that is worth waiting for.
+	minHomeTokens = 1000
+	// maxRememberedPrefixes limits the prompt prefixes remembered per endpoint.
+	maxRememberedPrefixes = 512
 )
 
-// Part is one part of a prompt; endpoints keep parts that several requests share.
+// Part is one part of a prompt. Endpoints cache the parts that several requests share.
 type Part struct {
 	ID     uint64
 	Tokens int
 }
 
-// Query says what a call needs.
+// Query describes what a call requires.
 type Query struct {
 	Service string
-	// Parts are the prompt's parts in order; empty for plain calls.
+	// Parts are the parts of the prompt in order. It is empty for plain calls.
 	Parts []Part
-	// Exclude are the endpoints that were tried already.
+	// Exclude lists the IDs of endpoints that were already tried.
 	Exclude []string
-	// NoProbe keeps the call from an endpoint on probe: the failure of a call that must not be repeated would
-	// reach its caller.
+	// NoProbe keeps the call away from endpoints on probe. It is set for calls that must not be repeated, since a
+	// failed probe would reach the caller.
 	NoProbe bool
-	// Regions are those that the call may go to; nil where all are.
+	// Regions are the regions that the call may go to. Nil allows all regions.
 	Regions []string
-	// ZoneBytes are the stage results that the endpoint will fetch, by the zone in which they lie.
+	// ZoneBytes is the size of the stage results that the endpoint will fetch, by the zone that stores them.
 	ZoneBytes map[string]int64
 }
 
-// Choice is the endpoint chosen.
+// Choice is the endpoint chosen for a call.
 type Choice struct {
 	Endpoint registrar.Endpoint
-	// Tokens is the work that the call adds there, to be given back when it has ended.
+	// Tokens is the work that the call adds at the endpoint. It is subtracted again when the call ends.
 	Tokens int
-	// Cached is how much of the prompt the endpoint is believed to hold.
+	// Cached is the number of prompt tokens that the endpoint is believed to have cached.
 	Cached int
-	// turn is that of the endpoint's presence, refusals how many calls it had refused.
-	turn     uint64
-	refusals int
+	// generation is that of the endpoint when it was chosen, and refusals the number of calls that it had refused by
+	// then.
+	generation uint64
+	refusals   int
 }
 
-// Config sets a Selector up. Zero fields take the defaults above.
+// Config configures a Selector. Zero fields take the defaults above.
 type Config struct {
-	// Gate bounds the calls to endpoints that bear few; nil sends to them as to any other.
+	// Gate limits the calls to endpoints that accept only a few. Nil sends to them like to any other endpoint.
 	Gate            Gate
 	Rand            *rand.Rand
 	CallTokens      int
@@ -81,14 +85,14 @@
 	Disabled switcher.Off
 }
 
-// Selector knows the endpoints of all services and the work under way at each.
+// Selector tracks the endpoints of all services and the outstanding work at each of them.
 type Selector struct {
-	cfg   Config
-	pools map[string]*pool
-	byID  map[string]*endpoint
-	peers map[string]map[string]int
-	turns uint64
-	// busy are the endpoints where this entry has work, refusing those that may have refused calls in a row.
+	cfg         Config
+	pools       map[string]*pool
+	byID        map[string]*endpoint
+	peerWork    map[string]map[string]int
+	generations uint64
+	// busy holds the endpoints with work from this entry, and refusing those that may have refused consecutive calls.
 	busy     map[*endpoint]bool
 	refusing map[*endpoint]bool
 }
@@ -96,29 +100,29 @@
 type pool struct {
 	endpoints []*endpoint
 	health    ejector.Pool
-	// pace is the time for a prompt token, as seen, in nanoseconds.
-	pace float64
-	// coldPerSecond is how many calls a second a cold endpoint bears.
+	// tokenTime is the observed time per prompt token, in nanoseconds.
+	tokenTime float64
+	// coldPerSecond is the number of calls a second that a cold endpoint accepts.
 	coldPerSecond float64
 }
 
 type endpoint struct {
 	registrar.Endpoint
 	hash uint64
-	// turn tells this presence of the endpoint from earlier ones.
-	turn   uint64
-	pool   *pool
-	health ejector.Record
-	// calls and tokens are this entry's own work there; peerTokens is that of the others.
+	// generation distinguishes this endpoint from earlier ones with the same ID that were removed.
+	generation uint64
+	pool       *pool
+	health     ejector.Record
+	// calls and tokens are this entry's own work at the endpoint, and peerTokens is that of all peers.
 	calls      int
 	tokens     int
 	peerTokens int
-	cache      memory
-	// backoff has calls go elsewhere for a while after refusals.
+	cache      prefixSet
+	// backoff diverts calls to other endpoints for a while after refusals.
 	backoff regulator.Backoff
 }
 
-// New makes a selector that knows no endpoint.
+// New returns a selector without endpoints.
 func New(cfg Config) *Selector {
 	if cfg.CallTokens == 0 {
 		cfg.CallTokens = DefaultCallTokens
@@ -127,17 +131,17 @@
 		cfg.CrossZoneTokens = DefaultCrossZoneTokens
 	}
 	return &Selector{
-		cfg:   cfg,
-		pools: make(map[string]*pool),
-		byID:  make(map[string]*endpoint),
-		peers: make(map[string]map[string]int),
-		busy:  make(map[*endpoint]bool),
+		cfg:      cfg,
+		pools:    make(map[string]*pool),
+		byID:     make(map[string]*endpoint),
+		peerWork: make(map[string]map[string]int),
+		busy:     make(map[*endpoint]bool),
 
 		refusing: make(map[*endpoint]bool),
 	}
 }
 
-// SetEndpoints takes all endpoints that may get work.
+// SetEndpoints replaces the set of endpoints that may get work.
 func (s *Selector) SetEndpoints(all []registrar.Endpoint) {
 	named := make(map[string]bool, len(all))
 	for _, e := range all {
@@ -145,13 +149,13 @@
 		known, ok := s.byID[e.ID]
 		if ok && known.SameStart(&e) {
 			if e.ColderThan(&known.Endpoint) {
-				known.cache = memory{}
+				known.cache = prefixSet{}
 			}
 			known.Endpoint = e
 			continue
 		}
 		if ok {
-			s.forget(known)
+			s.removeRestarted(known)
 		}
 		s.add(e)
 	}
@@ -162,7 +166,7 @@
 	}
 }
 
-// SetColdRate takes how many calls a second a cold endpoint of the service bears.
+// SetColdRate sets the number of calls a second that a cold endpoint of the service accepts.
 func (s *Selector) SetColdRate(service string, perSecond float64) {
 	s.pool(service).coldPerSecond = perSecond
 }
@@ -170,7 +174,7 @@
 func (s *Selector) pool(service string) *pool {
 	p, known := s.pools[service]
 	if !known {
-		p = &pool{health: ejector.NewPool(s.cfg.Ejector), pace: float64(usualPace)}
+		p = &pool{health: ejector.NewPool(s.cfg.Ejector), tokenTime: float64(defaultTokenTime)}
 		s.pools[service] = p
 	}
 	return p
@@ -178,9 +182,9 @@
 
 func (s *Selector) add(e registrar.Endpoint) {
 	p := s.pool(e.Service)
-	s.turns++
-	added := &endpoint{Endpoint: e, hash: xxhash.Sum64String(e.ID), turn: s.turns, pool: p}
-	for _, tokens := range s.peers {
+	s.generations++
+	added := &endpoint{Endpoint: e, hash: xxhash.Sum64String(e.ID), generation: s.generations, pool: p}
+	for _, tokens := range s.peerWork {
 		added.peerTokens += tokens[e.ID]
 	}
 	p.endpoints = append(p.endpoints, added)
@@ -196,25 +200,26 @@
 	delete(s.byID, e.ID)
 }
 
-// forget drops an endpoint that has started again, with what peers said of their work at its earlier start.
-func (s *Selector) forget(e *endpoint) {
+// removeRestarted removes an endpoint that has restarted, together with the work that peers reported for its earlier
+// start.
+func (s *Selector) removeRestarted(e *endpoint) {
 	s.remove(e)
-	for _, work := range s.peers {
+	for _, work := range s.peerWork {
 		delete(work, e.ID)
 	}
 }
 
-// chosen gives the endpoint that a choice named, unless it has ended, started again or been out of use as a whole since: its
-// calls of before are not counted any more then, and must not be taken off.
-func (s *Selector) chosen(choice *Choice) (*endpoint, bool) {
+// chosenEndpoint returns the endpoint of a choice. It returns false if the endpoint has since ended, restarted or been
+// removed for a while: calls from before that are no longer counted and must not be subtracted.
+func (s *Selector) chosenEndpoint(choice *Choice) (*endpoint, bool) {
 	e, known := s.byID[choice.Endpoint.ID]
-	if !known || e.turn != choice.turn {
+	if !known || e.generation != choice.generation {
 		return nil, false
 	}
 	return e, true
 }
 
-// EndpointCount tells how many endpoints of the service may get work.
+// EndpointCount returns the number of endpoints of the service that may get work.
 func (s *Selector) EndpointCount(service string) int {
 	p, known := s.pools[service]
 	if !known {
@@ -223,7 +228,7 @@
 	return len(p.endpoints)
 }
 
-// EndpointIDs lists the ids of the service's endpoints that may get work.
+// EndpointIDs lists the IDs of the service's endpoints that may get work.
 func (s *Selector) EndpointIDs(service string) []string {
 	p, known := s.pools[service]
 	if !known {
@@ -236,7 +241,7 @@
 	return ids
 }
 
-// ColdCount counts the endpoints that are in their slow start.
+// ColdCount returns the number of endpoints in slow start.
 func (s *Selector) ColdCount(now time.Time) (n int) {
 	for _, e := range s.byID {
 		if e.Cold(now) {
@@ -246,7 +251,8 @@
 	return n
 }
 
-// Choose names the endpoint with the least predicted work, or none if all were tried or are ejected.
+// Choose returns the endpoint with the least predicted work. It returns false if the service is unknown or no endpoint
+// is eligible.
 func (s *Selector) Choose(query Query, now time.Time) (Choice, bool) {
 	p, known := s.pools[query.Service]
 	if !known {
@@ -256,13 +262,13 @@
 	if len(candidates) == 0 {
 		return Choice{}, false
 	}
-	keys := chainKeys(query.Parts)
-	home := s.homesOf(p, &query, keys, now)
+	keys := prefixKeys(query.Parts)
+	home := s.homeEndpoints(p, &query, keys, now)
 	best, bestScore := Choice{}, 0.0
 	start := s.cfg.Rand.IntN(len(candidates))
 	for i := range candidates {
 		e := candidates[(start+i)%len(candidates)]
-		choice, score := s.weigh(e, &query, keys, home)
+		choice, score := s.score(e, &query, keys, home)
 		if best.Endpoint.ID == "" || score < bestScore {
 			best, bestScore = choice, score
 		}
@@ -270,7 +276,7 @@
 	return best, true
 }
 
-// allowed tells whether the call may go to the endpoint at all.
+// allowed reports whether the call may go to the endpoint at all.
 func (p *pool) allowed(e *endpoint, query *Query, gate Gate, now time.Time) bool {
 	if slices.Contains(query.Exclude, e.ID) || query.Regions != nil && !slices.Contains(query.Regions, e.Region) {
 		return false
@@ -278,9 +284,10 @@
 	return gate == nil || gate.Allows(&e.Endpoint, p.coldPerSecond, now)
 }
 
-// candidates are the endpoints that may take the call: those in use that have not just refused one, or one whose probe is due.
+// candidates returns the endpoints that may take the call: either those that are in use and have not just refused a
+// call, or one that is due for a probe.
 func (p *pool) candidates(query *Query, gate Gate, now time.Time) []*endpoint {
-	var usable, refusing, probing, out []*endpoint
+	var usable, refusing, probing, unavailable []*endpoint
 	for _, e := range p.endpoints {
 		p.health.StartDueProbe(&e.health, now)
 		if !p.allowed(e, query, gate, now) {
@@ -294,12 +301,12 @@
 		case e.health.State() == ejector.Probing && e.calls == 0:
 			probing = append(probing, e)
 		default:
-			out = append(out, e)
+			unavailable = append(unavailable, e)
 		}
 	}
 	switch {
 	case len(probing) > 0 && !query.NoProbe && len(query.Exclude) == 0:
-		// A quiet pool would never try it again if better ones always went first.
+		// If healthy endpoints always went first, an idle pool would never probe this one.
 		return probing[:1]
 	case len(usable) > 0:
 		return usable
@@ -308,21 +315,21 @@
 	case len(probing) > 0:
 		return probing
 	default:
-		return out
+		return unavailable
 	}
 }
 
-// weigh gives the work that waits before the call's first token at the endpoint, in prompt tokens.
-func (s *Selector) weigh(e *endpoint, query *Query, keys []uint64, home []*endpoint) (Choice, float64) {
+// score returns the work queued before the call's first token at the endpoint, in prompt tokens.
+func (s *Selector) score(e *endpoint, query *Query, keys []uint64, home []*endpoint) (Choice, float64) {
 	prompt := 0
 	for _, part := range query.Parts {
 		prompt += part.Tokens
 	}
 	shared := sharedTokens(query.Parts)
-	cached := min(e.cache.held(keys, query.Parts), shared)
+	cached := min(e.cache.heldTokens(keys, query.Parts), shared)
 	for rank, h := range home {
 		if h == e {
-			// This entry may not have sent the parts here yet, but all entries send them here first.
+			// This entry may not have sent the parts here yet, but every entry sends them here first.
 			cached = max(cached, shared>>rank)
 		}
 	}
@@ -334,21 +341,21 @@
 			score += float64(n) / 1e6 * float64(s.cfg.CrossZoneTokens)
 		}
 	}
-	return Choice{Endpoint: e.Endpoint, Tokens: own, Cached: cached, turn: e.turn, refusals: e.backoff.TotalRefusals()}, score
+	return Choice{Endpoint: e.Endpoint, Tokens: own, Cached: cached, generation: e.generation, refusals: e.backoff.TotalRefusals()}, score
 }
 
-// homesOf gives the endpoints at which the prompt's largest shared beginning is kept, in their order. An endpoint that bears
-// few of the calls that would come for the parts is none.
-func (s *Selector) homesOf(p *pool, query *Query, keys []uint64, now time.Time) []*endpoint {
+// homeEndpoints returns the endpoints that cache the prompt's largest shared part, in order of preference. Endpoints
+// that accept only some of the calls for the prompt are skipped.
+func (s *Selector) homeEndpoints(p *pool, query *Query, keys []uint64, now time.Time) []*endpoint {
 	if len(keys) < 2 || s.cfg.Disabled.Has(switcher.PromptHomes) {
 		return nil
 	}
-	key := keys[largestShared(query.Parts)]
-	home := make([]*endpoint, 0, homes)
-	for len(home) < homes && len(home) < len(p.endpoints) {
+	key := keys[largestSharedPart(query.Parts)]
+	home := make([]*endpoint, 0, homeCount)
+	for len(home) < homeCount && len(home) < len(p.endpoints) {
 		var best *endpoint
 		for _, e := range p.endpoints {
-			if slices.Contains(home, e) || e.health.State() != ejector.InUse || s.bearsFew(e, now) {
+			if slices.Contains(home, e) || e.health.State() != ejector.InUse || s.lowCapacity(e, now) {
 				continue
 			}
 			if query.Regions != nil && !slices.Contains(query.Regions, e.Region) {
@@ -366,23 +373,23 @@
 	return home
 }
 
-// HomeZone gives the zone where a prompt's shared parts are kept, if they are large enough for stage results to be
-// made there.
+// HomeZone returns the zone that caches a prompt's shared parts, or "" if they are too small for stage results to be
+// produced there.
 func (s *Selector) HomeZone(service string, parts []Part, regions []string, now time.Time) string {
 	p, known := s.pools[service]
-	if !known || sharedTokens(parts) < homeShared {
+	if !known || sharedTokens(parts) < minHomeTokens {
 		return ""
 	}
-	home := s.homesOf(p, &Query{Parts: parts, Regions: regions}, chainKeys(parts), now)
+	home := s.homeEndpoints(p, &Query{Parts: parts, Regions: regions}, prefixKeys(parts), now)
 	if len(home) == 0 {
 		return ""
 	}
 	return home[0].Zone
 }
 
-// RecordStart counts a call at an endpoint, and takes its prompt parts as held there from now on.
+// RecordStart counts a call at an endpoint and assumes that the endpoint caches its prompt parts from now on.
 func (s *Selector) RecordStart(choice Choice, parts []Part, now time.Time) {
-	e, known := s.chosen(&choice)
+	e, known := s.chosenEndpoint(&choice)
 	if !known {
 		return
 	}
@@ -391,12 +398,13 @@
 	}
 	e.calls++
 	s.addWork(e, choice.Tokens)
-	e.cache.remember(chainKeys(parts))
+	e.cache.add(prefixKeys(parts))
 }
 
-// RecordPromptRead notes that the call's prompt has been read: only its own running is still work.
+// RecordPromptRead records that the prompt of the call has been processed, so that only generating its output counts as
+// work.
 func (s *Selector) RecordPromptRead(choice *Choice) {
-	e, known := s.chosen(choice)
+	e, known := s.chosenEndpoint(choice)
 	left := min(choice.Tokens, s.cfg.CallTokens)
 	if known {
 		s.addWork(e, left-choice.Tokens)
@@ -404,14 +412,14 @@
 	choice.Tokens = left
 }
 
-// RecordEnd takes a call's end and tells whether the endpoint was ejected, or let back, by it.
+// RecordEnd records the end of a call and reports whether it ejected the endpoint or returned it to use.
 func (s *Selector) RecordEnd(choice Choice, end ejector.Outcome, now time.Time) bool {
-	e, known := s.chosen(&choice)
+	e, known := s.chosenEndpoint(&choice)
 	if !known {
 		return false
 	}
 	if choice.refusals == e.backoff.TotalRefusals() {
-		// It has refused nothing since the call was sent.
+		// The endpoint has refused nothing since this call was sent.
 		e.backoff.RecordSuccess()
 	}
 	e.calls--
@@ -419,24 +427,24 @@
 	return e.pool.health.RecordOutcome(&e.health, end, false, now)
 }
 
-// RecordCancel takes the end of a call that says nothing of its endpoint.
+// RecordCancel records the end of a call that indicates nothing about its endpoint.
 func (s *Selector) RecordCancel(choice Choice) {
-	if e, known := s.chosen(&choice); known {
+	if e, known := s.chosenEndpoint(&choice); known {
 		e.calls--
 		s.addWork(e, -choice.Tokens)
 	}
 }
 
-// ClassifyDuration compares the time of a good call with its pool's.
+// ClassifyDuration compares the duration of a successful call with that of other calls in the pool.
 func (s *Selector) ClassifyDuration(choice Choice, took, expected time.Duration) ejector.Outcome {
-	e, known := s.chosen(&choice)
+	e, known := s.chosenEndpoint(&choice)
 	if !known {
 		return ejector.Good
 	}
 	return e.pool.health.RecordDuration(&e.health, took, expected)
 }
 
-// OwnWork gives the tokens of this entry's calls by endpoint, for peers.
+// OwnWork returns the tokens of this entry's calls by endpoint ID, for sending to peers.
 func (s *Selector) OwnWork() map[string]int {
 	work := make(map[string]int, len(s.busy))
 	for e := range s.busy {
@@ -445,8 +453,8 @@
 	return work
 }
 
-// addWork counts this entry's own work at an endpoint. The busy ones are kept apart: they are told several times a second, and
-// are few of the thousands that an entry may know.
+// addWork changes this entry's own work at an endpoint. The busy endpoints are kept in a separate set because they are
+// sent to peers several times a second and are few of the thousands that an entry may know.
 func (s *Selector) addWork(e *endpoint, tokens int) {
 	e.tokens += tokens
 	if e.tokens > 0 {
@@ -456,18 +464,18 @@
 	}
 }
 
-// SetPeerWork takes the work that a peer has under way. A peer that has ended has none.
+// SetPeerWork replaces the outstanding work of a peer, in tokens by endpoint ID. A peer that has ended has none.
 func (s *Selector) SetPeerWork(peer string, work map[string]int) {
-	for id, tokens := range s.peers[peer] {
+	for id, tokens := range s.peerWork[peer] {
 		if e, known := s.byID[id]; known {
 			e.peerTokens -= tokens
 		}
 	}
-	delete(s.peers, peer)
+	delete(s.peerWork, peer)
 	if len(work) == 0 {
 		return
 	}
-	s.peers[peer] = work
+	s.peerWork[peer] = work
 	for id, tokens := range work {
 		if e, known := s.byID[id]; known {
 			e.peerTokens += tokens
--- a/selector/selector_test.go
+++ b/selector/selector_test.go
@@ -34,12 +34,12 @@
 	return []Part{{ID: shared, Tokens: 13_000}, {ID: own, Tokens: 3_000}}
 }
 
-// callTo is a call to the endpoint of the id.
-func (s *Selector) callTo(id string, tokens int) Choice {
-	return Choice{Endpoint: s.byID[id].Endpoint, Tokens: tokens, turn: s.byID[id].turn}
+// choiceOf returns a choice of the endpoint with the given ID.
+func (s *Selector) choiceOf(id string, tokens int) Choice {
+	return Choice{Endpoint: s.byID[id].Endpoint, Tokens: tokens, generation: s.byID[id].generation}
 }
 
-func TestEntriesAgreeOnAPromptsHome(t *testing.T) {
+func TestEntriesAgreeOnPromptHome(t *testing.T) {
 	a, b := newSelector(9), newSelector(9)
 	for shared := range uint64(40) {
 		query := Query{Service: "pool", Parts: prompt(shared, 1000+shared)}
@@ -52,9 +52,9 @@
 	}
 }
 
-// A third of all requests is about one subject: its home is full, and what it can't take goes to one other endpoint
-// and not to all of them, which would each read the shared part.
-func TestAHotPromptSpillsToFewEndpoints(t *testing.T) {
+// A third of all requests share one prompt part, more than its home endpoint can take. The overflow must go to one
+// other endpoint and not to all of them, since each would have to process the shared part.
+func TestHotPromptSpillsToFewEndpoints(t *testing.T) {
 	s := newSelector(9)
 	used := map[string]int{}
 	for own := range uint64(30) {
@@ -67,7 +67,7 @@
 	require.LessOrEqual(t, len(used), 4)
 }
 
-func TestPeersWorkCounts(t *testing.T) {
+func TestPeerWorkAffectsChoice(t *testing.T) {
 	s := newSelector(3)
 	s.SetPeerWork("peer", map[string]int{"e0": 50_000, "e1": 50_000})
 	for range 20 {
@@ -84,7 +84,7 @@
 	require.Len(t, seen, 3)
 }
 
-func TestResultsThatLieInAZoneDrawTheCallThere(t *testing.T) {
+func TestPrefersZoneOfStageResults(t *testing.T) {
 	s := newSelector(9)
 	for range 20 {
 		choice, found := s.Choose(Query{Service: "pool", ZoneBytes: map[string]int64{"z1": 9_000_000}}, now)
@@ -93,7 +93,7 @@
 	}
 }
 
-func TestTriedEndpointsAreAvoided(t *testing.T) {
+func TestExcludedEndpointsAreNotChosen(t *testing.T) {
 	s := newSelector(2)
 	choice, found := s.Choose(Query{Service: "pool", Exclude: []string{"e0"}}, now)
 	require.True(t, found)
@@ -104,11 +104,11 @@
 	require.False(t, found)
 }
 
-// An endpoint refuses connections: callers must not meet it again before it is probed, and not with a request that
+// An endpoint refuses connections. It must get no calls before it is probed, and the probe must not be a request that
 // may run only once.
-func TestARefusingEndpointIsPassedOver(t *testing.T) {
+func TestEndpointRefusingConnectionsIsSkipped(t *testing.T) {
 	s := newSelector(3)
-	down := s.callTo("e1", 0)
+	down := s.choiceOf("e1", 0)
 	s.RecordStart(down, nil, now)
 	require.True(t, s.RecordEnd(down, ejector.Down, now))
 	for range 50 {
@@ -117,10 +117,10 @@
 		require.NotEqual(t, "e1", choice.Endpoint.ID)
 	}
 	choice, _ := s.Choose(Query{Service: "pool"}, now.Add(2*time.Second))
-	require.Equal(t, "e1", choice.Endpoint.ID, "a request that may run twice is the probe")
+	require.Equal(t, "e1", choice.Endpoint.ID, "a request that may run twice serves as the probe")
 }
 
-func TestWorkIsGivenBack(t *testing.T) {
+func TestWorkIsReleased(t *testing.T) {
 	s := newSelector(1)
 	choice, _ := s.Choose(Query{Service: "pool", Parts: prompt(1, 2)}, now)
 	s.RecordStart(choice, prompt(1, 2), now)
@@ -131,32 +131,32 @@
 	require.Empty(t, s.OwnWork())
 }
 
-func TestMemoryIsBounded(t *testing.T) {
-	var m memory
-	for i := range uint64(10 * maxRemembered) {
-		m.remember([]uint64{i})
+func TestPrefixSetIsBounded(t *testing.T) {
+	var m prefixSet
+	for i := range uint64(10 * maxRememberedPrefixes) {
+		m.add([]uint64{i})
 	}
-	require.Len(t, m.keys, maxRemembered)
-	require.Len(t, m.order, maxRemembered)
+	require.Len(t, m.keys, maxRememberedPrefixes)
+	require.Len(t, m.order, maxRememberedPrefixes)
 }
 
-// The engines are four times as slow as assumed: predictions follow what calls have shown.
-func TestFirstEventFollowsThePace(t *testing.T) {
+// The engines are four times as slow as assumed. Predictions must follow the observed calls.
+func TestFirstEventPredictionFollowsObservations(t *testing.T) {
 	s := newSelector(1)
 	before := s.PredictFirstEvent("pool", prompt(1, 2))
-	choice := s.callTo("e0", 10_000)
+	choice := s.choiceOf("e0", 10_000)
 	for range 60 {
-		s.ObserveFirstEvent(choice, time.Second+firstStep)
+		s.ObserveFirstEvent(choice, time.Second+firstEventOverhead)
 	}
 	after := s.PredictFirstEvent("pool", prompt(1, 2))
-	require.InDelta(t, 4, float64(after-firstStep)/float64(before-firstStep), 0.2)
-	s.ObserveFirstEvent(s.callTo("e0", 10), time.Minute)
-	require.Equal(t, after, s.PredictFirstEvent("pool", prompt(1, 2)), "a short prompt tells nothing of the pace")
+	require.InDelta(t, 4, float64(after-firstEventOverhead)/float64(before-firstEventOverhead), 0.2)
+	s.ObserveFirstEvent(s.choiceOf("e0", 10), time.Minute)
+	require.Equal(t, after, s.PredictFirstEvent("pool", prompt(1, 2)), "a short prompt does not change the token time")
 }
 
-// An endpoint crashes under load and starts again under the same id. It holds no prompt parts and has no calls; what ends
-// of its earlier start must not count for the new one, or its work would fall below none and draw all calls there.
-func TestAnEndpointThatStartsAgainBeginsAnew(t *testing.T) {
+// An endpoint crashes under load and restarts with the same ID. Calls of its earlier start must not be subtracted from
+// the new one: its work would become negative and attract all calls.
+func TestRestartedEndpointStartsWithoutState(t *testing.T) {
 	s := newSelector(1)
 	query := Query{Service: "pool", Parts: prompt(7, 100)}
 	before, found := s.Choose(query, now)
@@ -174,7 +174,7 @@
 	require.Empty(t, s.OwnWork())
 	require.Zero(t, s.byID["e0"].peerTokens)
 	require.Equal(t, ejector.InUse, s.byID["e0"].health.State())
-	require.Zero(t, s.byID["e0"].cache.held(chainKeys(query.Parts), query.Parts))
+	require.Zero(t, s.byID["e0"].cache.heldTokens(prefixKeys(query.Parts), query.Parts))
 	require.False(t, s.RecordEnd(before, ejector.Bad, now))
 	s.RecordCancel(before)
 	s.SetPeerWork("peer", nil)
@@ -182,12 +182,12 @@
 	require.Zero(t, s.byID["e0"].peerTokens)
 }
 
-// An endpoint's zone is evacuated while it has calls, and taken back before they end. What ends then was not counted at its
-// new presence: taken off there, its work would fall below none and draw all calls.
-func TestCallsOfBeforeAnAbsenceDoNotCount(t *testing.T) {
+// An endpoint's zone is evacuated while the endpoint has calls, and returns before they end. These calls must not be
+// subtracted from the returned endpoint: its work would become negative and attract all calls.
+func TestCallsFromBeforeRemovalAreNotCounted(t *testing.T) {
 	s := newSelector(2)
 	all := []registrar.Endpoint{s.byID["e0"].Endpoint, s.byID["e1"].Endpoint}
-	before := s.callTo("e0", 1000)
+	before := s.choiceOf("e0", 1000)
 	s.RecordStart(before, nil, now)
 	s.SetEndpoints(all[1:])
 	require.Zero(t, s.EndpointCount("pool")-1)
@@ -197,7 +197,7 @@
 	require.Zero(t, s.byID["e0"].tokens)
 }
 
-// gate lets so many calls go to cold endpoints.
+// gate allows a fixed number of calls to cold endpoints.
 type gate struct{ left int }
 
 func (g *gate) Allows(e *registrar.Endpoint, _ float64, now time.Time) bool {
@@ -216,9 +216,9 @@
 	}
 }
 
-// A prompt's home becomes cold: it holds nothing any more and bears few calls. The prompt goes to another home meanwhile, the
-// cold endpoint takes only what the gate allows, and it has its prompts back once it is warm.
-func TestAColdEndpointIsNoHome(t *testing.T) {
+// The home endpoint of a prompt becomes cold: its cache is empty and it accepts few calls. The prompt must move to
+// another home, the cold endpoint must get only what the gate allows, and the prompt must return once it is warm.
+func TestColdEndpointIsNotAHome(t *testing.T) {
 	s := newSelector(9)
 	g := &gate{}
 	s.cfg.Gate = g
@@ -238,7 +238,7 @@
 	}
 	s.SetEndpoints(all)
 	require.Equal(t, 1, s.ColdCount(now))
-	require.Zero(t, s.byID[first.Endpoint.ID].cache.held(chainKeys(query.Parts), query.Parts))
+	require.Zero(t, s.byID[first.Endpoint.ID].cache.heldTokens(prefixKeys(query.Parts), query.Parts))
 	second, found := s.Choose(query, now)
 	require.True(t, found)
 	require.NotEqual(t, first.Endpoint.ID, second.Endpoint.ID)
@@ -248,15 +248,15 @@
 		require.True(t, found)
 		s.RecordStart(choice, nil, now)
 	}
-	require.Equal(t, 0, g.left, "what the gate allows is used, and no more")
+	require.Equal(t, 0, g.left, "exactly the allowed calls are sent to the cold endpoint")
 	require.Equal(t, 1, s.byID[first.Endpoint.ID].calls)
 	warm, found := s.Choose(query, now.Add(3*time.Second))
 	require.True(t, found)
 	require.Equal(t, first.Endpoint.ID, warm.Endpoint.ID)
 }
 
-// A request may be served in one region only.
-func TestACallStaysInItsRegions(t *testing.T) {
+// A request that may be served in one region only must not leave it.
+func TestCallStaysInAllowedRegions(t *testing.T) {
 	s := newSelector(2)
 	far := s.byID["e1"].Endpoint
 	far.Region = "far"
--- a/warmer/warmer.go
+++ b/warmer/warmer.go
@@ -21,14 +21,14 @@
 
 // views is how many sets of entries may each take themselves for all that live, as while a part of them is cut off: what a
 // cold endpoint bears is divided among so many.
-const views = 2
+const maxPartitions = 2
 
 // Warmer holds what this entry may send to cold endpoints.
 type Warmer struct {
 	cfg      Config
 	rationer *rationer.Rationer
 	// few is set while so many entries are not heard that the others may be on the far side of a cut.
-	few bool
+	minority bool
 }
 
 // New makes a warmer that knows of no other entry.
@@ -36,7 +36,7 @@
 
 // SetEntries takes the names of the entries that live, this one among them, and how many are known, dead ones too.
 func (w *Warmer) SetEntries(live []string, known int) {
-	w.few = len(live)*views < known
+	w.minority = len(live)*maxPartitions < known
 	w.rationer.SetEntries(live)
 }
 
@@ -48,19 +48,19 @@
 		// Nobody has said that cold endpoints of the service bear little.
 		return true
 	}
-	if w.few {
+	if w.minority {
 		return false
 	}
-	return w.rationer.Allows(endpoint, w.ration(perSecond), now)
+	return w.rationer.Allows(endpoint, w.quota(perSecond), now)
 }
 
-func (w *Warmer) ration(perSecond float64) rationer.Quota {
-	return rationer.Quota{Senders: max(1, int(w.cfg.Slack/views)), PerSecond: w.cfg.Excess * perSecond / views, Burst: 1}
+func (w *Warmer) quota(perSecond float64) rationer.Quota {
+	return rationer.Quota{Senders: max(1, int(w.cfg.Slack/maxPartitions)), PerSecond: w.cfg.Excess * perSecond / maxPartitions, Burst: 1}
 }
 
 // RecordSend notes a call to a cold endpoint that bears so many calls a second.
 func (w *Warmer) RecordSend(endpoint string, perSecond float64, now time.Time) {
 	if perSecond > 0 {
-		w.rationer.RecordSend(endpoint, w.ration(perSecond), now)
+		w.rationer.RecordSend(endpoint, w.quota(perSecond), now)
 	}
 }
--- a/warmer/warmer_test.go
+++ b/warmer/warmer_test.go
@@ -10,17 +10,17 @@
 )
 
 const (
-	bears   = 5.9
-	entries = 65
+	coldPerSecond = 5.9
+	entries       = 65
 )
 
 // zone is an availability zone whose endpoints are all cold, and the entries that send to it.
 type zone struct {
 	warmers []*Warmer
 	// clocks are how far the entries' times of day are off.
-	clocks   []time.Duration
-	arrivals map[string][]time.Time
-	rnd      *rand.Rand
+	clockOffsets []time.Duration
+	arrivals     map[string][]time.Time
+	rnd          *rand.Rand
 }
 
 func newZone(n int, seed uint64) *zone {
@@ -33,7 +33,7 @@
 		w := New(Config{Self: name, Excess: 1.5, Slack: 5})
 		w.SetEntries(names, n)
 		z.warmers = append(z.warmers, w)
-		z.clocks = append(z.clocks, 0)
+		z.clockOffsets = append(z.clockOffsets, 0)
 	}
 	return z
 }
@@ -43,12 +43,12 @@
 	at := time.Unix(1_000_000, 0)
 	for end := at.Add(length); at.Before(end); at = at.Add(time.Duration(z.rnd.ExpFloat64() * float64(time.Second) / float64(rate))) {
 		i := z.rnd.IntN(len(z.warmers))
-		w, now := z.warmers[i], at.Add(z.clocks[i])
+		w, now := z.warmers[i], at.Add(z.clockOffsets[i])
 		first := z.rnd.IntN(endpoints)
 		for k := range endpoints {
 			id := fmt.Sprintf("endpoint-%d", (first+k)%endpoints)
-			if w.Allows(id, bears, now) {
-				w.RecordSend(id, bears, now)
+			if w.Allows(id, coldPerSecond, now) {
+				w.RecordSend(id, coldPerSecond, now)
 				z.arrivals[id] = append(z.arrivals[id], at)
 				served++
 				break
@@ -59,7 +59,7 @@
 }
 
 // most is the most arrivals of any endpoint within one second.
-func (z *zone) most() int {
+func (z *zone) maxPerSecond() int {
 	most := 0
 	for _, list := range z.arrivals {
 		first := 0
@@ -74,9 +74,9 @@
 }
 
 // bound is how many calls a cold endpoint may get in one second.
-func (z *zone) bound() int {
+func (z *zone) allowedPerSecond() int {
 	cfg := z.warmers[0].cfg
-	return int(bears*cfg.Excess + cfg.Slack)
+	return int(coldPerSecond*cfg.Excess + cfg.Slack)
 }
 
 // An availability zone returns with twenty cold endpoints in a burst. All entries find them empty and would send all they
@@ -90,17 +90,17 @@
 	}{
 		{"all agree", 20, func(*zone) {}},
 		{"one endpoint", 1, func(*zone) {}},
-		{"a third is cut off", 20, func(z *zone) { z.split(0, 22); z.split(22, entries) }},
+		{"a third is cut off", 20, func(z *zone) { z.partition(0, 22); z.partition(22, entries) }},
 		{"a third of the clocks is ahead", 20, func(z *zone) {
 			for i := range 22 {
-				z.clocks[i] = 2400 * time.Millisecond
+				z.clockOffsets[i] = 2400 * time.Millisecond
 			}
 		}},
 		{"each of a third is cut off by itself, one endpoint", 1, func(z *zone) {
 			for i := range 22 {
-				z.split(i, i+1)
+				z.partition(i, i+1)
 			}
-			z.split(22, entries)
+			z.partition(22, entries)
 		}},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
@@ -108,9 +108,9 @@
 				z := newZone(entries, seed)
 				tc.disturb(z)
 				served := z.run(tc.endpoints, 300, 10*time.Second)
-				require.LessOrEqual(t, z.most(), z.bound())
+				require.LessOrEqual(t, z.maxPerSecond(), z.allowedPerSecond())
 				if seed == 0 {
-					t.Logf("at most %d in one second, %.1f a second at each endpoint", z.most(), float64(served)/10/float64(tc.endpoints))
+					t.Logf("at most %d in one second, %.1f a second at each endpoint", z.maxPerSecond(), float64(served)/10/float64(tc.endpoints))
 				}
 			}
 		})
@@ -118,7 +118,7 @@
 }
 
 // split has the entries of a part hear each other only.
-func (z *zone) split(from, to int) {
+func (z *zone) partition(from, to int) {
 	var names []string
 	for _, w := range z.warmers[from:to] {
 		names = append(names, w.cfg.Self)
@@ -138,13 +138,13 @@
 		require.True(t, w.Allows("endpoint", 0, now))
 		w.RecordSend("endpoint", 0, now)
 	}
-	require.False(t, w.Allows("endpoint", bears, now))
+	require.False(t, w.Allows("endpoint", coldPerSecond, now))
 }
 
 // All endpoints of a small system are cold at once. What they bear must be used, or callers are turned away.
 func TestColdEndpointsAreUsed(t *testing.T) {
 	z := newZone(7, 1)
 	served := z.run(9, 100, 10*time.Second)
-	t.Logf("%.1f a second at each endpoint, at most %d in one", float64(served)/10/9, z.most())
-	require.Greater(t, float64(served)/10/9, bears/2)
+	t.Logf("%.1f a second at each endpoint, at most %d in one", float64(served)/10/9, z.maxPerSecond())
+	require.Greater(t, float64(served)/10/9, coldPerSecond/2)
 }
