--- a/ejector/ejector.go
+++ b/ejector/ejector.go
@@ -1,69 +1,69 @@
-// Package ejector finds the endpoints of a pool that serve worse than their peers, takes them out of
-// use for a while and lets them back after a probe. It is pure: the present time is given to it.
+// Package ejector detects the endpoints of a pool that serve worse than their peers, takes them out of use for a while
+// and returns them to use after a probe. It has no clock of its own: callers pass in the current time.
 //
-// An endpoint is judged by comparison only. Each call's end is good or bad: bad is an error, a silence
-// past the patience of the stage, or a time far over the pool's own median. A pool whose endpoints are
-// all slow or all failing has another cause than one endpoint, and ejecting would only make it smaller.
+// Endpoints are only compared with each other. Each call has a good or a bad outcome: an error, a silence beyond the
+// timeout of the stage, or a duration far above the pool's own median is bad. If all endpoints of a pool are slow or
+// failing, the cause is not a single endpoint, and ejecting endpoints would only shrink the pool.
 package ejector
 
 import "time"
 
 // Defaults of Config.
 const (
-	defaultMaxShare    = 1.0 / 3
-	defaultEjection    = time.Second
-	defaultMaxEjection = 16 * time.Second
+	defaultMaxEjectedShare = 1.0 / 3
+	defaultBaseEjection    = time.Second
+	defaultMaxEjection     = 16 * time.Second
 )
 
 const (
-	// recordWeight is the weight of the newest end in an endpoint's share of bad ends: three bad
-	// ends in a row pass ejectAt.
+	// endpointWeight is the weight of the newest outcome in an endpoint's share of bad outcomes. Three bad outcomes in
+	// a row exceed ejectThreshold.
 	endpointWeight = 0.3
 	ejectThreshold = 0.6
-	// ejectDoubtedAt is the bound when peers have ejected the endpoint already: one bad end passes it.
+	// peerEjectedThreshold applies if peers have already ejected the endpoint. One bad outcome exceeds it.
 	peerEjectedThreshold = 0.25
-	// poolWeight is the weight of the newest end in the pool's share of bad ends.
+	// poolWeight is the weight of the newest outcome in the pool's share of bad outcomes.
 	poolWeight = 0.02
-	// worseBy is how much worse than its pool an endpoint must be.
+	// minExcessOverPool is how much an endpoint's share of bad outcomes must exceed that of its pool.
 	minExcessOverPool = 0.3
-	// afterProbe is the share of bad ends that an endpoint begins with after a good probe: the next
-	// two bad ends eject it again.
+	// badShareAfterProbe is the share of bad outcomes of an endpoint after a successful probe. The next two bad
+	// outcomes eject it again.
 	badShareAfterProbe = 0.3
-	// forgiveAfter is how long an endpoint must stay in use for its earlier ejections to be forgotten.
+	// resetEjectionsAfter is how long an endpoint must stay in use before its earlier ejections are disregarded.
 	resetEjectionsAfter = time.Minute
-	// restoreAfter is the least time out of use.
+	// minEjection is the minimum time out of use.
 	minEjection = 50 * time.Millisecond
 )
 
-// Config sets a Pool up. Zero fields take the defaults above.
+// Config configures a Pool. Zero fields take the defaults above.
 type Config struct {
-	// MaxEjectedShare is the greatest part of a pool that may be out of use at once for serving badly; one
-	// endpoint always may, if the pool has another; below 0 none may. Endpoints that refuse connections
-	// are out besides.
+	// MaxEjectedShare is the largest part of a pool that may be ejected at once for serving badly. One endpoint always
+	// may be, if the pool has another. A value below 0 disables these ejections. Endpoints that refuse connections are
+	// ejected regardless of it.
 	MaxEjectedShare float64
-	// BaseEjection is how long the first ejection lasts; each further one doubles it, up to MaxEjection.
+	// BaseEjection is the duration of the first ejection. Each further one doubles it, up to MaxEjection.
 	BaseEjection time.Duration
 	MaxEjection  time.Duration
 }
 
-// Pool is what is known of a pool as a whole.
+// Pool holds the statistics of all endpoints of a pool.
 type Pool struct {
 	cfg  Config
 	size int
 	out  int
-	// down is how many of those out of use refused a connection last.
+	// down is the number of ejected or probed endpoints that last refused a connection.
 	down         int
 	badShare     float64
 	relativeTime median
 }
 
-// NewPool makes a pool without endpoints.
+// NewPool returns a pool without endpoints.
 func NewPool(cfg Config) Pool {
 	if cfg.MaxEjectedShare == 0 {
-		cfg.MaxEjectedShare = defaultMaxShare
+		cfg.MaxEjectedShare = defaultMaxEjectedShare
 	}
 	if cfg.BaseEjection == 0 {
-		cfg.BaseEjection = defaultEjection
+		cfg.BaseEjection = defaultBaseEjection
 	}
 	if cfg.MaxEjection == 0 {
 		cfg.MaxEjection = defaultMaxEjection
@@ -71,20 +71,20 @@
 	return Pool{cfg: cfg}
 }
 
-// State tells whether an endpoint is in use.
+// State is the availability of an endpoint for calls.
 type State uint8
 
 // The states of an endpoint.
 const (
-	// InUse is an endpoint like any other.
+	// InUse means that the endpoint gets calls normally.
 	InUse State = iota
-	// Ejected gets no calls.
+	// Ejected means that the endpoint gets no calls.
 	Ejected
-	// Probing gets one call at a time, whose end decides.
+	// Probing means that the endpoint gets one call at a time, whose outcome decides on its next state.
 	Probing
 )
 
-// Record is what is known of one endpoint. Its zero value is an endpoint in use with no past.
+// Record holds the statistics of one endpoint. Its zero value is an endpoint in use without history.
 type Record struct {
 	state        State
 	badShare     float64
@@ -96,16 +96,16 @@
 	down         bool
 }
 
-// State is the endpoint's state as of the last call of Advance.
+// State returns the endpoint's state as of the last call of StartDueProbe.
 func (r *Record) State() State { return r.state }
 
-// Until is when an ejection ends.
+// Until returns the time at which the ejection ends.
 func (r *Record) Until() time.Time { return r.ejectedUntil }
 
-// Add counts a new endpoint of the pool.
+// Add counts a new endpoint in the pool.
 func (p *Pool) Add() { p.size++ }
 
-// Remove forgets an endpoint of the pool.
+// Remove removes an endpoint from the pool and resets its record.
 func (p *Pool) Remove(r *Record) {
 	p.size--
 	if r.state != InUse {
@@ -115,10 +115,10 @@
 	*r = Record{}
 }
 
-// OutCount is how many endpoints are ejected or on probe.
+// OutCount returns the number of endpoints that are ejected or on probe.
 func (p *Pool) OutCount() int { return p.out }
 
-// StartDueProbe lets an ejection end in a probe when its time has come, and tells whether it did.
+// StartDueProbe moves an endpoint whose ejection has ended to Probing, and reports whether it did.
 func (p *Pool) StartDueProbe(r *Record, now time.Time) bool {
 	if r.state != Ejected || now.Before(r.ejectedUntil) {
 		return false
@@ -127,16 +127,16 @@
 	return true
 }
 
-// ProbeEarly lets an ejection end in a probe early, since no other endpoint is left. It is not ended at
-// once: a pool that refuses all connections would be tried as fast as it refuses.
+// ProbeEarly ends an ejection early with a probe, because no other endpoint is left. It does nothing within
+// minEjection: a pool that refuses all connections would otherwise be retried as fast as it refuses.
 func (p *Pool) ProbeEarly(r *Record, now time.Time) {
 	if r.state == Ejected && now.Sub(r.ejectedAt) >= minEjection {
 		r.state = Probing
 	}
 }
 
-// RecordAlive notes a sign of life from the endpoint itself. One that refused connections is probed at once after it,
-// and not only when its ejection ends, and tells whether it is.
+// RecordAlive records a sign of life from the endpoint itself. An endpoint that refused connections is probed at once
+// instead of after its ejection. RecordAlive reports whether this is the case.
 func (p *Pool) RecordAlive(r *Record) bool {
 	if r.state != Ejected || !r.down {
 		return false
@@ -157,50 +157,50 @@
 	p.down--
 }
 
-// Outcome is how a call ended, as far as it tells something of the endpoint.
+// Outcome is the outcome of a call, as far as it indicates the health of the endpoint.
 type Outcome uint8
 
-// The ends of calls.
+// The outcomes of calls.
 const (
 	Good Outcome = iota
 	Bad
-	// Down is a refused connection: nothing serves at the address, so one is enough.
+	// Down is a refused connection. Nothing serves at the address, so one is enough to eject the endpoint.
 	Down
 )
 
-// RecordOutcome takes a call's end and tells whether the endpoint's state has changed by it.
-// doubted tells that a peer has ejected the endpoint.
-func (p *Pool) RecordOutcome(r *Record, end Outcome, doubted bool, now time.Time) bool {
+// RecordOutcome records the outcome of a call and reports whether it changes the endpoint's state. peerEjected states
+// that a peer has ejected the endpoint.
+func (p *Pool) RecordOutcome(r *Record, outcome Outcome, peerEjected bool, now time.Time) bool {
 	badness := 1.0
-	if end == Good {
+	if outcome == Good {
 		badness = 0
 	}
 	p.badShare += poolWeight * (badness - p.badShare)
 	r.badShare += endpointWeight * (badness - r.badShare)
-	if end == Down {
+	if outcome == Down {
 		r.badShare = max(r.badShare, ejectThreshold)
 	}
 	switch r.state {
 	case Probing:
-		return p.endProbe(r, end, now)
+		return p.endProbe(r, outcome, now)
 	case Ejected:
 		return false
 	}
-	bound := ejectThreshold
-	if doubted {
-		bound = peerEjectedThreshold
+	threshold := ejectThreshold
+	if peerEjected {
+		threshold = peerEjectedThreshold
 	}
-	if end != Down && (r.badShare < bound || r.badShare < p.badShare+minExcessOverPool || !p.canEject()) {
+	if outcome != Down && (r.badShare < threshold || r.badShare < p.badShare+minExcessOverPool || !p.canEject()) {
 		return false
 	}
-	p.setDown(r, end == Down)
+	p.setDown(r, outcome == Down)
 	p.out++
 	p.eject(r, now)
 	return true
 }
 
-// mayEject bounds what is out of use for serving badly: ejecting most of a pool would turn slow answers
-// into none. An endpoint that refuses connections gives no answers at all, so its ejection has no bound.
+// canEject limits how many endpoints are ejected for serving badly, since ejecting most of a pool would replace slow
+// answers by none. An endpoint that refuses connections gives no answers at all, so its ejection is not limited.
 func (p *Pool) canEject() bool {
 	up := p.size - p.down
 	if p.cfg.MaxEjectedShare < 0 {
@@ -220,9 +220,9 @@
 	r.state = Ejected
 }
 
-func (p *Pool) endProbe(r *Record, end Outcome, now time.Time) bool {
-	p.setDown(r, end == Down)
-	if end != Good {
+func (p *Pool) endProbe(r *Record, outcome Outcome, now time.Time) bool {
+	p.setDown(r, outcome == Down)
+	if outcome != Good {
 		p.eject(r, now)
 		return true
 	}
--- a/ejector/ejector_test.go
+++ b/ejector/ejector_test.go
@@ -11,11 +11,11 @@
 
 var start = time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
 
-// end gives the endpoints of a pool the same end, in turn, a number of times.
-func end(p *ejector.Pool, records []*ejector.Record, e ejector.Outcome, times int, now time.Time) {
+// recordAll records the same outcome for each endpoint in turn, the given number of times.
+func recordAll(p *ejector.Pool, records []*ejector.Record, outcome ejector.Outcome, times int, now time.Time) {
 	for range times {
 		for _, r := range records {
-			p.RecordOutcome(r, e, false, now)
+			p.RecordOutcome(r, outcome, false, now)
 		}
 	}
 }
@@ -27,23 +27,23 @@
 		records[i] = &ejector.Record{}
 		p.Add()
 	}
-	end(&p, records, ejector.Good, 20, start)
+	recordAll(&p, records, ejector.Good, 20, start)
 	return &p, records
 }
 
-// Endpoints are ejected by comparison. When all turn bad the cause is not one endpoint, and at most a
-// third may be out; an endpoint that refuses connections is out in any case, since it answers nothing.
-func TestOut(t *testing.T) {
+// Endpoints are ejected by comparison with each other. If all become bad, the cause is not a single endpoint, and at
+// most a third may be ejected. An endpoint that refuses connections is always ejected, since it answers nothing.
+func TestEjection(t *testing.T) {
 	tests := []struct {
 		testName string
 		bad      int
-		end      ejector.Outcome
+		outcome  ejector.Outcome
 		times    int
 		out      int
 	}{
-		{"one bad end", 1, ejector.Bad, 1, 0},
+		{"one bad outcome", 1, ejector.Bad, 1, 0},
 		{"one endpoint bad", 1, ejector.Bad, 3, 1},
-		{"three turn bad, more than may be out", 4, ejector.Bad, 50, 3},
+		{"four turn bad, more than may be ejected", 4, ejector.Bad, 50, 3},
 		{"all bad", 10, ejector.Bad, 50, 1},
 		{"one down", 1, ejector.Down, 1, 1},
 		{"all down", 10, ejector.Down, 1, 10},
@@ -51,18 +51,18 @@
 	for _, tt := range tests {
 		t.Run(tt.testName, func(t *testing.T) {
 			p, records := newPool(10)
-			end(p, records[:tt.bad], tt.end, tt.times, start)
+			recordAll(p, records[:tt.bad], tt.outcome, tt.times, start)
 			require.Equal(t, tt.out, p.OutCount())
 		})
 	}
 }
 
-// An ejected endpoint is probed with one call when its time has come. Each failed probe doubles the time,
-// a good one brings it back.
+// An ejected endpoint is probed with one call when its ejection ends. Each failed probe doubles the duration, and a
+// successful one returns the endpoint to use.
 func TestProbes(t *testing.T) {
 	p, records := newPool(10)
 	r := records[0]
-	end(p, records[:1], ejector.Bad, 3, start)
+	recordAll(p, records[:1], ejector.Bad, 3, start)
 	now := start
 	for _, seconds := range []int{1, 2, 4, 8, 16, 16} {
 		require.Equal(t, ejector.Ejected, r.State())
@@ -79,8 +79,9 @@
 	require.Zero(t, p.OutCount())
 }
 
-// A straggler's calls count as bad by the pool's own median, whatever the stage was expected to take.
-func TestTookAgainstThePoolsMedian(t *testing.T) {
+// The calls of a slow endpoint count as bad compared with the pool's own median, whatever the expected duration of the
+// stage.
+func TestRecordDurationComparesWithPoolMedian(t *testing.T) {
 	p, records := newPool(10)
 	const expected = 10 * time.Millisecond
 	for range 20 {
--- a/hasher/hasher.go
+++ b/hasher/hasher.go
@@ -1,8 +1,8 @@
-// Package hasher spreads the bits of hashes that were put together from others.
+// Package hasher mixes combined hashes and assigns keys to names by rendezvous hashing.
 package hasher
 
-// Mix is the finaliser of SplitMix64: each bit of the input changes about half of the output's bits. Of the
-// exclusive or of two hashes it makes a rank that is even over all members and differs for each seed.
+// Mix is the finalizer of SplitMix64: each bit of the input changes about half of the bits of the output. Applied to
+// the exclusive or of two hashes, it yields a rank that is uniform over all members and different for each seed.
 func Mix(x uint64) uint64 {
 	x ^= x >> 30
 	x *= 0xbf58476d1ce4e5b9
--- a/hasher/owner.go
+++ b/hasher/owner.go
@@ -2,10 +2,9 @@
 
 import "github.com/cespare/xxhash/v2"
 
-// Rank tells how many of the names come before one in the order of who a duty falls to. The name itself need not be among
-// them.
-func Rank(duty string, names []string, name string) int {
-	seed := xxhash.Sum64String(duty)
+// Rank returns the number of names that rank above name for the key. The name itself need not be among the names.
+func Rank(key string, names []string, name string) int {
+	seed := xxhash.Sum64String(key)
 	own := Mix(seed ^ xxhash.Sum64String(name))
 	n := 0
 	for _, other := range names {
@@ -16,10 +15,10 @@
 	return n
 }
 
-// Owner names the one of all names that a duty falls to: the one with the highest rank. All who know the same names agree,
-// and a name that comes or goes moves only its own duties.
-func Owner(duty string, names []string) (string, bool) {
-	seed := xxhash.Sum64String(duty)
+// Owner returns the name with the highest rank for the key, or false if there are no names. All callers with the same
+// names get the same result, and adding or removing a name moves only the keys that it owns.
+func Owner(key string, names []string) (string, bool) {
+	seed := xxhash.Sum64String(key)
 	best, bestRank := "", uint64(0)
 	for _, name := range names {
 		if rank := Mix(seed ^ xxhash.Sum64String(name)); best == "" || rank > bestRank {
--- a/regulator/regulator.go
+++ b/regulator/regulator.go
@@ -281,8 +281,8 @@
 	l := r.limits[endpoint]
 	slack := slackFor(l.perSecond)
 	senders := slack - replacedSenders
-	renewed := l.reportedAt.Add(staleAfter + time.Duration(len(r.limits))*gossipDelayPerLimit + time.Duration(staleAfterCalls/l.perSecond*float64(time.Second)))
-	if late := now.Sub(renewed); late > 0 {
+	staleAt := l.reportedAt.Add(staleAfter + time.Duration(len(r.limits))*gossipDelayPerLimit + time.Duration(staleAfterCalls/l.perSecond*float64(time.Second)))
+	if late := now.Sub(staleAt); late > 0 {
 		senders += 1 + int(late/addSenderEvery)
 	}
 	senders = min(senders, r.rationer.EntryCount())
--- a/retrier/retrier.go
+++ b/retrier/retrier.go
@@ -1,5 +1,5 @@
-// Package retrier decides whether a stage call may be tried again, or hedged by a second call beside
-// it, from one budget of extra work for each pool. It is pure: the present time is given to it.
+// Package retrier decides whether a stage call may be retried, or hedged by a second concurrent call, from one budget
+// of extra calls per pool. It has no clock of its own: callers pass in the current time.
 package retrier
 
 import "time"
@@ -12,19 +12,19 @@
 	defaultAttempts  = 3
 )
 
-// Config sets a Retrier up. Zero fields take the defaults above.
+// Config configures a Retrier. Zero fields take the defaults above.
 type Config struct {
-	// Ratio is the part of first attempts that may be made again while the pool has slots to spare,
-	// BusyRatio that while work waits for it.
+	// Ratio is the part of first attempts that may be made again while the pool has free slots, and BusyRatio the part
+	// while calls are queued for it.
 	Ratio     float64
 	BusyRatio float64
-	// Reserve is the most extra calls that quiet times may save up.
+	// Reserve is the largest number of extra calls that a budget may accumulate.
 	Reserve float64
-	// MaxAttempts is the most attempts of one stage.
+	// MaxAttempts is the maximum number of attempts of one stage.
 	MaxAttempts int
 }
 
-// Retrier holds the budgets.
+// Retrier holds the budgets of all pools.
 type Retrier struct {
 	cfg     Config
 	budgets map[string]*budget
@@ -32,7 +32,7 @@
 
 type budget struct{ left float64 }
 
-// New makes a retrier whose pools begin with a full reserve.
+// New returns a retrier whose budgets start with a full reserve.
 func New(cfg Config) *Retrier {
 	if cfg.Ratio == 0 {
 		cfg.Ratio = defaultRatio
@@ -49,8 +49,8 @@
 	return &Retrier{cfg: cfg, budgets: map[string]*budget{}}
 }
 
-// SetReserve changes the most extra calls that quiet times may save up; what is saved beyond it is lost. Where several
-// share a bound, each one's part changes with their number.
+// SetReserve changes the largest number of extra calls that a budget may accumulate, and discards what exceeds it.
+// Where several entries share a total, the part of each one changes with their number.
 func (r *Retrier) SetReserve(reserve float64) {
 	r.cfg.Reserve = reserve
 	for _, b := range r.budgets {
@@ -67,8 +67,8 @@
 	return b
 }
 
-// RecordFirstAttempt notes a first attempt, which earns a part of an extra call: hardly any while the pool is
-// busy, since there each extra call takes the place of a first one.
+// RecordFirstAttempt records a first attempt, which adds a fraction of an extra call to the budget. The fraction is
+// very small while the pool is busy, because each extra call then displaces a first attempt.
 func (r *Retrier) RecordFirstAttempt(pool string, busy bool, _ time.Time) {
 	ratio := r.cfg.Ratio
 	if busy {
@@ -78,13 +78,13 @@
 	b.left = min(b.left+ratio, r.cfg.Reserve)
 }
 
-// CanRetry tells whether Retry would allow one more attempt now.
+// CanRetry reports whether TakeRetry would allow one more attempt now.
 func (r *Retrier) CanRetry(pool string, attempts int) bool {
 	return attempts < r.cfg.MaxAttempts && r.budget(pool).left >= 1
 }
 
-// TakeRetry spends one extra call of the pool's budget, if attempts so far and the budget allow it.
-// Without the budget a pool that comes back is met by all the retries of its absence at once.
+// TakeRetry takes one extra call from the pool's budget, and reports whether the number of attempts and the budget
+// allow it. Without the budget, a pool that recovers would be hit by all retries accumulated during its outage at once.
 func (r *Retrier) TakeRetry(pool string, attempts int, _ time.Time) bool {
 	if !r.CanRetry(pool, attempts) {
 		return false
@@ -93,8 +93,8 @@
 	return true
 }
 
-// TakeHedge spends one extra call on a second call beside a silent one. A busy pool has none to spare,
-// and half of the reserve is left for calls that failed.
+// TakeHedge takes one extra call from the pool's budget for a second call next to a silent one, and reports whether it
+// is allowed. A busy pool has none to spare, and half of the reserve is kept for failed calls.
 func (r *Retrier) TakeHedge(pool string, attempts int, busy bool, _ time.Time) bool {
 	if busy || attempts >= r.cfg.MaxAttempts {
 		return false
--- a/retrier/retrier_test.go
+++ b/retrier/retrier_test.go
@@ -9,8 +9,9 @@
 	"geraniumline/retrier"
 )
 
-// A pool is away and every call fails. Retries stop when the reserve is spent, whatever the load, so that
-// the pool is not met by a storm when it returns; a busy pool earns hardly any back, and no hedge goes out.
+// A pool is unavailable and every call fails. Retries must stop when the reserve is used up, whatever the load, so that
+// the pool is not overloaded by retries when it returns. A busy pool must earn hardly any retries and make no hedged
+// calls.
 func TestBudget(t *testing.T) {
 	r := retrier.New(retrier.Config{})
 	now := time.Time{}
@@ -37,8 +38,8 @@
 	require.True(t, r.CanRetry("other", 1))
 }
 
-// Four of five entries are found to share the bound: what this one had saved for itself alone must not be spent.
-func TestSetReserveTakesBackWhatWasSaved(t *testing.T) {
+// Five entries share the limit, and this one detects the other four. What it accumulated on its own must not be spent.
+func TestSetReserveDiscardsExcess(t *testing.T) {
 	r := retrier.New(retrier.Config{Ratio: 0.2, Reserve: 10, MaxAttempts: 100})
 	require.True(t, r.TakeRetry("a", 1, time.Time{}))
 	r.SetReserve(2)
--- a/selector/selector.go
+++ b/selector/selector.go
@@ -413,7 +413,7 @@
 }
 
 // RecordEnd records the end of a call and reports whether it ejected the endpoint or returned it to use.
-func (s *Selector) RecordEnd(choice Choice, end ejector.Outcome, now time.Time) bool {
+func (s *Selector) RecordEnd(choice Choice, outcome ejector.Outcome, now time.Time) bool {
 	e, known := s.chosenEndpoint(&choice)
 	if !known {
 		return false
@@ -424,7 +424,7 @@
 	}
 	e.calls--
 	s.addWork(e, -choice.Tokens)
-	return e.pool.health.RecordOutcome(&e.health, end, false, now)
+	return e.pool.health.RecordOutcome(&e.health, outcome, false, now)
 }
 
 // RecordCancel records the end of a call that indicates nothing about its endpoint.
--- a/warmer/warmer_test.go
+++ b/warmer/warmer_test.go
@@ -14,10 +14,10 @@
 	entries       = 65
 )
 
-// zone is an availability zone whose endpoints are all cold, and the entries that send to it.
+// zone simulates an availability zone whose endpoints are all cold, and the entries that send to it.
 type zone struct {
 	warmers []*Warmer
-	// clocks are how far the entries' times of day are off.
+	// clockOffsets are the errors of the entries' clocks.
 	clockOffsets []time.Duration
 	arrivals     map[string][]time.Time
 	rnd          *rand.Rand
@@ -38,7 +38,8 @@
 	return z
 }
 
-// run has so many requests a second come to entries at random, each of which sends to any cold endpoint that it may.
+// run sends rate requests a second to random entries, each of which sends to any cold endpoint that it may, and returns
+// the number of requests sent on.
 func (z *zone) run(endpoints, rate int, length time.Duration) (served int) {
 	at := time.Unix(1_000_000, 0)
 	for end := at.Add(length); at.Before(end); at = at.Add(time.Duration(z.rnd.ExpFloat64() * float64(time.Second) / float64(rate))) {
@@ -58,7 +59,7 @@
 	return served
 }
 
-// most is the most arrivals of any endpoint within one second.
+// maxPerSecond returns the largest number of arrivals at any endpoint within one second.
 func (z *zone) maxPerSecond() int {
 	most := 0
 	for _, list := range z.arrivals {
@@ -73,30 +74,30 @@
 	return most
 }
 
-// bound is how many calls a cold endpoint may get in one second.
+// allowedPerSecond returns the number of calls that a cold endpoint may get in one second.
 func (z *zone) allowedPerSecond() int {
 	cfg := z.warmers[0].cfg
 	return int(coldPerSecond*cfg.Excess + cfg.Slack)
 }
 
-// An availability zone returns with twenty cold endpoints in a burst. All entries find them empty and would send all they
-// have there at once; the endpoints would crash, come back cold and crash again. Between them the entries must stay within
-// what each bears, whatever they believe of each other.
+// An availability zone returns with twenty cold endpoints during a burst. Every entry sees idle endpoints and would
+// send all its queued calls at once, so that the endpoints would crash, restart cold and crash again. Together, the
+// entries must stay within the rate that each endpoint accepts, whatever they assume about each other.
 func TestAColdZoneIsNotOverrun(t *testing.T) {
 	for _, tc := range []struct {
 		name      string
 		endpoints int
 		disturb   func(z *zone)
 	}{
-		{"all agree", 20, func(*zone) {}},
+		{"no disturbance", 20, func(*zone) {}},
 		{"one endpoint", 1, func(*zone) {}},
-		{"a third is cut off", 20, func(z *zone) { z.partition(0, 22); z.partition(22, entries) }},
-		{"a third of the clocks is ahead", 20, func(z *zone) {
+		{"a third is partitioned off", 20, func(z *zone) { z.partition(0, 22); z.partition(22, entries) }},
+		{"a third of the clocks are ahead", 20, func(z *zone) {
 			for i := range 22 {
 				z.clockOffsets[i] = 2400 * time.Millisecond
 			}
 		}},
-		{"each of a third is cut off by itself, one endpoint", 1, func(z *zone) {
+		{"a third are each isolated, one endpoint", 1, func(z *zone) {
 			for i := range 22 {
 				z.partition(i, i+1)
 			}
@@ -117,7 +118,7 @@
 	}
 }
 
-// split has the entries of a part hear each other only.
+// partition makes a range of entries see only each other.
 func (z *zone) partition(from, to int) {
 	var names []string
 	for _, w := range z.warmers[from:to] {
@@ -128,9 +129,9 @@
 	}
 }
 
-// A service's endpoints say that they are cold, and the operator names no bound: they are slow and no more. Passed over, a
-// service whose endpoints are all replaced would refuse everything for seconds.
-func TestWithoutABoundColdEndpointsAreLikeOthers(t *testing.T) {
+// The endpoints of a service report that they are cold, but the operator has configured no limit: they are only slow.
+// If they were skipped, a service whose endpoints are all replaced would refuse everything for seconds.
+func TestColdEndpointsWithoutLimitAreNotThrottled(t *testing.T) {
 	w := New(Config{Self: "entry", Excess: 1.5, Slack: 5})
 	w.SetEntries([]string{"entry"}, 9)
 	now := time.Unix(1000, 0)
@@ -141,7 +142,8 @@
 	require.False(t, w.Allows("endpoint", coldPerSecond, now))
 }
 
-// All endpoints of a small system are cold at once. What they bear must be used, or callers are turned away.
+// All endpoints of a small system are cold at once. The rate that they accept must be used, or callers are refused
+// needlessly.
 func TestColdEndpointsAreUsed(t *testing.T) {
 	z := newZone(7, 1)
 	served := z.run(9, 100, 10*time.Second)
