--- a/placer/bench_test.go
+++ b/placer/bench_test.go
@@ -8,7 +8,8 @@
 	"geraniumline/publisher"
 )
 
-// BenchmarkOrders decides for a pool whose engines hold what they should, which is the usual round.
+// BenchmarkOrders measures one round of decisions for a pool whose engines already hold what they should, which is the
+// usual case.
 func BenchmarkOrders(b *testing.B) {
 	for _, size := range []struct{ engines, models int }{{10, 2}, {100, 8}, {1000, 34}, {10_000, 34}} {
 		b.Run(fmt.Sprintf("%d engines, %d models", size.engines, size.models), func(b *testing.B) {
@@ -32,7 +33,7 @@
 			b.ReportAllocs()
 			for b.Loop() {
 				if len(p.Orders(placement(models...), inUse, Lease{Fence: 1, Granted: 1}, now)) > 0 {
-					b.Fatal("an order in a quiet pool")
+					b.Fatal("unexpected order in an idle pool")
 				}
 			}
 		})
--- a/placer/config.go
+++ b/placer/config.go
@@ -1,32 +1,34 @@
-// Package placer decides which orders a pool's engines are to be given, so that they hold the models of the placement
-// in force where the demand is. It is pure: the present time is given to it, and it keeps nothing that a new orderer
-// could not read back from the engines.
+// Package placer decides which orders to send to a pool's engines, so that they hold the models of the placement in
+// force where the demand is. It has no clock of its own: callers pass in the current time. It keeps no state that a new
+// orderer could not read back from the engines.
 package placer
 
 import "time"
 
 // Defaults of Config.
 const (
-	// DefaultLoadsPerSecond and DefaultLoadBurst are what the weight store allows all engines together.
+	// DefaultLoadsPerSecond and DefaultLoadBurst are the limits of the weight store for all engines together.
 	DefaultLoadsPerSecond = 1
 	DefaultLoadBurst      = 2
-	// DefaultMoveRatio is how much more pressed than the giving model the receiving one must be after the move.
+	// DefaultMoveRatio is the minimum ratio of the receiving model's demand per copy to the giving model's after a
+	// move.
 	DefaultMoveRatio = 1.2
-	// DefaultMoveDelay is how long a model must be the more pressed one before it is given an engine of another.
+	// DefaultMoveDelay is how long a move to a model must be due before the model is given an engine of another.
 	DefaultMoveDelay = 5 * time.Second
-	// DefaultDemandTimeConstant is the time in which an old demand fades to a third.
+	// DefaultDemandTimeConstant is the time in which past demand decays to about a third.
 	DefaultDemandTimeConstant = 5 * time.Second
-	// DefaultBaselineDemand is the demand, in endpoint milliseconds, that a model of mean weight counts as having beside
-	// its backlog. Below it noise moves nothing, and a quiet pool is shared out by weight.
+	// DefaultBaselineDemand is the demand, in endpoint milliseconds, that a model of average weight has in addition to
+	// its backlog. Smaller backlogs are noise that moves no engine, and the engines of an idle pool are divided by
+	// weight.
 	DefaultBaselineDemand = 1000
-	// DefaultStateMaxAge is how old the reading of an engine may be for the engine to count as a sure copy.
+	// DefaultStateMaxAge is the maximum age of an engine's last read state for the engine to count as a certain copy.
 	DefaultStateMaxAge = 10 * time.Second
-	// DefaultRetryAfter is the first wait after an order that failed; MaxRetryAfter the longest.
+	// DefaultRetryAfter is the first wait after a failed order, and MaxRetryAfter the longest.
 	DefaultRetryAfter = time.Second
 	MaxRetryAfter     = time.Minute
 )
 
-// Config sets a Placer up. Zero fields take the defaults above.
+// Config configures a Placer. Zero fields take the defaults above.
 type Config struct {
 	LoadsPerSecond     float64
 	LoadBurst          int
--- a/placer/engine.go
+++ b/placer/engine.go
@@ -7,43 +7,43 @@
 	"geraniumline/publisher"
 )
 
-// Assignment is what an engine holds, or is to hold.
+// Assignment is the model that an engine holds or should hold.
 type Assignment struct {
 	Model    string
 	Version  string
 	Adapters []string
 	Role     string
-	// Loading tells that the engine does not serve the model yet.
+	// Loading is set while the engine does not yet serve the model.
 	Loading bool
-	// Fence is the number of the last order that the engine took.
+	// Fence is the fencing number of the last order that the engine accepted.
 	Fence int64
 }
 
-// sameWeights tells whether an engine may go from one assignment to the other without a load.
+// sameWeights reports whether an engine can switch between the two assignments without loading weights.
 func (a *Assignment) sameWeights(b *Assignment) bool {
 	return a.Model == b.Model && a.Version == b.Version && slices.Equal(a.Adapters, b.Adapters)
 }
 
-// engine is what is known of one engine.
+// engine is the known state of one engine.
 type engine struct {
 	address string
 	state   Assignment
-	// readAt is when the state was asked for; zero while it never was read.
+	// readAt is the time at which the read of state was started. It is zero if the state was never read.
 	readAt time.Time
-	// doubted tells that the engine failed a call since its state was read.
+	// doubtful is set if the engine has failed a call since its state was read.
 	doubtful bool
-	// wanted is the last order's state while it is not known whether the order took effect.
+	// pending is the state in the last order while it is unknown whether the order took effect.
 	pending *Assignment
-	// ended is when that order's end was told; zero while the order is under way.
+	// resultAt is the time at which the result of that order was recorded. It is zero while the order is in flight.
 	resultAt time.Time
-	// told is the number of the last order that surely took effect: an engine that ignores numbers need not
-	// report the one that it was told.
+	// confirmedFence is the fencing number of the last order that certainly took effect. An engine that ignores fencing
+	// numbers need not report the number that it was sent.
 	confirmedFence int64
 	retryAt        time.Time
 	failures       int
 }
 
-// expected is the state that the engine is in, or goes to if its last order takes effect.
+// expectedState returns the state that the engine is in, or will be in if its last order takes effect.
 func (e *engine) expectedState() *Assignment {
 	if e.pending != nil {
 		return e.pending
@@ -51,7 +51,7 @@
 	return &e.state
 }
 
-// sure tells that the engine's state was read a short time ago and nothing is under way that changes it.
+// current reports whether the engine's state was read recently and no order is pending that changes it.
 func (e *engine) current(now time.Time, freshFor time.Duration) bool {
 	return e.pending == nil && !e.readAt.IsZero() && now.Sub(e.readAt) < freshFor
 }
--- a/placer/load.go
+++ b/placer/load.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// nextLoad gives the load to do next, or false if no engine is to be changed: first one for a model in use that no
-// engine holds, then the one that serves the most demand.
+// nextLoad returns the load to perform next, or false if no engine should change. Loads for models in use that no
+// engine holds come first, followed by the load that serves the most demand.
 func (s *survey) nextLoad() (load, bool) {
 	best := load{}
 	for _, candidate := range []load{s.shortageLoad(), s.unusedEngineLoad(), s.upgradeLoad(), s.rebalanceLoad()} {
@@ -24,8 +24,8 @@
 	return l.servedDemand > other.servedDemand
 }
 
-// short gives an engine to the most pressed model that has fewer copies than it must, or whose only copy can't be
-// brought to the version in force while nothing else serves the model.
+// shortageLoad gives an engine to the neediest model that has fewer copies than required, or whose only copy cannot be
+// upgraded to the version in force because nothing else serves the model.
 func (s *survey) shortageLoad() load {
 	to := s.neediest(func(m *model) bool {
 		return m.copies < m.minCopies() || m.copies == 1 && s.lastCopyOutdated(m)
@@ -40,7 +40,7 @@
 	return load{engine: e, model: to, servedDemand: to.gain()}
 }
 
-// unused gives an engine without a model of the placement to the most pressed model.
+// unusedEngineLoad gives an engine that holds no model of the placement to the neediest model.
 func (s *survey) unusedEngineLoad() load {
 	return s.loadOnto(s.neediest(func(*model) bool { return true }), s.freeEngine())
 }
@@ -52,7 +52,7 @@
 	return load{engine: e, model: m, servedDemand: m.gain()}
 }
 
-// outdated gives an engine the version and adapters in force of the model that it holds.
+// upgradeLoad updates an engine to the version and adapters in force of the model that it holds.
 func (s *survey) upgradeLoad() load {
 	best := load{}
 	for _, e := range s.available {
@@ -72,7 +72,7 @@
 	return best
 }
 
-// outdatedLast tells that a model's only copy is of another version or other adapters and can't be spared.
+// lastCopyOutdated reports whether the model's only copy has another version or other adapters and cannot be spared.
 func (s *survey) lastCopyOutdated(m *model) bool {
 	want := assignmentOf(m.placed)
 	return slices.ContainsFunc(s.available, func(e *engine) bool {
@@ -80,18 +80,18 @@
 	})
 }
 
-// surge moves an engine from a quiet model to a busy one, if it has been the busier one for long enough.
+// rebalanceLoad moves an engine from a quiet model to a busy one if this move has been due for long enough.
 func (s *survey) rebalanceLoad() load {
 	to, from := s.imbalance()
-	if to == nil || !s.pressured[to.name] {
+	if to == nil || !s.moveDue[to.name] {
 		return load{}
 	}
 	return s.loadOnto(to, s.spareEngine(from))
 }
 
-// imbalance names the model that gains most by an engine and the one that loses least, if the first is still by
-// MoveRatio the more pressed one after the move. After a move the reverse never holds, so engines do not go to and
-// fro between two models under a steady demand.
+// imbalance returns the model that gains most from an engine and the model that loses least by giving one, if the first
+// would still have MoveRatio times the demand per copy of the second after the move. After a move the reverse never
+// holds, so engines do not oscillate between two models under a steady demand.
 func (s *survey) imbalance() (to, from *model) {
 	to = s.neediest(func(*model) bool { return true })
 	if to == nil {
@@ -104,9 +104,9 @@
 	return to, from
 }
 
-// loss is the demand by copy that is left to the copies of a model when one is taken. For the last one it is the
-// whole demand, as much as a model without a copy gains by one: were it nothing, two models would take the same
-// engine from each other for ever.
+// loss returns the demand per copy of the remaining copies when one is taken from the model. For the last copy it is
+// the whole demand, which is also what a model without a copy gains from its first one. If it were zero, two models
+// would take the same engine from each other forever.
 func (m *model) loss() float64 {
 	return m.demand / float64(max(m.copies-1, 1))
 }
@@ -118,12 +118,12 @@
 	return m.gain() > than.gain()
 }
 
-// most gives the model of the placement that gains most by an engine, of those that may.
-func (s *survey) neediest(may func(*model) bool) *model {
+// neediest returns the eligible model of the placement that gains most from an engine.
+func (s *survey) neediest(eligible func(*model) bool) *model {
 	var best *model
 	for _, name := range s.names {
 		m := s.models[name]
-		if m.placed == nil || !may(m) {
+		if m.placed == nil || !eligible(m) {
 			continue
 		}
 		if best == nil || m.moreUrgent(best) {
@@ -133,7 +133,7 @@
 	return best
 }
 
-// giver gives the model that loses least by an engine, of those that have one to spare.
+// donor returns the model that loses least by giving an engine, of the models that can spare one.
 func (s *survey) donor(to *model) *model {
 	var best *model
 	for _, name := range s.names {
@@ -148,7 +148,8 @@
 	return best
 }
 
-// from gives an engine that its model can spare. One that is loading is left alone: its load would be wasted.
+// spareEngine returns an engine that its model can spare. It skips engines that are loading, since their load would be
+// wasted.
 func (s *survey) spareEngine(m *model) *engine {
 	if m == nil {
 		return nil
@@ -161,31 +162,31 @@
 	return nil
 }
 
-// free gives an engine that holds nothing, or a model that the placement does not name and that can be spared.
+// freeEngine returns an engine that holds nothing, or a model that is not in the placement and can be spared.
 func (s *survey) freeEngine() *engine {
-	at := slices.IndexFunc(s.available, func(e *engine) bool {
+	i := slices.IndexFunc(s.available, func(e *engine) bool {
 		m := s.models[e.state.Model]
 		return !s.assigned[e] && (m == nil || m.placed == nil && e.serving() && s.canSpare(e))
 	})
-	if at < 0 {
+	if i < 0 {
 		return nil
 	}
-	return s.available[at]
+	return s.available[i]
 }
 
-// notePressed keeps since when which model has been due an engine of another.
-func (p *Placer) trackPressure(s *survey, now time.Time) {
+// trackDueMoves records since when a model has been due an engine of another model.
+func (p *Placer) trackDueMoves(s *survey, now time.Time) {
 	to, _ := s.imbalance()
-	for name := range p.pressuredSince {
+	for name := range p.moveDueSince {
 		if to == nil || name != to.name {
-			delete(p.pressuredSince, name)
+			delete(p.moveDueSince, name)
 		}
 	}
 	if to == nil {
 		return
 	}
-	if _, known := p.pressuredSince[to.name]; !known {
-		p.pressuredSince[to.name] = now
+	if _, known := p.moveDueSince[to.name]; !known {
+		p.moveDueSince[to.name] = now
 	}
-	s.pressured[to.name] = now.Sub(p.pressuredSince[to.name]) >= p.cfg.MoveDelay
+	s.moveDue[to.name] = now.Sub(p.moveDueSince[to.name]) >= p.cfg.MoveDelay
 }
--- a/placer/order.go
+++ b/placer/order.go
@@ -6,28 +6,28 @@
 	"geraniumline/publisher"
 )
 
-// Order is one engine's full desired state, so that an order which comes twice or late does no more than its first.
+// Order is the full desired state of one engine, so that a repeated or late order has no further effect.
 type Order struct {
 	Address string
 	State   Assignment
-	// Load tells that the engine has to load weights for it.
+	// Load is set if the engine must load weights to carry out the order.
 	Load bool
-	// ServedDemand is the demand by copy that the load is for, in endpoint milliseconds.
+	// ServedDemand is the demand per copy that the load serves, in endpoint milliseconds.
 	ServedDemand float64
 }
 
-// Lease is the orderer's right to order.
+// Lease is the right of an orderer to send orders.
 type Lease struct {
-	// Fence is the number of the orders given now.
+	// Fence is the fencing number of orders sent now.
 	Fence int64
-	// Granted is the number with which this orderer's time began.
+	// Granted is the fencing number with which this orderer's lease began.
 	Granted int64
 }
 
-// Orders gives the orders to send now, loads in the order of the demand that they serve. Each engine that is given
-// one is left alone until Ended, and Observe where the end was uncertain.
+// Orders returns the orders to send now, with loads sorted by the demand that they serve. An engine that is sent an
+// order gets no other one until RecordResult, and if the result was uncertain until ObserveState.
 //
-// InUse holds the models that a pipeline names: the last copy of one of them that serves is never taken.
+// inUse holds the models that a pipeline names. The last serving copy of such a model is never taken.
 func (p *Placer) Orders(placement *publisher.Placement, inUse map[string]bool, lease Lease, now time.Time) []Order {
 	if p.granted != lease.Granted {
 		p.granted = lease.Granted
@@ -35,7 +35,7 @@
 	}
 	s := p.survey(placement, inUse, lease, now)
 	orders := s.ordersWithoutLoad()
-	p.trackPressure(s, now)
+	p.trackDueMoves(s, now)
 	p.loadBucket.refill(now)
 	for p.loadBucket.ready(now) {
 		best, found := s.nextLoad()
@@ -57,10 +57,11 @@
 	e.resultAt = time.Time{}
 }
 
-// settings gives the orders that need no load: another role, and the fencing number of a new orderer.
+// ordersWithoutLoad returns the orders that need no load: role changes, and the fencing number of a new orderer.
 //
-// An engine that has only seen the predecessor's number would take a late order of it. A new orderer so begins with
-// an order of the state that the engine is in, under its own number; after that the engine refuses older ones.
+// An engine that has only seen the previous orderer's number would accept a late order from it. A new orderer therefore
+// starts by ordering the state that the engine is already in, under its own number. After that the engine refuses older
+// orders.
 func (s *survey) ordersWithoutLoad() []Order {
 	var orders []Order
 	for _, e := range s.available {
@@ -82,7 +83,7 @@
 	return orders
 }
 
-// load is one engine's change to a model.
+// load is the change of one engine to a model.
 type load struct {
 	engine       *engine
 	model        *model
--- a/placer/placer.go
+++ b/placer/placer.go
@@ -6,40 +6,41 @@
 	"time"
 )
 
-// Placer decides about one pool's engines.
+// Placer makes the decisions for the engines of one pool.
 type Placer struct {
 	cfg     Config
 	engines map[string]*engine
-	// addresses are the engines in use by address, so that a replay goes the same way.
+	// addresses holds the addresses of the engines in use in sorted order, so that replays are deterministic.
 	addresses []string
 	demand    map[string]float64
 	demandAt  time.Time
-	// pressed tells since when a model has been due an engine of another.
-	pressuredSince map[string]time.Time
-	loadBucket     bucket
-	// granted is the lease under which the last orders were given.
+	// moveDueSince holds the time since which a model has been due an engine of another model.
+	moveDueSince map[string]time.Time
+	loadBucket   bucket
+	// granted is the lease under which the last orders were sent.
 	granted int64
 }
 
-// New makes a placer that knows no engine yet.
+// New returns a placer without engines.
 func New(cfg Config) *Placer {
 	cfg = cfg.withDefaults()
 	return &Placer{
-		cfg:            cfg,
-		engines:        map[string]*engine{},
-		demand:         map[string]float64{},
-		pressuredSince: map[string]time.Time{},
-		loadBucket:     newBucket(cfg.LoadsPerSecond, cfg.LoadBurst),
+		cfg:          cfg,
+		engines:      map[string]*engine{},
+		demand:       map[string]float64{},
+		moveDueSince: map[string]time.Time{},
+		loadBucket:   newBucket(cfg.LoadsPerSecond, cfg.LoadBurst),
 	}
 }
 
-// SetPoolCount tells how many pools load from the weight store: its rate is for all of them together, and each pool's
-// orderer may be another entry.
+// SetPoolCount sets the number of pools that load from the weight store. They share its rate, and each pool may have a
+// different entry as its orderer.
 func (p *Placer) SetPoolCount(pools int) {
 	p.loadBucket.setShare(p.cfg.LoadsPerSecond, p.cfg.LoadBurst, max(pools, 1))
 }
 
-// SetEngines takes the addresses of the engines that are in use: live and not leaving. Others are forgotten.
+// SetEngines sets the addresses of the engines that are in use, that is, live and not leaving. Other engines are
+// forgotten.
 func (p *Placer) SetEngines(addresses []string) {
 	p.addresses = slices.Sorted(slices.Values(addresses))
 	for address := range p.engines {
@@ -54,8 +55,8 @@
 	}
 }
 
-// ObserveDemand takes the present backlog by model in endpoint milliseconds, and smooths it: a burst of a moment must not
-// move an engine, whose load takes longer than the burst.
+// ObserveDemand adds the current backlog by model, in endpoint milliseconds, to the smoothed demand. Without smoothing,
+// a short burst would move engines, although loading one takes longer than the burst.
 func (p *Placer) ObserveDemand(backlog map[string]float64, now time.Time) {
 	fade := 0.0
 	if !p.demandAt.IsZero() {
@@ -70,7 +71,7 @@
 	}
 }
 
-// Assignment gives what an engine was last read to hold; false if it was not read yet.
+// Assignment returns the state that was last read from an engine, or false if none was read yet.
 func (p *Placer) Assignment(address string) (Assignment, bool) {
 	e, known := p.engines[address]
 	if !known || e.readAt.IsZero() {
@@ -79,30 +80,30 @@
 	return e.state, true
 }
 
-// ObserveState takes an engine's state, read by a call that was sent at asked. One that was asked for before the last
-// order's end may be from before the order took effect, and says nothing.
-func (p *Placer) ObserveState(address string, state Assignment, asked, now time.Time) {
+// ObserveState records an engine's state that was read by a call sent at requestedAt. It ignores a read that was sent
+// before the result of the last order was recorded, because the order may have taken effect since.
+func (p *Placer) ObserveState(address string, state Assignment, requestedAt, now time.Time) {
 	e, known := p.engines[address]
-	if !known || asked.Before(e.readAt) {
+	if !known || requestedAt.Before(e.readAt) {
 		return
 	}
-	if e.pending != nil && (e.resultAt.IsZero() || asked.Before(e.resultAt)) {
+	if e.pending != nil && (e.resultAt.IsZero() || requestedAt.Before(e.resultAt)) {
 		return
 	}
 	if e.pending != nil {
 		e.settle(state, p.cfg.RetryAfter, now)
 	}
 	e.state = state
-	e.readAt = asked
+	e.readAt = requestedAt
 	e.doubtful = false
 }
 
 // settle compares an engine's state with its last order.
 func (e *engine) settle(state Assignment, retryAfter time.Duration, now time.Time) {
-	taken := state.sameWeights(e.pending) && state.Role == e.pending.Role
+	tookEffect := state.sameWeights(e.pending) && state.Role == e.pending.Role
 	fence := e.pending.Fence
 	e.pending = nil
-	if taken {
+	if tookEffect {
 		e.confirmedFence = fence
 		e.failures = 0
 		e.retryAt = time.Time{}
@@ -117,27 +118,27 @@
 	e.retryAt = now.Add(wait)
 }
 
-// Result tells how an order ended. The set of results is closed.
+// Result is the result of an order. The set of results is closed.
 type Result interface{ result() }
 
-// Accepted carries the state that the engine answered.
+// Accepted carries the state that the engine returned.
 type Accepted struct{ State Assignment }
 
-// Refused means that the engine surely did not take the order, for RetryAfter if that is known.
+// Refused means that the engine certainly did not accept the order. RetryAfter is the time to wait, if known.
 type Refused struct {
 	RetryAfter time.Duration
-	// Limited means that it or the weight store takes no more loads now.
+	// Limited is set if the engine or the weight store accepts no more loads now.
 	Limited bool
 }
 
-// Uncertain means that the order may have taken effect. Only reading the engine back tells.
+// Uncertain means that the order may have taken effect, which only reading the engine's state shows.
 type Uncertain struct{}
 
 func (Accepted) result()  {}
 func (Refused) result()   {}
 func (Uncertain) result() {}
 
-// RecordResult takes the end of an order.
+// RecordResult records the result of an order.
 func (p *Placer) RecordResult(address string, result Result, now time.Time) {
 	if r, refused := result.(Refused); refused && r.Limited {
 		p.loadBucket.block(max(r.RetryAfter, p.cfg.RetryAfter), now)
@@ -159,7 +160,7 @@
 	}
 }
 
-// Unsettled lists the engines whose last order's end is uncertain: they should be read back at once.
+// Unsettled lists the engines whose last order had an uncertain result. Their state should be read at once.
 func (p *Placer) Unsettled() []string {
 	var addresses []string
 	for _, address := range p.addresses {
@@ -170,21 +171,21 @@
 	return addresses
 }
 
-// OrderInFlight tells that an order to the engine is under way.
+// OrderInFlight reports whether an order to the engine is in flight.
 func (p *Placer) OrderInFlight(address string) bool {
 	e, known := p.engines[address]
 	return known && e.pending != nil && e.resultAt.IsZero()
 }
 
-// MarkDoubtful tells that an engine failed a call, as one does that was given another model.
+// MarkDoubtful records that an engine failed a call, as an engine does that has been given another model.
 func (p *Placer) MarkDoubtful(address string) {
 	if e, known := p.engines[address]; known {
 		e.doubtful = true
 	}
 }
 
-// CannotServe tells that an engine does not serve a model: its state was read a short time ago, and is another model or one
-// that it is still loading; or it failed a call since, and is to be read before it gets another.
+// CannotServe reports whether an engine does not serve the model: either its recently read state has another model or
+// one that is still loading, or it has failed a call since and must be read again before it gets another one.
 func (p *Placer) CannotServe(address, model string, now time.Time) bool {
 	e, known := p.engines[address]
 	if !known || e.state.Model == "" || now.Sub(e.readAt) > p.cfg.StateMaxAge {
--- a/placer/placer_test.go
+++ b/placer/placer_test.go
@@ -14,22 +14,22 @@
 	return placement(placed("a", least, 1), placed("b", least, 1))
 }
 
-// One model's backlog surges while the other is quiet. Engines move to it, at the weight store's rate and never the
-// quiet one's last; when the surge is over they come back, and no engine moves under a steady demand.
-func TestASurgeMovesCapacityAndBack(t *testing.T) {
+// The backlog of one model surges while the other is idle. Engines must move to it at the weight store's rate, never
+// taking the idle model's last one, and return after the surge. No engine may move under a steady demand.
+func TestSurgeMovesEnginesAndBack(t *testing.T) {
 	w := newSimulation(t, modelsAB(1), append(repeat("a", 5), repeat("b", 5)...)...)
 	w.run(time.Minute)
 	require.Equal(t, []int{5, 5}, w.copies("a", "b"))
-	require.Empty(t, w.loads, "a quiet pool stays as it is")
+	require.Empty(t, w.loads, "an idle pool does not change")
 
 	w.demand["b"] = 50_000
 	w.run(DefaultMoveDelay)
-	require.Empty(t, w.loads, "a burst moves nothing")
+	require.Empty(t, w.loads, "a short burst moves no engine")
 	w.run(time.Minute)
 	require.Equal(t, []int{1, 9}, w.copies("a", "b"))
 	moved := len(w.loads)
 	w.run(10 * time.Minute)
-	require.Len(t, w.loads, moved, "a steady demand moves nothing")
+	require.Len(t, w.loads, moved, "a steady demand moves no engine")
 	require.Equal(t, 1, w.minServing["a"])
 
 	w.demand["b"] = 0
@@ -38,8 +38,8 @@
 	w.requireLoadLimit(1, 2)
 }
 
-// Whatever the demand, placement and engines, a model in use that had an engine serving it always has one, the weight
-// store is never asked for more than its rate, and a steady demand comes to rest.
+// For any demand, placement and engines: a model in use that had a serving engine always has one, the weight store is
+// never asked for more than its rate, and a steady demand leads to a state without further loads.
 func TestInvariants(t *testing.T) {
 	names := []string{"a", "b", "c", ""}
 	rapid.Check(t, func(r *rapid.T) {
@@ -72,10 +72,10 @@
 	})
 }
 
-// A new orderer finds an empty pool with two models in demand. Each gets a first copy, and the rest goes
-// out in the order of the demand that it serves: one at once and then one a second, since the store's burst may have
-// been spent by the orderer before.
-func TestLoadsGoInOrderOfDemand(t *testing.T) {
+// A new orderer finds an empty pool with two models in demand. Each must get a first copy, and the other engines must
+// be loaded in order of the demand served: one at once and then one a second, since the previous orderer may have spent
+// the store's burst.
+func TestLoadsAreOrderedByDemand(t *testing.T) {
 	w := newSimulation(t, modelsAB(0), repeat("", 6)...)
 	w.demand["a"], w.demand["b"] = 1_000, 20_000
 	w.inUse["a"], w.inUse["b"] = true, true
@@ -92,8 +92,9 @@
 	w.requireLoadLimit(1, 2)
 }
 
-// The store says that it has had enough. No load of the pool is ordered until the time that it named.
-func TestALimitedStoreIsLeftAlone(t *testing.T) {
+// The weight store reports that it is at its limit. No load of the pool may be ordered before the retry time that it
+// stated.
+func TestNoLoadsWhileStoreIsLimited(t *testing.T) {
 	w := newSimulation(t, modelsAB(1), repeat("", 4)...)
 	orders := 0
 	w.deliver = func(Order) (Result, bool) {
@@ -107,16 +108,16 @@
 	require.Equal(t, []int{2, 2}, w.copies("a", "b"))
 }
 
-// Orders go wrong. In each case the pool ends as the placement says, and with no more loads than engines: an order
-// that took effect is not given again.
-func TestEndsOfOrders(t *testing.T) {
+// Orders fail. In each case the pool must end up as the placement says, with no more loads than engines, since an order that
+// took effect must not be repeated.
+func TestFailedOrders(t *testing.T) {
 	scenarios := []struct {
 		testName string
 		result   Result
 		arrives  bool
 	}{
-		{"reply lost after it took effect", Uncertain{}, true},
-		{"lost on its way", Uncertain{}, false},
+		{"reply lost after the order took effect", Uncertain{}, true},
+		{"order lost in transit", Uncertain{}, false},
 		{"refused", Refused{}, false},
 	}
 	for _, s := range scenarios {
@@ -136,10 +137,10 @@
 	}
 }
 
-// An orderer was paused with an order on its way, and its successor has put another model there. Then the old order
-// arrives. An engine that honours the number refuses it, also one that the successor had no change for; one that
-// ignores it loads the wrong model, and the successor, which reads it back, sets the pool right.
-func TestALateOrderOfAnOlderOrderer(t *testing.T) {
+// An orderer is paused with an order in transit, and its successor puts another model on the engine before the order
+// arrives. An engine that honours fencing numbers must refuse it, even if the successor had no change for that engine.
+// An engine that ignores them loads the wrong model, and the successor must read this and correct it.
+func TestLateOrderOfPreviousOrderer(t *testing.T) {
 	for _, ignores := range []bool{false, true} {
 		t.Run(map[bool]string{false: "honours", true: "ignores"}[ignores], func(t *testing.T) {
 			w := newSimulation(t, modelsAB(2), "a", "a", "b", "b")
@@ -153,52 +154,53 @@
 			w.run(time.Minute)
 			require.Equal(t, []int{2, 2}, w.copies("a", "b"))
 			if !ignores {
-				require.Equal(t, int64(7), w.engines["e00"].state.Fence, "told of the number without a change")
+				require.Equal(t, int64(7), w.engines["e00"].state.Fence, "sent the number without a change")
 				require.Empty(t, w.loads)
 			}
 		})
 	}
 }
 
-// This entry's lease is over, but it has not read so. An engine's number shows that a newer orderer is at work.
-func TestANewerOrderersEnginesAreLeftAlone(t *testing.T) {
+// This entry's lease has ended, but the entry does not know it yet. An engine's fencing number shows that a newer
+// orderer is active.
+func TestNoOrdersToEnginesOfNewerOrderer(t *testing.T) {
 	w := newSimulation(t, modelsAB(2), "a", "a", "a", "a")
 	for _, e := range w.engines {
 		e.state.Fence = 8
 	}
 	w.deliver = func(Order) (Result, bool) {
-		require.Fail(t, "an order was given")
+		require.Fail(t, "an order was sent")
 		return nil, false
 	}
 	w.run(time.Minute)
 }
 
-// An order is under way, or its reply was lost. Readings that were asked for before it ended show the state from
-// before: taken for the order's failure, they would have the same weights loaded once more.
-func TestOnlyALaterReadingSettlesAnOrder(t *testing.T) {
+// An order is in flight, or its reply was lost. Reads sent before its result show the previous state. If they counted
+// as a failure of the order, the same weights would be loaded once more.
+func TestOnlyLaterReadSettlesOrder(t *testing.T) {
 	w := newSimulation(t, placement(placed("a", 1, 1)), "")
 	old := w.engines["e00"].state
 	w.placer.SetEngines(w.addresses)
 	w.placer.ObserveState("e00", old, w.now, w.now)
 	orders := func() []Order { return w.placer.Orders(w.placed, w.inUse, w.lease, w.now) }
-	given := orders()
-	require.Len(t, given, 1)
-	asked := w.now.Add(time.Second)
+	sent := orders()
+	require.Len(t, sent, 1)
+	requestedAt := w.now.Add(time.Second)
 	w.now = w.now.Add(2 * time.Second)
-	w.placer.ObserveState("e00", old, asked, w.now)
-	require.Empty(t, orders(), "under way")
+	w.placer.ObserveState("e00", old, requestedAt, w.now)
+	require.Empty(t, orders(), "in flight")
 	w.placer.RecordResult("e00", Uncertain{}, w.now)
-	w.placer.ObserveState("e00", old, asked, w.now)
+	w.placer.ObserveState("e00", old, requestedAt, w.now)
 	require.Empty(t, orders(), "not read since")
 	require.Equal(t, []string{"e00"}, w.placer.Unsettled())
 	w.now = w.now.Add(time.Second)
-	w.placer.ObserveState("e00", given[0].State, w.now, w.now)
+	w.placer.ObserveState("e00", sent[0].State, w.now, w.now)
 	require.Empty(t, orders(), "it took effect")
 	require.Empty(t, w.placer.Unsettled())
 }
 
-// The only copy of a model in use is of an old version. It goes on serving until another engine serves the new one.
-func TestTheOnlyCopyIsUpgradedBehindAnother(t *testing.T) {
+// The only copy of a model in use has an old version. It must keep serving until another engine serves the new one.
+func TestOnlyCopyIsUpgradedAfterAnotherServes(t *testing.T) {
 	p := placement(placed("a", 1, 1), placed("b", 1, 1))
 	p.Models[0].Version = "2"
 	w := newSimulation(t, p, "a", "b", "b")
@@ -212,8 +214,8 @@
 	}
 }
 
-// A role changes: no weights are loaded for it.
-func TestARoleNeedsNoLoad(t *testing.T) {
+// A role change must not load weights.
+func TestRoleChangeNeedsNoLoad(t *testing.T) {
 	p := modelsAB(1)
 	p.Models[0].Role = publisher.RolePrefill
 	w := newSimulation(t, p, "a", "b")
@@ -222,13 +224,14 @@
 	require.Empty(t, w.loads)
 }
 
-// An engine was not heard of for a while. It may be gone, so the other one is the last copy and is not taken.
-func TestAnUnheardCopyDoesNotCount(t *testing.T) {
+// An engine has not been read for a while and may be gone. The other engine is then the last copy and must not be
+// taken.
+func TestStaleCopyDoesNotCount(t *testing.T) {
 	w := newSimulation(t, modelsAB(0), "a", "a", "b")
 	w.run(time.Second)
-	silent := w.now
+	lastRead := w.now
 	for range 600 {
-		if w.now.Sub(silent) > DefaultStateMaxAge-DefaultMoveDelay {
+		if w.now.Sub(lastRead) > DefaultStateMaxAge-DefaultMoveDelay {
 			w.demand["b"] = 100_000
 		}
 		w.now = w.now.Add(stepTime)
--- a/placer/survey.go
+++ b/placer/survey.go
@@ -7,20 +7,22 @@
 	"geraniumline/publisher"
 )
 
-// model is what a survey knows of one model.
+// model is the state of one model in a survey.
 type model struct {
 	name string
-	// placed is the placement's line, nil for a model that engines hold and the placement does not name.
+	// placed is the model's line in the placement. It is nil for a model that engines hold but the placement does not
+	// name.
 	placed *publisher.PlacedModel
 	inUse  bool
-	// demand is the smoothed backlog with the part that the weight stands for.
+	// demand is the smoothed backlog plus the baseline demand for the model's weight.
 	demand float64
-	// copies are the engines that hold the model or go to it; ready those that surely serve it now.
+	// copies counts the engines that hold the model or are changing to it, and ready those that certainly serve it now.
 	copies int
 	ready  int
 }
 
-// least is how many copies the model must have: one at least if a pipeline names it, or its requests could not run.
+// minCopies returns the number of copies that the model must have. It is at least one if a pipeline names the model, or
+// its requests could not run.
 func (m *model) minCopies() int {
 	switch {
 	case m.placed == nil:
@@ -32,29 +34,29 @@
 	}
 }
 
-// unserved tells that requests wait for the model and no engine holds it.
+// unserved reports whether the model is in use and no engine holds it.
 func (m *model) unserved() bool { return m.inUse && m.copies == 0 }
 
-// gain is the demand by copy that one more copy would serve.
+// gain returns the demand per copy that one more copy would serve.
 func (m *model) gain() float64 { return m.demand / float64(m.copies+1) }
 
-// survey is the pool as it stands in one round of decisions, with the moves that were decided in it.
+// survey is the state of the pool in one round of decisions, including the loads decided in that round.
 type survey struct {
 	cfg    Config
 	lease  Lease
 	now    time.Time
 	models map[string]*model
-	// names are the models by name.
+	// names holds the names of the models in sorted order.
 	names []string
-	// idle are the engines that may be given an order, and taken those that were in this round.
+	// available holds the engines that may be sent an order, and assigned those that were sent one in this round.
 	available []*engine
 	assigned  map[*engine]bool
-	// pressed are the models that have been due an engine of another for long enough.
-	pressured map[string]bool
+	// moveDue holds the models that have been due an engine of another model for long enough.
+	moveDue map[string]bool
 }
 
 func (p *Placer) survey(placement *publisher.Placement, inUse map[string]bool, lease Lease, now time.Time) *survey {
-	s := &survey{cfg: p.cfg, lease: lease, now: now, models: map[string]*model{}, assigned: map[*engine]bool{}, pressured: map[string]bool{}}
+	s := &survey{cfg: p.cfg, lease: lease, now: now, models: map[string]*model{}, assigned: map[*engine]bool{}, moveDue: map[string]bool{}}
 	weights := 0.0
 	for i := range placement.Models {
 		weights += placement.Models[i].Weight
@@ -95,18 +97,19 @@
 			m.ready++
 		}
 	}
-	// An engine whose number is above this lease's has heard of a newer orderer: this one's time is over, though
-	// it has not read so yet.
+	// A fencing number above that of this lease shows that the engine follows a newer orderer: this entry's lease has
+	// ended, although the entry does not know it yet.
 	if e.current(s.now, s.cfg.StateMaxAge) && !s.now.Before(e.retryAt) && e.state.Fence <= s.lease.Fence {
 		s.available = append(s.available, e)
 	}
 }
 
-// serving tells that an engine surely serves its model now. All idle engines are sure.
+// serving reports whether the engine certainly serves its model now. It requires a current state, as all available
+// engines have.
 func (e *engine) serving() bool { return e.state.Model != "" && !e.state.Loading }
 
-// spare tells whether an engine can be taken from its model without harm: it is not the last one that serves a model
-// in use. Copies that are still loading, or were not heard of lately, do not count.
+// canSpare reports whether an engine can be taken from its model without harm, that is, whether it is not the last one
+// to serve a model in use. Copies that are still loading or were not read recently do not count.
 func (s *survey) canSpare(e *engine) bool {
 	m := s.models[e.state.Model]
 	if m == nil || !e.serving() {
@@ -115,7 +118,7 @@
 	return m.ready > 1 || !m.inUse && m.minCopies() == 0
 }
 
-// move notes a load that was decided.
+// apply records a load that was decided.
 func (s *survey) apply(l load) {
 	if from := s.models[l.engine.state.Model]; from != nil {
 		from.copies--
--- a/placer/world_test.go
+++ b/placer/world_test.go
@@ -16,7 +16,7 @@
 	loadTime = 2 * time.Second
 )
 
-// sim is an engine of the model: it loads, and it honours or ignores the fencing number.
+// simEngine simulates an engine, which loads models and either honours or ignores fencing numbers.
 type simEngine struct {
 	state       Assignment
 	loadedAt    time.Time
@@ -42,7 +42,7 @@
 	return true
 }
 
-// world is a pool whose engines are read back and ordered each step.
+// simulation is a pool whose engines are read and sent orders in each step.
 type simulation struct {
 	t         *testing.T
 	now       time.Time
@@ -53,11 +53,11 @@
 	demand    map[string]float64
 	inUse     map[string]bool
 	lease     Lease
-	// loads are the instants at which loads began.
+	// loads holds the times at which loads began.
 	loads []time.Time
-	// lowest is the least number of engines that served a model in use.
+	// minServing is the smallest number of engines that served each model in use.
 	minServing map[string]int
-	// deliver says how an order ends, if a test cares; it tells whether the engine is to get it.
+	// deliver determines the result of an order if a test sets it, and reports whether the engine receives the order.
 	deliver func(o Order) (Result, bool)
 }
 
@@ -69,7 +69,8 @@
 	return publisher.PlacedModel{Model: name, Version: "1", Role: publisher.RoleBoth, MinCopies: least, Weight: weight}
 }
 
-// newWorld has engines that hold the models named, in this order; an empty name is an engine without a model.
+// newSimulation returns a pool with engines that hold the given models, in this order. An empty name is an engine
+// without a model.
 func newSimulation(t *testing.T, p *publisher.Placement, holds ...string) *simulation {
 	w := &simulation{
 		t: t, now: time.UnixMilli(1_800_000_000_000), placer: New(Config{LoadsPerSecond: 1, LoadBurst: 2}), placed: p,
@@ -145,7 +146,7 @@
 	}
 }
 
-// withinLimit tells that no span of time saw more loads than the weight store allows.
+// requireLoadLimit checks that no period had more loads than the weight store allows.
 func (w *simulation) requireLoadLimit(rate float64, burst int) {
 	w.t.Helper()
 	for i := range w.loads {
