--- a/placer/engine.go
+++ b/placer/engine.go
@@ -52,8 +52,8 @@
 }
 
 // current reports whether the engine's state was read recently and no order is pending that changes it.
-func (e *engine) current(now time.Time, freshFor time.Duration) bool {
-	return e.pending == nil && !e.readAt.IsZero() && now.Sub(e.readAt) < freshFor
+func (e *engine) current(now time.Time, maxAge time.Duration) bool {
+	return e.pending == nil && !e.readAt.IsZero() && now.Sub(e.readAt) < maxAge
 }
 
 func assignmentOf(m *publisher.PlacedModel) Assignment {
--- a/placer/order.go
+++ b/placer/order.go
@@ -6,7 +6,7 @@
 	"geraniumline/publisher"
 )
 
-// Order is the full desired state of one engine, so that a repeated or late order has no further effect.
+// Order is the full desired state of one engine, so that an order which arrives twice or late has no further effect.
 type Order struct {
 	Address string
 	State   Assignment
--- a/regulator/regulator.go
+++ b/regulator/regulator.go
@@ -107,8 +107,8 @@
 			delete(r.limits, id)
 		}
 	}
-	for id, known := range r.rests {
-		if !listed(id, known.started) {
+	for id, current := range r.rests {
+		if !listed(id, current.started) {
 			delete(r.rests, id)
 		}
 	}
@@ -141,19 +141,19 @@
 // extendRest records the end of a rest and reports whether the endpoint was not resting before. A later refusal never
 // shortens a rest that an earlier one asked for.
 func (r *Regulator) extendRest(e *registrar.Endpoint, until, now time.Time) bool {
-	known, rested := r.rests[e.ID]
-	if rested && known.until.After(until) {
+	previous, rested := r.rests[e.ID]
+	if rested && previous.until.After(until) {
 		return false
 	}
 	r.rests[e.ID] = rest{started: e.Started, until: until}
-	return !rested || !known.until.After(now)
+	return !rested || !previous.until.After(now)
 }
 
 // RestingEndpoints lists the endpoints that have asked this entry for a rest which has not ended.
 func (r *Regulator) RestingEndpoints(now time.Time) []string {
 	var ids []string
-	for id, known := range r.rests {
-		if !known.until.After(now) {
+	for id, current := range r.rests {
+		if !current.until.After(now) {
 			delete(r.rests, id)
 			continue
 		}
