--- a/placer/order.go
+++ b/placer/order.go
@@ -6,44 +6,44 @@
 	"geraniumline/publisher"
 )
 
-// Order is one engine's full desired state, so that an order which comes twice or late does no more than its first.
+// Order is the full desired state of one engine, so that an order which arrives twice or late has no further effect.
 type Order struct {
 	Address string
 	State   Assignment
-	// Load tells that the engine has to load weights for it.
+	// Load is set if the engine must load weights to carry out the order.
 	Load bool
-	// ServedDemand is the demand by copy that the load is for, in endpoint milliseconds.
+	// ServedDemand is the demand per copy that the load serves, in endpoint milliseconds.
 	ServedDemand float64
 }
 
-// Lease is the orderer's right to order.
+// Lease is the right of an orderer to send orders.
 type Lease struct {
-	// Fence is the number of the orders given now.
+	// Fence is the fencing number of orders sent now.
 	Fence int64
-	// Granted is the number with which this orderer's time began.
+	// Granted is the fencing number with which this orderer's lease began.
 	Granted int64
 }
 
-// Orders gives the orders to send now, loads in the order of the demand that they serve. Each engine that is given
-// one is left alone until Ended, and Observe where the end was uncertain.
+// Orders returns the orders to send now, with loads sorted by the demand that they serve. An engine that is sent an
+// order gets no other one until RecordResult, and if the result was uncertain until ObserveState.
 //
-// InUse holds the models that a pipeline names: the last copy of one of them that serves is never taken.
+// inUse holds the models that a pipeline names. The last serving copy of such a model is never taken.
 func (p *Placer) Orders(placement *publisher.Placement, inUse map[string]bool, lease Lease, now time.Time) []Order {
 	if p.granted != lease.Granted {
 		p.granted = lease.Granted
-		p.loads.restart()
+		p.loadBucket.reset()
 	}
 	s := p.survey(placement, inUse, lease, now)
-	orders := s.settings()
-	p.notePressed(s, now)
-	p.loads.fill(now)
-	for p.loads.ready(now) {
+	orders := s.ordersWithoutLoad()
+	p.trackDueMoves(s, now)
+	p.loadBucket.refill(now)
+	for p.loadBucket.ready(now) {
 		best, found := s.nextLoad()
 		if !found {
 			break
 		}
-		p.loads.spend()
-		s.move(best)
+		p.loadBucket.spend()
+		s.apply(best)
 		orders = append(orders, best.order(lease.Fence))
 	}
 	for i := range orders {
@@ -53,17 +53,18 @@
 }
 
 func (e *engine) order(state Assignment) {
-	e.wanted = &state
-	e.ended = time.Time{}
+	e.pending = &state
+	e.resultAt = time.Time{}
 }
 
-// settings gives the orders that need no load: another role, and the fencing number of a new orderer.
+// ordersWithoutLoad returns the orders that need no load: role changes, and the fencing number of a new orderer.
 //
-// An engine that has only seen the predecessor's number would take a late order of it. A new orderer so begins with
-// an order of the state that the engine is in, under its own number; after that the engine refuses older ones.
-func (s *survey) settings() []Order {
+// An engine that has only seen the previous orderer's number would accept a late order from it. A new orderer therefore
+// starts by ordering the state that the engine is already in, under its own number. After that the engine refuses older
+// orders.
+func (s *survey) ordersWithoutLoad() []Order {
 	var orders []Order
-	for _, e := range s.idle {
+	for _, e := range s.available {
 		if e.state.Model == "" {
 			continue
 		}
@@ -72,25 +73,25 @@
 		if m := s.models[e.state.Model]; m != nil && m.placed != nil {
 			state.Role = m.placed.Role
 		}
-		if state.Role == e.state.Role && max(e.state.Fence, e.told) >= s.lease.Granted {
+		if state.Role == e.state.Role && max(e.state.Fence, e.confirmedFence) >= s.lease.Granted {
 			continue
 		}
 		state.Fence = s.lease.Fence
-		s.taken[e] = true
+		s.assigned[e] = true
 		orders = append(orders, Order{Address: e.address, State: state})
 	}
 	return orders
 }
 
-// load is one engine's change to a model.
+// load is the change of one engine to a model.
 type load struct {
-	engine *engine
-	model  *model
-	serves float64
+	engine       *engine
+	model        *model
+	servedDemand float64
 }
 
 func (l *load) order(fence int64) Order {
-	state := wantedOf(l.model.placed)
+	state := assignmentOf(l.model.placed)
 	state.Fence = fence
-	return Order{Address: l.engine.address, State: state, Load: true, ServedDemand: l.serves}
+	return Order{Address: l.engine.address, State: state, Load: true, ServedDemand: l.servedDemand}
 }
