--- a/assembler/explain_test.go
+++ b/assembler/explain_test.go
@@ -84,8 +84,8 @@
 	for _, line := range report.Lines {
 		steps[line.Message]++
 	}
-	require.Equal(t, 2, steps["stage asked for"])
-	require.Equal(t, 1, steps["stage done"])
+	require.Equal(t, 2, steps["stage delegated"])
+	require.Equal(t, 1, steps["stage completed"])
 	require.Positive(t, steps["call for pieces failed"])
 
 	f.fail("plain", imitator.Broken, -1)
@@ -95,7 +95,7 @@
 	text := logs.text()
 	require.NotContains(t, text, imitator.Key)
 	require.NotContains(t, text, "body-that-is-private")
-	for _, message := range []string{"started", "configuration in force", "peer changed"} {
+	for _, message := range []string{"started", "configuration in force", "peer state changed"} {
 		require.Contains(t, text, fmt.Sprintf("%q", message))
 	}
 }
--- a/forwarder/addresses.go
+++ b/forwarder/addresses.go
@@ -9,32 +9,34 @@
 )
 
 const (
-	// maxAddresses is the most addresses that a caller takes from one answer.
+	// maxAddresses is the largest number of addresses that a caller accepts in one response.
 	maxAddresses = 64
-	// youngTime is how long after its start an entry may not have heard of its peers yet; its answers are short-lived
-	// until then, so that callers do not stay with the few entries it knows.
-	youngTime = 2 * time.Second
-	youngTTL  = 500 * time.Millisecond
+	// startupPeriod is how long after its start an entry may not have discovered its peers. Its responses have the
+	// short startupTTL until then, so that callers do not stay with the few entries it knows.
+	startupPeriod = 2 * time.Second
+	startupTTL    = 500 * time.Millisecond
 )
 
-// nearest leaves the entries in the caller's region, if there are any: a body that may not leave its homes must not be sent
-// to an entry that is neither there nor where its caller is. Without one there the host's homes are next, then all.
-func (f *Forwarder) nearest(members []detector.Member, region string, homes []string) []detector.Member {
+// nearestMembers returns the entries in the caller's region if there are any: a body that may not leave its home
+// regions must not be sent to an entry that is neither there nor in the caller's region. Otherwise it returns the
+// entries in the host's home regions, or else all.
+func (f *Forwarder) nearestMembers(members []detector.Member, region string, homes []string) []detector.Member {
 	for _, regions := range [][]string{{region}, homes} {
-		var near []detector.Member
+		var matching []detector.Member
 		for _, m := range members {
 			if at := f.cfg.Regions[m.Zone]; at != "" && slices.Contains(regions, at) {
-				near = append(near, m)
+				matching = append(matching, m)
 			}
 		}
-		if len(near) > 0 {
-			return near
+		if len(matching) > 0 {
+			return matching
 		}
 	}
 	return members
 }
 
-// Addresses gives the addresses of entries that callers of a host in a region should use, and how long they may keep them.
+// Addresses returns the addresses of entries that callers of a host in a region should use, and how long callers may
+// cache them.
 func (f *Forwarder) Addresses(host, region string, now time.Time) ([]string, time.Duration) {
 	f.mu.Lock()
 	members := f.detector.Members()
@@ -50,19 +52,19 @@
 		}
 	}
 	if len(live) == 0 {
-		// Entries in a planned stop still answer; with no other one that is better than nothing.
+		// Entries in a planned stop still serve requests, and are used if there are no others.
 		live = stopping
 	}
 	if catalog != nil {
-		live = f.nearest(live, region, catalog.Homes(host))
+		live = f.nearestMembers(live, region, catalog.Homes(host))
 	}
 	addresses := make([]string, len(live))
 	for i, m := range live {
 		addresses[i] = m.CallerAddress
 	}
 	ttl := f.cfg.AddressTTL
-	if now.Sub(f.began) < youngTime {
-		ttl = min(ttl, youngTTL)
+	if now.Sub(f.startTime) < startupPeriod {
+		ttl = min(ttl, startupTTL)
 	}
 	rand.Shuffle(len(addresses), func(i, j int) { addresses[i], addresses[j] = addresses[j], addresses[i] })
 	return slices.Clip(addresses[:min(len(addresses), maxAddresses)]), ttl
--- a/forwarder/attempt.go
+++ b/forwarder/attempt.go
@@ -9,15 +9,16 @@
 	"geraniumline/selector"
 )
 
-// giveUp tells the truth of a request that no further endpoint is tried for.
+// giveUp returns the failure for a request that is not sent to any further endpoint. It promises that the request has
+// not run only if that is certain.
 func (x *exchange) giveUp(reason string) *FailureError {
 	if x.runs > 0 {
 		return mayHaveRun(reason)
 	}
-	return notRun(reason, soon())
+	return notRun(reason, shortRetryDelay())
 }
 
-// noEndpoint ends a request that no endpoint takes now.
+// noEndpoint returns the failure for a request that no endpoint accepts at present.
 func (x *exchange) noEndpoint() *FailureError {
 	if x.runs > 0 {
 		return mayHaveRun("noEndpoint")
@@ -25,103 +26,104 @@
 	now := time.Now()
 	x.f.mu.Lock()
 	defer x.f.mu.Unlock()
-	held, all := x.f.selector.HeldBack(x.service.Name, x.homes, now)
+	held, all := x.f.selector.HeldBack(x.service.Name, x.allowedRegions, now)
 	if !all {
-		return notRun("noEndpoint", soon())
+		return notRun("noEndpoint", shortRetryDelay())
 	}
-	return notRun("endpointsHeldBack", x.f.heldReturn(x.service.Name, held, x.priority, now))
+	return notRun("endpointsHeldBack", x.f.heldBackRetryDelay(x.service.Name, held, x.priority, now))
 }
 
-// checkHeld refuses a request with stages before they are done whose service takes no call before it would be late.
-func (x *exchange) checkHeld() *FailureError {
+// checkHeldBack refuses a request before its stages run if the endpoints of its service accept no call before it is
+// due.
+func (x *exchange) checkHeldBack() *FailureError {
 	now := time.Now()
 	x.f.mu.Lock()
 	defer x.f.mu.Unlock()
-	held, all := x.f.selector.HeldBack(x.service.Name, x.homes, now)
+	held, all := x.f.selector.HeldBack(x.service.Name, x.allowedRegions, now)
 	if !all || held.Here && held.Until.Before(x.due) {
 		return nil
 	}
-	return notRun("endpointsHeldBack", x.f.heldReturn(x.service.Name, held, x.priority, now))
+	return notRun("endpointsHeldBack", x.f.heldBackRetryDelay(x.service.Name, held, x.priority, now))
 }
 
-// failed decides what follows an exchange without a whole answer. It tells whether the request has ended.
-func (x *exchange) failed(choice selector.Choice, err error) (bool, *FailureError) {
+// handleFailure handles an exchange without a complete response. It reports whether the request has ended.
+func (x *exchange) handleFailure(choice selector.Choice, err error) (bool, *FailureError) {
 	if x.callerGone() {
-		x.cancel(choice)
+		x.cancelCall(choice)
 		return true, mayHaveRun("callerGone")
 	}
 	var unsent *connector.UnsentError
 	if errors.As(err, &unsent) {
-		x.endUnsent(choice, unsent)
-		x.sends--
+		x.endUnsentCall(choice, unsent)
+		x.attempts--
 		if x.ctx.Err() != nil {
 			return true, x.giveUp("timeout")
 		}
 		return false, nil
 	}
 	x.runs++
-	x.end(choice, ejector.Bad, true)
-	x.brokenAt(choice.Endpoint)
+	x.endCall(choice, ejector.Bad, true)
+	x.checkCrash(choice.Endpoint)
 	if x.ctx.Err() != nil {
 		return true, timedOut()
 	}
-	if x.againAfterRun() {
+	if x.mayRetryAfterRun() {
 		return false, nil
 	}
 	return true, mayHaveRun("endpointBroke")
 }
 
-// againAfterRun tells whether the request may run once more.
-func (x *exchange) againAfterRun() bool {
-	return x.route.Repeatable() && x.runs < x.route.MaxAttempts && x.left(time.Now()) > 0
+// mayRetryAfterRun reports whether the request may run once more.
+func (x *exchange) mayRetryAfterRun() bool {
+	return x.route.Repeatable() && x.runs < x.route.MaxAttempts && x.remaining(time.Now()) > 0
 }
 
-// end gives an endpoint's call back, and logs a change of its state.
-func (x *exchange) end(choice selector.Choice, end ejector.End, bad bool) {
+// endCall records the end of a call with the selector, and logs a change of the endpoint's health.
+func (x *exchange) endCall(choice selector.Choice, end ejector.End, bad bool) {
 	now := time.Now()
 	x.f.mu.Lock()
 	changed := x.f.selector.Ended(choice, end, now)
 	x.f.mu.Unlock()
 	if changed {
-		x.f.logJudged(x.service.Name, choice.Endpoint, bad)
+		x.f.logHealthChange(x.service.Name, choice.Endpoint, bad)
 	}
 }
 
-// endRefused gives back a call that its endpoint has refused unrun.
-func (x *exchange) endRefused(choice selector.Choice) {
+// endRefusedCall records a call that the endpoint refused without running it.
+func (x *exchange) endRefusedCall(choice selector.Choice) {
 	now := time.Now()
 	x.f.mu.Lock()
 	changed := x.f.selector.Refused(choice, now)
 	x.f.mu.Unlock()
 	if changed {
-		x.f.logJudged(x.service.Name, choice.Endpoint, false)
+		x.f.logHealthChange(x.service.Name, choice.Endpoint, false)
 	}
 }
 
-// endUnsent judges an endpoint that could not be connected to. Only a refused connection proves that nothing serves
-// there: when this VM loses its network, calls to all endpoints come to nothing, and taken for dead they would stay out
-// of use for seconds after its return.
-func (x *exchange) endUnsent(choice selector.Choice, unsent *connector.UnsentError) {
+// endUnsentCall records a call to an endpoint that could not be connected to. Only a refused connection proves that
+// no process listens there. When this VM loses its network, calls to all endpoints fail, and if they were considered
+// down they would stay out of use for seconds after the network returns.
+func (x *exchange) endUnsentCall(choice selector.Choice, unsent *connector.UnsentError) {
 	end := ejector.Bad
 	if unsent.Refused() {
 		end = ejector.Down
 	}
-	x.end(choice, end, true)
+	x.endCall(choice, end, true)
 }
 
-// endTimed judges an answered call by its time.
-func (x *exchange) endTimed(choice selector.Choice, bad bool, took time.Duration) {
+// endTimedCall records a completed call, judged by its duration.
+func (x *exchange) endTimedCall(choice selector.Choice, bad bool, took time.Duration) {
 	end := ejector.Bad
 	if !bad {
 		x.f.mu.Lock()
 		end = x.f.selector.Judge(choice, took, x.route.Objective)
 		x.f.mu.Unlock()
 	}
-	x.end(choice, end, end != ejector.Good)
+	x.endCall(choice, end, end != ejector.Good)
 }
 
-// cancel gives an endpoint's call back that says nothing of the endpoint.
-func (x *exchange) cancel(choice selector.Choice) {
+// cancelCall releases a call whose outcome says nothing about the endpoint.
+func (x *exchange) cancelCall(choice selector.Choice) {
 	x.f.mu.Lock()
 	x.f.selector.Cancelled(choice)
 	x.f.mu.Unlock()
--- a/forwarder/availability.go
+++ b/forwarder/availability.go
@@ -8,22 +8,22 @@
 	"geraniumline/registrar"
 )
 
-// evacuatedReturn is when a caller should come back whose request has no endpoint that may get new work. Evacuations last for
-// seconds and more; a second or two later the caller has most of its time left.
-const evacuatedReturn = 1500 * time.Millisecond
+// evacuatedRetryDelay is the retry delay for a request without any endpoint that may receive new work. Evacuations
+// last for seconds or more; after a second or two the caller still has most of its time left.
+const evacuatedRetryDelay = 1500 * time.Millisecond
 
-// availability tells where each service's endpoints may get new work.
+// availability counts where each service's endpoints may receive new work.
 type availability struct {
-	// inService counts the endpoints of each service that are in service by their own entries, usable those of them by region
-	// that may get new work.
+	// inService counts the endpoints of each service whose own records are in service; usable counts those of them
+	// that may receive new work, by service and region.
 	inService map[string]int
 	usable    map[string]map[string]int
-	// evacuated are the addresses of evacuated endpoints.
+	// evacuated holds the addresses of evacuated endpoints.
 	evacuated map[string]bool
 }
 
-// serves tells whether a service has an endpoint that may get new work in one of the regions; nil stands for all. A service
-// without any endpoint counts as served: one may come within a moment.
+// serves reports whether a service has an endpoint that may receive new work in one of the regions; nil allows all. A
+// service without any endpoint counts as served, since one may be registered within a moment.
 func (a *availability) serves(service string, regions []string) bool {
 	if a.inService[service] == 0 {
 		return true
@@ -36,8 +36,9 @@
 	return false
 }
 
-// usable lists the endpoints that may get new work: every call, piece and retry goes to one of these. Endpoints of evacuated
-// zones are not among them, nor those whose answers say that they leave: the store may not know so yet. The lock is held.
+// usable returns the endpoints that may receive new work, and updates the availability of the services. All calls,
+// pieces and retries go to these endpoints. Endpoints in evacuated zones are excluded, and so are those whose
+// responses announce that they leave, which the store may not show yet. The lock must be held.
 func (f *Forwarder) usable(now time.Time) []registrar.Endpoint {
 	f.regulator.Keep(f.registry.Lists)
 	all := slices.DeleteFunc(f.registry.Usable(), func(e registrar.Endpoint) bool { return f.regulator.Leaving(e.ID) })
@@ -65,9 +66,10 @@
 	return list
 }
 
-// coldUntil is when an endpoint's slow start ends. Endpoints may be cold when an evacuation of their zone is cancelled, and
-// their entries say so only after the operator's record has come: sent to as before meanwhile, a whole zone of them would
-// crash. So they are taken for cold for as long as a slow start lasts. The lock is held.
+// coldUntil returns when an endpoint's slow start ends. Endpoints may be cold when the evacuation of their zone is
+// cancelled, but their records show it only after the operator's record has arrived. A whole zone would crash if it
+// received the former load meanwhile, so its endpoints are considered cold for the duration of a slow start. The lock
+// must be held.
 func (f *Forwarder) coldUntil(e *registrar.Endpoint, now time.Time) time.Time {
 	ended := f.evacuator.EndedAt(e.Zone)
 	if ended.IsZero() || f.catalog == nil {
@@ -83,12 +85,12 @@
 	return e.ColdUntil
 }
 
-// evacuatedAt tells whether an address is that of an evacuated endpoint. The lock is held.
+// evacuatedAt reports whether an evacuated endpoint has the address. The lock must be held.
 func (f *Forwarder) evacuatedAt(address string) bool { return f.availability.evacuated[address] }
 
-// homesOf gives the regions that a request may be served in; nil where it may be in all. Where the route and the client
-// account both have homes, both bind.
-func homesOf(route *cataloger.Route, account *cataloger.Account) []string {
+// allowedRegionsOf returns the regions in which a request may be served; nil allows all. If the route and the client
+// account both have home regions, both restrictions apply.
+func allowedRegionsOf(route *cataloger.Route, account *cataloger.Account) []string {
 	if account == nil || len(account.Homes) == 0 {
 		if len(route.Homes) == 0 {
 			return nil
@@ -98,28 +100,28 @@
 	if len(route.Homes) == 0 {
 		return account.Homes
 	}
-	both := make([]string, 0, len(route.Homes))
+	common := make([]string, 0, len(route.Homes))
 	for _, region := range route.Homes {
 		if slices.Contains(account.Homes, region) {
-			both = append(both, region)
+			common = append(common, region)
 		}
 	}
-	return both
+	return common
 }
 
-// checkAvailable refuses a request at once that no endpoint may get. Held until a stage's or its own deadline it would end no
-// better, and its caller could not come back.
+// checkAvailable immediately refuses a request that no endpoint may receive. Waiting for its own or a stage's
+// deadline would not change the result, and would leave its caller no time to retry.
 func (x *exchange) checkAvailable() *FailureError {
 	x.f.mu.Lock()
 	defer x.f.mu.Unlock()
-	noHome := x.homes != nil && len(x.homes) == 0
-	if noHome || !x.f.availability.serves(x.service.Name, x.homes) {
-		return notRun("noOpenEndpoint", evacuatedReturn)
+	noRegion := x.allowedRegions != nil && len(x.allowedRegions) == 0
+	if noRegion || !x.f.availability.serves(x.service.Name, x.allowedRegions) {
+		return notRun("noOpenEndpoint", evacuatedRetryDelay)
 	}
 	for i, stage := range x.route.Stages {
-		none := i < len(x.req.PieceCounts) && x.req.PieceCounts[i] == 0
-		if !none && !x.f.availability.serves(stage.Service, x.homes) {
-			return notRun("noOpenEndpoint", evacuatedReturn)
+		noPieces := i < len(x.req.PieceCounts) && x.req.PieceCounts[i] == 0
+		if !noPieces && !x.f.availability.serves(stage.Service, x.allowedRegions) {
+			return notRun("noOpenEndpoint", evacuatedRetryDelay)
 		}
 	}
 	return nil
--- a/forwarder/crowd_test.go
+++ b/forwarder/crowd_test.go
@@ -48,7 +48,7 @@
 	f := m.nodes[entry]
 	for range rounds {
 		f.mu.Lock()
-		beat := carrier.Heartbeat{Limits: f.limits(m.now), Leaving: f.leaving(), Refusing: f.refusing(m.now)}
+		beat := carrier.Heartbeat{Limits: f.limits(m.now), Leaving: f.leaving(), Refusing: f.refusals(m.now)}
 		f.mu.Unlock()
 		encoded, err := beat.MarshalMsg(nil)
 		require.NoError(m.t, err)
@@ -95,8 +95,8 @@
 		settleTime = 20 * time.Second
 	)
 	m, rnd := crowdedMesh(t, entries, endpoints)
-	began, called, most := m.now, m.now, 0
-	for m.now.Sub(began) < settleTime {
+	startTime, called, most := m.now, m.now, 0
+	for m.now.Sub(startTime) < settleTime {
 		m.beat(1)
 		m.deliver(0.1, rnd)
 		if m.now.Sub(called) < callEvery {
@@ -105,7 +105,7 @@
 		called = m.now
 		for i := range endpoints {
 			n := m.callFromSenders(endpointAt(fmt.Sprintf("endpoint-%d", i)).Endpoint)
-			if m.now.Sub(began) > 2*callEvery {
+			if m.now.Sub(startTime) > 2*callEvery {
 				most = max(most, n)
 			}
 		}
--- a/forwarder/delegation.go
+++ b/forwarder/delegation.go
@@ -13,57 +13,59 @@
 )
 
 const (
-	// acceptPatience is how long the entry that collects may leave a delegation without an answer, beside acceptFactor times
-	// what answers have taken lately, where it was not heard lately either. It is some thirty round trips.
-	acceptPatience = 150 * time.Millisecond
-	acceptFactor   = 4
-	// heardPatience is the same while peers hear it: its answers are late since it is loaded, or the link between the two is
-	// cut. Delegating to a second entry under load lets two of them fill the same endpoints, which turn away what they can't
-	// hold.
-	heardPatience = 600 * time.Millisecond
-	// heardLately is how old the newest step of an entry may be that counts as heard: two heartbeats, and one for the way.
-	heardLately = 3 * heartbeatEvery
-	// acceptWeight is the weight of the newest answer in acceptTime.
+	// acceptTimeout is how long a collecting entry may leave a delegation unacknowledged, in addition to acceptFactor
+	// times the recent mean, if it was not heard recently. It is about thirty round trips.
+	acceptTimeout = 150 * time.Millisecond
+	acceptFactor  = 4
+	// liveAcceptTimeout is the same limit while peers still hear the entry: it is slow under load, or the link
+	// between the two is broken. If a second entry is used under load, both fill the same endpoints, which refuse the
+	// excess calls.
+	liveAcceptTimeout = 600 * time.Millisecond
+	// recentlyHeard is the maximum age of an entry's newest heartbeat for it to count as heard: two heartbeats, and
+	// one for the transit.
+	recentlyHeard = 3 * heartbeatInterval
+	// acceptWeight is the weight of the newest acknowledgement in meanAcceptTime.
 	acceptWeight = 0.1
 )
 
-// delegationID names one stage of one of this entry's requests.
+// delegationID identifies one stage of one of this entry's requests.
 type delegationID struct {
 	request string
 	stage   int
 }
 
-// delegation is the pieces of one stage of one of this entry's requests, which the entry that collects makes.
+// delegation is the set of pieces of one stage of one of this entry's requests, which a collecting entry runs.
 type delegation struct {
 	service string
 	group   collector.Group
-	// left are the segments without a result.
-	left map[int]bool
-	// owner is the entry that it is placed at, avoid those that did not answer, or the one that gave the pieces back.
+	// pending holds the segments without a result.
+	pending map[int]bool
+	// owner is the entry that the delegation is placed with. avoid lists the entries that did not respond, or the one
+	// that returned the pieces.
 	owner string
 	avoid []string
-	// kept is set once an entry left it without an answer: the next one keeps the pieces, whoever it takes for the one with
-	// the duty. It may not know yet that this one is gone; given back, the pieces would go on to a third entry and from there
-	// to a fourth, and dozens would fill the same endpoints at once.
+	// kept is set once an entry failed to respond: the next one must keep the pieces even if it considers another
+	// entry the owner, as it may not know yet that the first one is gone. If it returned them, the pieces would move
+	// to a third entry and from there to a fourth, and dozens would fill the same endpoints at once.
 	kept     bool
 	sent     time.Time
 	accepted bool
-	// moved is set when the owner stops and gives its pieces back.
+	// moved is set when the owner stops and returns its pieces.
 	moved bool
-	// held is set while this entry does not know its peers yet.
-	held bool
-	// results takes one Deliver for each segment.
+	// deferred is set while this entry does not know its peers yet.
+	deferred bool
+	// results receives one Deliver for each segment.
 	results chan collector.Deliver
 	// read is closed when the inputs of all pieces were fetched.
-	read     chan struct{}
-	readOnce bool
+	read             chan struct{}
+	inputsReadClosed bool
 }
 
-// delegate has the pieces of one stage made. The results come on the delegation's channel.
+// delegate delegates the pieces of one stage. The results arrive on the delegation's channel.
 func (f *Forwarder) delegate(service string, g collector.Group) *delegation {
 	a := newDelegation(service, g)
 	now := time.Now()
-	f.locked(func() []func() { return f.begin(a, now) })
+	f.withLock(func() []func() { return f.startDelegation(a, now) })
 	return a
 }
 
@@ -71,26 +73,27 @@
 	a := &delegation{
 		service: service,
 		group:   g,
-		left:    make(map[int]bool, len(g.Segments)),
+		pending: make(map[int]bool, len(g.Segments)),
 		results: make(chan collector.Deliver, len(g.Segments)),
 		read:    make(chan struct{}),
 	}
 	for _, s := range g.Segments {
-		a.left[s] = true
+		a.pending[s] = true
 	}
 	return a
 }
 
-// begin places a delegation for the first time. The lock is held.
-func (f *Forwarder) begin(a *delegation, now time.Time) []func() {
+// startDelegation places a delegation for the first time. The lock must be held.
+func (f *Forwarder) startDelegation(a *delegation, now time.Time) []func() {
 	f.delegations[delegationID{a.group.ID.Request, a.group.ID.Stage}] = a
-	return f.place(a, now)
+	return f.placeDelegation(a, now)
 }
 
-// place gives a delegation to the entry that collects. With no other one left, this entry does it itself. The lock is held.
-func (f *Forwarder) place(a *delegation, now time.Time) []func() {
-	a.held = f.settling(now)
-	if a.held {
+// placeDelegation sends a delegation to the collecting entry. If no other entry is available, this entry collects the pieces
+// itself. The lock must be held.
+func (f *Forwarder) placeDelegation(a *delegation, now time.Time) []func() {
+	a.deferred = f.settling(now)
+	if a.deferred {
 		a.owner = f.cfg.Name
 		return nil
 	}
@@ -103,15 +106,15 @@
 	a.accepted = false
 	g := a.group
 	g.Kept = a.kept
-	g.Segments = make([]int, 0, len(a.left))
+	g.Segments = make([]int, 0, len(a.pending))
 	for _, s := range a.group.Segments {
-		if a.left[s] {
+		if a.pending[s] {
 			g.Segments = append(g.Segments, s)
 		}
 	}
 	if owner == f.cfg.Name {
 		a.accepted = true
-		return f.collect(a.service, g, now)
+		return f.collectPieces(a.service, g, now)
 	}
 	return []func(){f.sendTo(owner, requestMessage(a.service, &g, now))}
 }
@@ -143,47 +146,49 @@
 	return m
 }
 
-// checkDelegations places delegations anew whose collecting entry is silent or gone. The lock is held.
+// checkDelegations moves the delegations whose collecting entry is silent, gone or has returned them. The lock must
+// be held.
 func (f *Forwarder) checkDelegations(now time.Time) []func() {
-	var todo []func()
+	var actions []func()
 	for _, a := range f.delegations {
-		if a.held {
-			todo = append(todo, f.place(a, now)...)
+		if a.deferred {
+			actions = append(actions, f.placeDelegation(a, now)...)
 			continue
 		}
 		switch {
 		case a.moved:
-			// Those that were silent or stopped before may have the duty again.
+			// Entries that were silent or stopped before may own the duty again.
 			a.moved = false
 			a.avoid = []string{a.owner}
-		case f.ownerFails(a, now):
+		case f.ownerUnresponsive(a, now):
 			a.kept = true
 			a.avoid = append(a.avoid, a.owner)
 		default:
 			continue
 		}
-		todo = append(todo, f.place(a, now)...)
+		actions = append(actions, f.placeDelegation(a, now)...)
 	}
-	return todo
+	return actions
 }
 
-// ownerFails tells whether the entry that collects for a delegation is gone, or leaves it without an answer. The lock is held.
-func (f *Forwarder) ownerFails(a *delegation, now time.Time) bool {
+// ownerUnresponsive reports whether the collecting entry of a delegation is gone or has not acknowledged it in time.
+// The lock must be held.
+func (f *Forwarder) ownerUnresponsive(a *delegation, now time.Time) bool {
 	if a.owner == f.cfg.Name {
 		return false
 	}
 	m, known := f.detector.Member(a.owner)
 	lost := !known || m.State != detector.Live && m.State != detector.Stopping
-	patience := acceptPatience + acceptFactor*f.acceptTime
-	if now.Sub(m.LastHeard) < heardLately {
-		patience = max(patience, heardPatience)
+	timeout := acceptTimeout + acceptFactor*f.meanAcceptTime
+	if now.Sub(m.LastHeard) < recentlyHeard {
+		timeout = max(timeout, liveAcceptTimeout)
 	}
-	silent := !a.accepted && now.Sub(a.sent) > patience
+	silent := !a.accepted && now.Sub(a.sent) > timeout
 	if !lost && !silent {
 		return false
 	}
 	f.cfg.Meter.Counter(meter.PieceMoved).Inc(1)
-	f.log.Warn("pieces asked for elsewhere",
+	f.log.Warn("delegation moved to another entry",
 		zap.String("request", a.group.ID.Request),
 		zap.String("service", a.service),
 		zap.String("peer", a.owner),
@@ -191,19 +196,19 @@
 	return true
 }
 
-// ownerOf is the entry that a delegation is placed at.
+// ownerOf returns the entry that a delegation is placed with.
 func (f *Forwarder) ownerOf(a *delegation) string {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return a.owner
 }
 
-// endDelegation withdraws what is left of a delegation.
+// endDelegation withdraws the pending pieces of a delegation.
 func (f *Forwarder) endDelegation(a *delegation) {
 	now := time.Now()
-	f.locked(func() []func() {
+	f.withLock(func() []func() {
 		delete(f.delegations, delegationID{a.group.ID.Request, a.group.ID.Stage})
-		if len(a.left) == 0 {
+		if len(a.pending) == 0 {
 			return nil
 		}
 		if a.owner != f.cfg.Name {
@@ -214,27 +219,27 @@
 	})
 }
 
-func (f *Forwarder) takePieceAccepted(from string, m *carrier.PieceAccepted, now time.Time) {
+func (f *Forwarder) handlePieceAccepted(from string, m *carrier.PieceAccepted, now time.Time) {
 	a, known := f.delegations[delegationID{m.Request, int(m.Stage)}]
 	if !known || a.owner != from || a.accepted {
 		return
 	}
 	a.accepted = true
-	f.acceptTime += time.Duration(acceptWeight * float64(now.Sub(a.sent)-f.acceptTime))
+	f.meanAcceptTime += time.Duration(acceptWeight * float64(now.Sub(a.sent)-f.meanAcceptTime))
 }
 
-// takeRead notes that the inputs of a stage were fetched. The lock is held.
-func (f *Forwarder) takeRead(id collector.GroupID) {
-	if a, known := f.delegations[delegationID{id.Request, id.Stage}]; known && !a.readOnce {
-		a.readOnce = true
+// markInputsRead records that the inputs of a stage were fetched. The lock must be held.
+func (f *Forwarder) markInputsRead(id collector.GroupID) {
+	if a, known := f.delegations[delegationID{id.Request, id.Stage}]; known && !a.inputsReadClosed {
+		a.inputsReadClosed = true
 		close(a.read)
 	}
 }
 
-func (f *Forwarder) takeResults(from string, m *carrier.PieceResults) []func() {
-	var todo []func()
+func (f *Forwarder) handleResults(from string, m *carrier.PieceResults) []func() {
+	var actions []func()
 	for _, r := range m.Results {
-		todo = append(todo, f.takeDelivery(m.Service, collector.Deliver{
+		actions = append(actions, f.deliverResult(m.Service, collector.Deliver{
 			ID:      collector.GroupID{Origin: f.cfg.Name, Request: m.Request, Stage: int(m.Stage)},
 			Segment: int(r.Number),
 			Result:  collector.PieceResult{Handle: r.Handle, Reason: collector.Reason(r.Reason)},
@@ -242,12 +247,12 @@
 			Zone:    r.Zone,
 		}, from)...)
 	}
-	return todo
+	return actions
 }
 
-// takeDelivery gives a result to the request that waits for it. One that nobody waits for is freed: it came twice, or
-// after its request had ended. The lock is held.
-func (f *Forwarder) takeDelivery(service string, d collector.Deliver, from string) []func() {
+// deliverResult passes a result to the request that waits for it. A result without a waiting request is freed: it is
+// a duplicate, or its request has ended. The lock must be held.
+func (f *Forwarder) deliverResult(service string, d collector.Deliver, from string) []func() {
 	a, known := f.delegations[delegationID{d.ID.Request, d.ID.Stage}]
 	if d.Result.Reason == collector.Moved {
 		if known {
@@ -255,8 +260,8 @@
 		}
 		return nil
 	}
-	if known && a.left[d.Segment] {
-		delete(a.left, d.Segment)
+	if known && a.pending[d.Segment] {
+		delete(a.pending, d.Segment)
 		a.results <- d
 		return nil
 	}
--- a/forwarder/duty_test.go
+++ b/forwarder/duty_test.go
@@ -27,7 +27,7 @@
 	m := newMesh(t, 3)
 	now := time.Now()
 	require.Len(t, m.reader(now), 1, "all have just read the list")
-	duty, _ := m.nodes["entry-0"].owner(readerDuty, nil)
+	duty, _ := m.nodes["entry-0"].owner(endpointsDuty, nil)
 	m.nodes[duty].ApplyEndpoints([]registrar.Change{endpointAt("a")}, locator.At(0, 0), locator.At(0, 4), now)
 	require.Equal(t, []string{duty}, m.reader(time.Now()))
 	for _, f := range m.nodes {
@@ -35,9 +35,9 @@
 		from, _ := f.ShouldReadEndpoints(now)
 		require.Equal(t, locator.At(0, 4), from)
 	}
-	require.Len(t, m.reader(time.Now().Add(newsPatience-time.Millisecond)), 1)
-	require.Len(t, m.reader(time.Now().Add(newsPatience+rankStep)), 2, "the next one first: if the store answers it, it tells the others")
-	require.Len(t, m.reader(time.Now().Add(newsPatience+2*rankStep)), 3)
+	require.Len(t, m.reader(time.Now().Add(updateTimeout-time.Millisecond)), 1)
+	require.Len(t, m.reader(time.Now().Add(updateTimeout+rankDelay)), 2, "the next one first: if the store answers it, it tells the others")
+	require.Len(t, m.reader(time.Now().Add(updateTimeout+2*rankDelay)), 3)
 
 	m.nodes[duty].ApplyEndpoints([]registrar.Change{{ID: "a", Position: locator.At(0, 9)}}, locator.At(0, 9), locator.At(0, 10), time.Now())
 	for name, f := range m.nodes {
@@ -53,8 +53,8 @@
 // what it reads must end the wait of all: each that reads for itself is a call more to a store that serves few.
 func TestTheNextReaderTellsAll(t *testing.T) {
 	m := newMesh(t, 9)
-	duty, _ := m.nodes["entry-0"].owner(readerDuty, nil)
-	later := time.Now().Add(newsPatience + rankStep)
+	duty, _ := m.nodes["entry-0"].owner(endpointsDuty, nil)
+	later := time.Now().Add(updateTimeout + rankDelay)
 	readers := m.reader(later)
 	require.Len(t, readers, 2)
 	for _, name := range readers {
@@ -65,10 +65,10 @@
 	for name, f := range m.nodes {
 		require.Equal(t, 1, f.selector.Count("plain"), name)
 	}
-	require.Contains(t, m.reader(time.Now().Add(newsPatience+rankStep/2)), duty, "it asks on")
+	require.Contains(t, m.reader(time.Now().Add(updateTimeout+rankDelay/2)), duty, "it asks on")
 }
 
-// Twenty entries, of which a few follow the configuration in the store. They are all cut from it without a word, and a
+// Twenty entries, of which a few follow the configuration in the store. They are all cut from it exclude a word, and a
 // key is withdrawn meanwhile. Others must take the duty up one after the other, and the word of the first that the store
 // answers must be enough for all.
 func TestAFewFollowTheConfiguration(t *testing.T) {
@@ -86,16 +86,16 @@
 		f.RecordConfigRead(now)
 	}
 	require.Equal(t, configReaders, reading(now))
-	silent := now.Add(configSilence)
+	silent := now.Add(configReadTimeout)
 	require.Equal(t, configReaders+1, reading(silent))
-	require.Equal(t, configReaders+3, reading(silent.Add(2*rankStep)))
+	require.Equal(t, configReaders+3, reading(silent.Add(2*rankDelay)))
 	for _, f := range m.nodes {
 		if f.rank(configDuty) == configReaders {
-			f.RecordConfigRead(now.Add(configSilence))
+			f.RecordConfigRead(now.Add(configReadTimeout))
 		}
 	}
 	m.beat(2)
-	require.Equal(t, configReaders, reading(silent.Add(5*rankStep)), "one was answered")
+	require.Equal(t, configReaders, reading(silent.Add(5*rankDelay)), "one was answered")
 }
 
 // Six of 65 entries are on large VMs, which have the duties first. The configuration is followed by eight all the same, the two
@@ -170,7 +170,7 @@
 		owners := make(map[string]string)
 		for name, f := range m.nodes {
 			f.catalog = catalog
-			f.duties.forget()
+			f.duties.reset()
 			for _, s := range services {
 				owner, known := f.owner(s.Name, nil)
 				require.True(t, known)
--- a/forwarder/era.go
+++ b/forwarder/era.go
@@ -8,10 +8,10 @@
 	"geraniumline/meter"
 )
 
-// takeEra notes an era of the store, told by the store or a peer. The lock is held.
-func (f *Forwarder) takeEra(era int64, source string) {
+// applyEra records an era of the store, received from the store or a peer. The lock must be held.
+func (f *Forwarder) applyEra(era int64, source string) {
 	if !f.eraKnown {
-		// The first era that an entry hears of says nothing of a return.
+		// The first known era does not show that the store was restored.
 		f.eraKnown = true
 		f.storeEra = era
 		return
@@ -31,13 +31,13 @@
 		zap.Stringer("evacuations", f.evacuator.State().Next))
 }
 
-// askForEra asks a peer for its list of endpoints where that is of a newer era of the store than the own one. Those that a
-// heartbeat reaches ask its sender, so that neither the store nor the entry that reads it is asked by all at once. The lock
-// is held.
-func (f *Forwarder) askForEra(peer string, era int64, now time.Time) []func() {
-	if !f.registry.Known() || era <= f.registry.Next().Era() || now.Sub(f.askedEndpoints) < askEvery {
+// queryNewerEra asks a peer for its list of endpoints if that is from a newer era of the store than this entry's
+// list. Entries ask the sender of a heartbeat, so that they don't all query the store or its reader at once. The lock
+// must be held.
+func (f *Forwarder) queryNewerEra(peer string, era int64, now time.Time) []func() {
+	if !f.registry.Known() || era <= f.registry.Next().Era() || now.Sub(f.endpointsQueriedAt) < queryInterval {
 		return nil
 	}
-	f.askedEndpoints = now
+	f.endpointsQueriedAt = now
 	return []func(){f.sendTo(peer, f.endpointsCall(now))}
 }
--- a/forwarder/era_test.go
+++ b/forwarder/era_test.go
@@ -23,7 +23,7 @@
 				f.RecordStoreResponse(0, m.now)
 				f.ReplaceEndpoints([]registrar.Change{endpointAt("a")}, locator.At(0, 9), m.now)
 			}
-			duty, _ := m.nodes["entry-0"].owner(readerDuty, nil)
+			duty, _ := m.nodes["entry-0"].owner(endpointsDuty, nil)
 			reader := m.nodes[duty]
 			fresh := endpointAt("b")
 			fresh.Position = locator.At(1, 4)
@@ -49,8 +49,8 @@
 				m.beat(1)
 				m.deliver(0.1, rnd)
 			}
-			t.Logf("%d entries: all after %v, %d readings", n, time.Duration(rounds)*heartbeatEvery, readings)
-			require.LessOrEqual(t, time.Duration(rounds)*heartbeatEvery, recovery)
+			t.Logf("%d entries: all after %v, %d readings", n, time.Duration(rounds)*heartbeatInterval, readings)
+			require.LessOrEqual(t, time.Duration(rounds)*heartbeatInterval, recovery)
 			for name, f := range m.nodes {
 				ids := []string{}
 				for _, e := range f.registry.Usable() {
--- a/forwarder/evacuation.go
+++ b/forwarder/evacuation.go
@@ -11,32 +11,32 @@
 	"geraniumline/meter"
 )
 
-// ApplyEvacuations takes the operator's records on availability zones that follow those known, up to a position.
+// ApplyEvacuations applies the operator's records on availability zones after the last applied position, up to next.
 func (f *Forwarder) ApplyEvacuations(changes []evacuator.Change, next locator.Position, now time.Time) {
-	f.locked(func() []func() {
-		return f.evacuationsTaken(f.evacuator.Apply(changes, next, now), "store", now)
+	f.withLock(func() []func() {
+		return f.evacuationsChanged(f.evacuator.Apply(changes, next, now), "store", now)
 	})
 }
 
-// ReplaceEvacuations takes the newest of the operator's records on all availability zones.
+// ReplaceEvacuations replaces the state with the operator's newest records on all availability zones.
 func (f *Forwarder) ReplaceEvacuations(state evacuator.State, now time.Time) {
-	f.locked(func() []func() {
-		return f.evacuationsTaken(f.evacuator.Take(state, now), "store", now)
+	f.withLock(func() []func() {
+		return f.evacuationsChanged(f.evacuator.Take(state, now), "store", now)
 	})
 }
 
-// takeEvacuated takes the evacuated zones that a peer tells of. The lock is held.
-func (f *Forwarder) takeEvacuated(m *carrier.Heartbeat, now time.Time) []func() {
+// applyPeerEvacuations applies the evacuated zones reported by a peer. The lock must be held.
+func (f *Forwarder) applyPeerEvacuations(m *carrier.Heartbeat, now time.Time) []func() {
 	state := evacuator.State{
 		Next:  locator.At(m.EvacuatedEra, m.EvacuatedNext),
 		Zones: m.Evacuated,
 		Held:  m.EvacuationsHeld,
 	}
-	return f.evacuationsTaken(f.evacuator.Take(state, now), m.From.Name, now)
+	return f.evacuationsChanged(f.evacuator.Take(state, now), m.From.Name, now)
 }
 
-// evacuationsTaken puts a change of the evacuated zones in force. The lock is held.
-func (f *Forwarder) evacuationsTaken(changed bool, source string, now time.Time) []func() {
+// evacuationsChanged puts a change of the evacuated zones in force. The lock must be held.
+func (f *Forwarder) evacuationsChanged(changed bool, source string, now time.Time) []func() {
 	if !changed {
 		return nil
 	}
--- a/forwarder/evacuation_test.go
+++ b/forwarder/evacuation_test.go
@@ -17,11 +17,11 @@
 
 // deliver hands over what was sent in the round, but for a part that is lost.
 func (m *mesh) deliver(loss float64, rnd *rand.Rand) {
-	todo := m.deferred
+	messages := m.deferred
 	m.deferred = nil
-	for _, do := range todo {
+	for _, deliver := range messages {
 		if rnd.Float64() >= loss {
-			do()
+			deliver()
 		}
 	}
 }
@@ -53,7 +53,7 @@
 
 // The operator evacuates a zone, and the few entries that follow the store hear of it. Every other entry sends requests there
 // until a heartbeat tells it, so that word must be everywhere well inside the time that the operator grants: at 95% of the
-// entries a second after it is acknowledged, and soon at all where a tenth of the frames is lost.
+// entries a second after it is acknowledged, and shortRetryDelay at all where a tenth of the frames is lost.
 func TestWordOfAnEvacuationIsEverywhereWithinASecond(t *testing.T) {
 	for _, n := range []int{7, 65, 195, 300} {
 		t.Run(fmt.Sprint(n), func(t *testing.T) {
@@ -72,9 +72,9 @@
 				m.beat(1)
 				m.deliver(0.1, rnd)
 			}
-			t.Logf("%d entries: 95%% after %v, all after %v", n, time.Duration(most)*heartbeatEvery, time.Duration(rounds)*heartbeatEvery)
-			require.LessOrEqual(t, time.Duration(most)*heartbeatEvery, time.Second)
-			require.LessOrEqual(t, time.Duration(rounds)*heartbeatEvery, 2*time.Second)
+			t.Logf("%d entries: 95%% after %v, all after %v", n, time.Duration(most)*heartbeatInterval, time.Duration(rounds)*heartbeatInterval)
+			require.LessOrEqual(t, time.Duration(most)*heartbeatInterval, time.Second)
+			require.LessOrEqual(t, time.Duration(rounds)*heartbeatInterval, 2*time.Second)
 		})
 	}
 }
@@ -85,12 +85,12 @@
 func TestCallersOfAnEntryWithoutTheStoreComeBackLater(t *testing.T) {
 	now := time.Now()
 	f := New(Config{Name: "entry-0", Log: zap.NewNop()}, now)
-	require.Less(t, f.startReturn(now.Add(50*time.Millisecond)), time.Second)
-	require.GreaterOrEqual(t, f.startReturn(now.Add(storeAnswers)), storeAwayReturn)
+	require.Less(t, f.startupRetryDelay(now.Add(50*time.Millisecond)), time.Second)
+	require.GreaterOrEqual(t, f.startupRetryDelay(now.Add(storeResponseTime)), storeOutageRetryDelay)
 	f.RecordStoreFailure(errors.New("no answer"), now)
-	require.GreaterOrEqual(t, f.startReturn(now.Add(50*time.Millisecond)), storeAwayReturn)
+	require.GreaterOrEqual(t, f.startupRetryDelay(now.Add(50*time.Millisecond)), storeOutageRetryDelay)
 	f.RecordStoreResponse(0, now)
-	require.Less(t, f.startReturn(now.Add(50*time.Millisecond)), time.Second)
+	require.Less(t, f.startupRetryDelay(now.Add(50*time.Millisecond)), time.Second)
 }
 
 func TestHomesOfRouteAndAccountBothBind(t *testing.T) {
@@ -106,10 +106,10 @@
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			route, account := &cataloger.Route{Homes: tc.route}, &cataloger.Account{Homes: tc.account}
-			require.Equal(t, tc.want, homesOf(route, account))
+			require.Equal(t, tc.want, allowedRegionsOf(route, account))
 		})
 	}
-	require.Equal(t, []string{"a"}, homesOf(&cataloger.Route{Homes: []string{"a"}}, nil))
+	require.Equal(t, []string{"a"}, allowedRegionsOf(&cataloger.Route{Homes: []string{"a"}}, nil))
 }
 
 // A caller asks where to connect. An entry outside the homes of its request's route and outside its own region must not get
--- a/forwarder/failure.go
+++ b/forwarder/failure.go
@@ -8,40 +8,40 @@
 	"time"
 )
 
-// FailureError is an answer of the system's own. Status 503 promises that the request has not run and never will; 502 and
-// 504 promise nothing.
+// FailureError is a failure response from this system. Status 503 guarantees that the request has not run and never
+// will; 502 and 504 guarantee nothing.
 type FailureError struct {
 	Status int
-	// Reason is a short name for logs, metrics and callers.
+	// Reason is a short identifier for logs, metrics and callers.
 	Reason string
-	// RetryAfter tells the caller when to come back; 0 says nothing.
+	// RetryAfter is when the caller should retry; 0 omits it.
 	RetryAfter time.Duration
 }
 
 func (f *FailureError) Error() string { return fmt.Sprintf("%d %s", f.Status, f.Reason) }
 
-// notRun promises that the request has not run.
+// notRun returns a failure that guarantees that the request has not run.
 func notRun(reason string, retryAfter time.Duration) *FailureError {
 	return &FailureError{Status: http.StatusServiceUnavailable, Reason: reason, RetryAfter: retryAfter}
 }
 
-// mayHaveRun promises nothing.
+// mayHaveRun returns a failure that guarantees nothing.
 func mayHaveRun(reason string) *FailureError {
 	return &FailureError{Status: http.StatusBadGateway, Reason: reason}
 }
 
-// timedOut promises nothing either: the request was with an endpoint when its time ended.
+// timedOut returns a failure that guarantees nothing either: an endpoint had the request when its deadline passed.
 func timedOut() *FailureError {
 	return &FailureError{Status: http.StatusGatewayTimeout, Reason: "timeout"}
 }
 
-// statusError tells of an answer with a status that says nothing of what was asked.
+// statusError reports a response with an unexpected status.
 type statusError struct{ status int }
 
-func (e *statusError) Error() string { return fmt.Sprintf("answered with status %d", e.status) }
+func (e *statusError) Error() string { return fmt.Sprintf("unexpected response status %d", e.status) }
 
-// send writes the failure as a whole answer.
-func (f *FailureError) send(w http.ResponseWriter) {
+// write writes the failure as a complete response.
+func (f *FailureError) write(w http.ResponseWriter) {
 	body, err := json.Marshal(struct {
 		Error string `json:"error"`
 	}{f.Reason})
@@ -55,6 +55,6 @@
 		h.Set("Retry-After", strconv.FormatFloat(f.RetryAfter.Seconds(), 'f', 2, 64))
 	}
 	w.WriteHeader(f.Status)
-	// An error means that the caller has gone.
+	// An error means that the caller has disconnected.
 	_, _ = w.Write(body)
 }
--- a/forwarder/forwarder.go
+++ b/forwarder/forwarder.go
@@ -1,6 +1,6 @@
-// Package forwarder takes callers' requests, has the stages before them done, passes them on to endpoints, and hands
-// the answers back as they come. What has to be decided is decided by pure packages under one lock (registrar,
-// selector, collector, detector, retrier); this package carries their decisions out.
+// Package forwarder accepts callers' requests, runs the stages that precede them, forwards them to endpoints and
+// relays the responses as they arrive. Decisions are made by pure packages under one lock (registrar, selector,
+// collector, detector, retrier); this package carries them out.
 package forwarder
 
 import (
@@ -33,162 +33,167 @@
 )
 
 const (
-	// tickEvery is the resolution of what waits: a tenth of the shortest objective.
-	tickEvery = 10 * time.Millisecond
-	// heartbeatEvery is how often peers hear of this entry. Three heartbeats may be lost before SuspectAfter.
-	heartbeatEvery = 150 * time.Millisecond
-	// suspectAfter and deadAfter are the silences after which a peer gets no work and is taken for dead.
+	// tickInterval is the timer resolution of queued work: a tenth of the shortest objective.
+	tickInterval = 10 * time.Millisecond
+	// heartbeatInterval is how often this entry sends heartbeats to its peers. Three heartbeats may be lost before
+	// suspectAfter.
+	heartbeatInterval = 150 * time.Millisecond
+	// suspectAfter is the silence after which a peer receives no new work, and deadAfter the silence after which it
+	// is considered dead.
 	suspectAfter = 700 * time.Millisecond
 	deadAfter    = 2 * time.Second
-	// spreadSuspectAfter and spreadDeadAfter are the same where news of a peer come by others: they leave room for the oldest
-	// news of a live one while a tenth of the frames is lost.
-	spreadSuspectAfter = 1200 * time.Millisecond
-	spreadDeadAfter    = 2500 * time.Millisecond
-	// probeEvery is how often seeds and peers that are not heard are tried: two heartbeats. After a loss of all power
-	// entries start within half a second of each other, and most first tries come too early.
-	probeEvery = 300 * time.Millisecond
-	// forgetAfter is how long a dead peer's name is kept.
+	// gossipSuspectAfter and gossipDeadAfter are the same limits where the state of a peer arrives through other
+	// peers. They allow for the oldest state of a live peer while a tenth of the frames is lost.
+	gossipSuspectAfter = 1200 * time.Millisecond
+	gossipDeadAfter    = 2500 * time.Millisecond
+	// probeInterval is how often seeds and silent peers are probed: two heartbeats. After a power loss of the whole
+	// system, entries start within half a second of each other, and most first probes arrive too early.
+	probeInterval = 300 * time.Millisecond
+	// forgetAfter is how long the name of a dead peer is kept.
 	forgetAfter = time.Minute
-	// fullMesh is up to how many entries each hears all others, directly or by lists of all: what is sent between zones grows
-	// with the square of their number.
-	fullMesh = 64
-	// sweepEvery is how often idle connections are looked at.
-	sweepEvery = 500 * time.Millisecond
-	// retryShare is the part of the shared budget of extra calls that entries plan with: their counts of each
-	// other lag, and a restarted entry begins anew.
+	// fullMeshLimit is the largest number of entries that all exchange heartbeats, directly or through complete
+	// member lists. The traffic between zones grows with the square of their number.
+	fullMeshLimit = 64
+	// sweepInterval is how often idle connections are checked.
+	sweepInterval = 500 * time.Millisecond
+	// retryShare is the part of the shared retry budget that entries plan with: their counts of each other's retries
+	// lag, and a restarted entry starts with empty counts.
 	retryShare = 0.6
 )
 
-// Sender passes messages to peers. It never waits.
+// Sender sends messages to peers without blocking.
 type Sender interface {
 	Send(peerAddress string, m carrier.Message)
 }
 
-// Config holds a Forwarder's parts.
+// Config holds the settings and dependencies of a Forwarder.
 type Config struct {
 	Name          string
 	Zone          string
 	CallerAddress string
 	PeerAddress   string
 	Seeds         []string
-	// Incarnation tells the processes of this name apart; a later start has a higher one.
+	// Incarnation distinguishes the processes that use this name; a later start has a higher value.
 	Incarnation uint64
-	// Capacity is this VM's processor and link as one figure, see CapacityOf.
+	// Capacity combines this VM's processor and link in one figure, see CapacityOf.
 	Capacity int
 	// FirstStart is set at the first start of the whole system.
 	FirstStart bool
-	// Regions gives the region of each availability zone.
+	// Regions maps each availability zone to its region.
 	Regions map[string]string
-	// ColdExcess and ColdSlack bound the calls that a cold endpoint may get in one second from all entries together:
-	// ColdExcess times what it bears, and ColdSlack more.
+	// ColdExcess and ColdSlack bound the calls that all entries together may send to a cold endpoint in one second:
+	// ColdExcess times its cold rate, plus ColdSlack.
 	ColdExcess float64
 	ColdSlack  float64
-	// AddressTTL is how long callers may keep the answer to which entries to use.
+	// AddressTTL is how long callers may cache the list of entry addresses.
 	AddressTTL time.Duration
-	// RetryRatio and RetrySlack bound the extra calls of all entries together.
+	// RetryRatio and RetrySlack bound the retries and hedges of all entries together.
 	RetryRatio float64
 	RetrySlack float64
 
-	// Off are the mechanisms of policy that are switched off.
+	// Off lists the policy mechanisms that are switched off.
 	Off switcher.Off
 
 	Wire   Wire
 	Client *connector.Client
-	// DecodeConfig decodes a configuration as the operator wrote it.
+	// DecodeConfig decodes a configuration as written by the operator.
 	DecodeConfig func(data []byte) (*cataloger.Catalog, error)
 	Log          *zap.Logger
 	Meter        *meter.Meter
 }
 
-// Forwarder is one entry's state and request path.
+// Forwarder holds the state of one entry and serves its requests.
 type Forwarder struct {
-	cfg    Config
-	log    *zap.Logger
-	notes  *notes
-	sender Sender
-	began  time.Time
+	cfg        Config
+	log        *zap.Logger
+	sampledLog *sampledLog
+	sender     Sender
+	startTime  time.Time
 
-	// mu guards all deciders below.
-	mu       sync.Mutex
-	random   *rand.Rand
-	catalog  *cataloger.Catalog
-	raw      []byte
-	registry *registrar.Registry
-	selector *selector.Selector
-	detector *detector.Detector
-	retrier  *retrier.Retrier
-	// quarantiner knows the contents that crash endpoints, here and at peers.
+	// mu guards all fields up to eraKnown.
+	mu        sync.Mutex
+	random    *rand.Rand
+	catalog   *cataloger.Catalog
+	rawConfig []byte
+	registry  *registrar.Registry
+	selector  *selector.Selector
+	detector  *detector.Detector
+	retrier   *retrier.Retrier
+	// quarantiner tracks content that crashes endpoints, as seen here and by peers.
 	quarantiner *quarantiner.Quarantiner
-	// evacuator knows the zones whose endpoints get no new work, warmer which calls cold endpoints may get from here, and
-	// availability what follows for each service.
+	// evacuator tracks the zones whose endpoints receive no new work, warmer limits the calls from this entry to cold
+	// endpoints, and availability holds the resulting capacity of each service.
 	evacuator    *evacuator.Evacuator
 	warmer       *warmer.Warmer
 	availability availability
-	// limitsTold, leavesTold and refusalsTold are how far heartbeats have told of what endpoints ask for.
-	limitsTold, leavesTold, refusalsTold rotation
-	// regulator knows which endpoints have asked for less work.
+	// limitsRotation, leavesRotation and refusalsRotation track which endpoint notices the next heartbeat carries.
+	limitsRotation, leavesRotation, refusalsRotation rotation
+	// regulator tracks the endpoints that asked for less work.
 	regulator *regulator.Regulator
-	// returns are the times given to callers that were refused since a service's endpoints have asked for fewer calls.
-	returns map[string]*regulator.Returns
-	// divider says by which pools the stages' services are collected.
+	// retrySchedules spread the retries of callers that were refused because a service's endpoints asked for fewer
+	// calls, by service.
+	retrySchedules map[string]*regulator.Returns
+	// divider selects the pools in which the pieces of a stage's service are collected.
 	divider     *divider.Divider
 	pools       map[string]*collector.Pool
 	delegations map[delegationID]*delegation
-	// waits are the newest loads told of the stage pools that peers collect for.
+	// waits holds the newest reported load of the stage pools that peers collect for.
 	waits map[string]stageWait
-	// reportedAt is when each peer's load report came.
+	// reportedAt is when the load report of each peer arrived.
 	reportedAt map[string]time.Time
-	// duties remembers who has which duty.
+	// duties caches which entry owns which duty.
 	duties duties
-	// addresses are the peers' addresses by name.
+	// addresses holds the addresses of peers by name.
 	addresses map[string]string
-	// asked is when each kind of question to peers was last put.
-	askedConfig    time.Time
-	askedEndpoints time.Time
-	behindSince    time.Time
-	// peerLiveAt is when a peer was last found to live.
+	// configQueriedAt and endpointsQueriedAt are when peers were last asked for a configuration and for the list of
+	// endpoints. behindSince is when a peer was first seen with a newer configuration.
+	configQueriedAt    time.Time
+	endpointsQueriedAt time.Time
+	behindSince        time.Time
+	// peerLiveAt is when a peer last became live.
 	peerLiveAt time.Time
-	// otherSince is since when another entry has had the duty of collecting for a service that this one has a pool of.
-	otherSince map[string]time.Time
-	// acceptTime is what collecting entries' answers to requests for pieces have taken lately.
-	acceptTime time.Duration
-	// round counts the rounds of heartbeats, from a number of the entry's own.
+	// otherOwnerSince is when another entry became the owner of the collecting duty for a service that this entry has
+	// a pool of.
+	otherOwnerSince map[string]time.Time
+	// meanAcceptTime is the recent mean response time of collecting entries to requests for pieces.
+	meanAcceptTime time.Duration
+	// round counts heartbeat rounds, starting from a number derived from the entry's name.
 	round int
-	// newsAt is when the entry that reads the store for all was heard last.
-	newsAt time.Time
-	// configHeard is when the store last answered a reading of the configuration, here or at a peer.
-	configHeard time.Time
+	// updateReceivedAt is when the last update from the entry that reads the store for all arrived.
+	updateReceivedAt time.Time
+	// configReadAt is when the store last answered a configuration read, here or at a peer.
+	configReadAt time.Time
 	// storeLost is set while the store does not answer this entry.
 	storeLost bool
-	// storeEra is the newest era of the store that was heard of; eraKnown is set once one was.
+	// storeEra is the newest known era of the store; it is valid once eraKnown is set.
 	storeEra int64
 	eraKnown bool
 
 	inFlight    atomic.Int64
 	lastRequest atomic.Int64
 	stopping    atomic.Bool
-	// ending is closed shortly before a stopping entry ends.
+	// ending is closed shortly before a stopping entry exits.
 	ending chan struct{}
 }
 
-// New makes a forwarder that knows nothing yet.
+// New returns a forwarder without configuration, endpoints or known peers.
 func New(cfg Config, now time.Time) *Forwarder {
 	if cfg.Meter == nil {
 		cfg.Meter = meter.New()
 	}
 	random := rand.New(rand.NewPCG(cfg.Incarnation, uint64(len(cfg.Name))))
-	bounds := &gate{
+	g := &gate{
 		warmer:    warmer.New(warmer.Config{Self: cfg.Name, Excess: cfg.ColdExcess, Slack: cfg.ColdSlack}),
 		regulator: regulator.New(regulator.Config{Self: cfg.Name}),
 	}
 	return &Forwarder{
-		cfg:      cfg,
-		log:      cfg.Log,
-		notes:    newNotes(cfg.Log, cfg.Meter),
-		began:    now,
-		random:   random,
-		registry: registrar.New(registrar.Config{}),
-		selector: selector.New(selector.Config{Rand: random, Ejector: ejectorConfig(cfg.Off), Gate: bounds, Off: cfg.Off}),
+		cfg:        cfg,
+		log:        cfg.Log,
+		sampledLog: newSampledLog(cfg.Log, cfg.Meter),
+		startTime:  now,
+		random:     random,
+		registry:   registrar.New(registrar.Config{}),
+		selector:   selector.New(selector.Config{Rand: random, Ejector: ejectorConfig(cfg.Off), Gate: g, Off: cfg.Off}),
 		detector: detector.New(detector.Config{
 			Self: carrier.Member{
 				Name:          cfg.Name,
@@ -202,24 +207,24 @@
 			Seeds:        cfg.Seeds,
 			SuspectAfter: suspectAfter,
 			DeadAfter:    deadAfter,
-			ProbeEvery:   probeEvery,
+			ProbeEvery:   probeInterval,
 			ForgetAfter:  forgetAfter,
-			FullMesh:     fullMesh,
+			FullMesh:     fullMeshLimit,
 
-			SpreadSuspectAfter: spreadSuspectAfter,
-			SpreadDeadAfter:    spreadDeadAfter,
-			HeartbeatEvery:     heartbeatEvery,
+			SpreadSuspectAfter: gossipSuspectAfter,
+			SpreadDeadAfter:    gossipDeadAfter,
+			HeartbeatEvery:     heartbeatInterval,
 		}),
 		retrier: retrier.New(retrier.Config{
 			Ratio:    cfg.RetryRatio * retryShare,
-			Reserve:  reserveFor(cfg.RetrySlack, usualEntries),
-			Attempts: maxEndpoints,
+			Reserve:  retryReserve(cfg.RetrySlack, typicalEntries),
+			Attempts: maxEndpointsPerRequest,
 		}),
 		ending:      make(chan struct{}),
 		quarantiner: quarantiner.New(quarantiner.Config{}),
 		evacuator:   evacuator.New(),
-		warmer:      bounds.warmer,
-		regulator:   bounds.regulator,
+		warmer:      g.warmer,
+		regulator:   g.regulator,
 		divider:     divider.New(),
 		round:       int(uint32(xxhash.Sum64String(cfg.Name))),
 
@@ -227,46 +232,47 @@
 		delegations: make(map[delegationID]*delegation),
 		waits:       make(map[string]stageWait),
 
-		returns: make(map[string]*regulator.Returns),
+		retrySchedules: make(map[string]*regulator.Returns),
 
-		otherSince: make(map[string]time.Time),
-		addresses:  make(map[string]string),
-		reportedAt: make(map[string]time.Time),
+		otherOwnerSince: make(map[string]time.Time),
+		addresses:       make(map[string]string),
+		reportedAt:      make(map[string]time.Time),
 	}
 }
 
 const (
-	// maxOut is the part of a pool that may be out of use for serving badly.
-	maxOut = 0.5
-	// noneOut keeps all endpoints in use.
-	noneOut = -1
-	// usualEntries divides the slack of the retry budget until peers are known: the entries of today's deployments.
-	usualEntries = 7
-	// maxEndpoints bounds the endpoints that one request is offered to, those that turn it away too.
-	maxEndpoints = 6
+	// maxEjectedShare is the largest share of a pool that may be ejected for bad responses.
+	maxEjectedShare = 0.5
+	// noEjection keeps all endpoints in use.
+	noEjection = -1
+	// typicalEntries divides the slack of the retry budget until peers are known. It is the number of entries in
+	// current deployments.
+	typicalEntries = 7
+	// maxEndpointsPerRequest bounds the endpoints that one request is sent to, including those that refuse it.
+	maxEndpointsPerRequest = 6
 )
 
-// ejectorConfig says how endpoints are taken out of use.
+// ejectorConfig returns the ejection limits, or none if ejection is switched off.
 func ejectorConfig(off switcher.Off) ejector.Config {
 	if off.Has(switcher.Ejection) {
-		return ejector.Config{MaxShare: noneOut}
+		return ejector.Config{MaxShare: noEjection}
 	}
-	return ejector.Config{MaxShare: maxOut}
+	return ejector.Config{MaxShare: maxEjectedShare}
 }
 
-// reserveFor is one entry's part of the slack that all entries share.
-func reserveFor(slack float64, entries int) float64 {
+// retryReserve returns one entry's part of the slack that all entries share.
+func retryReserve(slack float64, entries int) float64 {
 	return max(1, slack*retryShare/float64(entries))
 }
 
-// SetSender sets where messages to peers go. It must be called before Run.
+// SetSender sets the transport for messages to peers. It must be called before Run.
 func (f *Forwarder) SetSender(s Sender) { f.sender = s }
 
-// Run lets time pass until the context ends.
+// Run runs the periodic work until the context ends.
 func (f *Forwarder) Run(ctx context.Context) {
-	tick := time.NewTicker(tickEvery)
+	tick := time.NewTicker(tickInterval)
 	defer tick.Stop()
-	var beat, sweep time.Time
+	var heartbeat, sweep time.Time
 	for {
 		select {
 		case <-ctx.Done():
@@ -275,52 +281,53 @@
 		}
 		now := time.Now()
 		f.tick(now)
-		if now.Sub(beat) >= heartbeatEvery {
-			beat = now
+		if now.Sub(heartbeat) >= heartbeatInterval {
+			heartbeat = now
 			f.heartbeat(now)
 		}
-		if now.Sub(sweep) >= sweepEvery {
+		if now.Sub(sweep) >= sweepInterval {
 			sweep = now
 			f.cfg.Client.Sweep(now)
-			f.measure(now)
-			f.tellSampled(now)
+			f.updateGauges(now)
+			f.reportDroppedLines(now)
 		}
 	}
 }
 
 func (f *Forwarder) tick(now time.Time) {
 	f.mu.Lock()
-	var todo []func()
+	var actions []func()
 	for service, p := range f.pools {
-		todo = append(todo, f.performAll(service, p, p.Reduce(collector.Ticked{}, now))...)
+		actions = append(actions, f.performAll(service, p, p.Reduce(collector.Ticked{}, now))...)
 	}
-	todo = append(todo, f.handBack(now)...)
-	todo = append(todo, f.checkDelegations(now)...)
+	actions = append(actions, f.returnWaitingPieces(now)...)
+	actions = append(actions, f.checkDelegations(now)...)
 	endpointsLeft := f.registry.Tick(now)
 	if f.evacuator.Tick(now) {
-		todo = append(todo, f.evacuationsTaken(true, "lapse", now)...)
+		actions = append(actions, f.evacuationsChanged(true, "lapse", now)...)
 	} else if endpointsLeft {
-		todo = append(todo, f.endpointsChanged(now)...)
+		actions = append(actions, f.endpointsChanged(now)...)
 	}
 	f.mu.Unlock()
-	run(todo)
+	runActions(actions)
 }
 
-// run carries out what was decided under the lock.
-func run(todo []func()) {
-	for _, do := range todo {
+// runActions runs the actions that were decided under the lock. The lock must not be held.
+func runActions(actions []func()) {
+	for _, do := range actions {
 		do()
 	}
 }
 
-// Ready tells whether this entry can serve: it knows the configuration and the endpoints, and is not stopping.
+// Ready reports whether this entry can serve requests: it has a configuration and the list of endpoints, and is not
+// stopping.
 func (f *Forwarder) Ready() bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.catalog != nil && f.registry.Known() && !f.stopping.Load()
 }
 
-// ServeReady answers whether the entry takes callers.
+// ServeReady implements the readiness probe.
 func (f *Forwarder) ServeReady(w http.ResponseWriter, _ *http.Request) {
 	if !f.Ready() {
 		w.WriteHeader(http.StatusServiceUnavailable)
@@ -329,7 +336,7 @@
 	w.WriteHeader(http.StatusOK)
 }
 
-// Catalog gives the configuration in force, or nil.
+// Catalog returns the configuration in force, or nil.
 func (f *Forwarder) Catalog() *cataloger.Catalog {
 	f.mu.Lock()
 	defer f.mu.Unlock()
--- a/forwarder/gate.go
+++ b/forwarder/gate.go
@@ -9,7 +9,7 @@
 	"geraniumline/warmer"
 )
 
-// gate joins what bounds the calls to an endpoint: its slow start, and what it has asked for in its answers.
+// gate combines the limits on the calls to an endpoint: its slow start, and the limits in its notices.
 type gate struct {
 	warmer    *warmer.Warmer
 	regulator *regulator.Regulator
@@ -42,8 +42,8 @@
 	g.regulator.Sent(e.ID, now)
 }
 
-// setSenders tells which entries may send to endpoints that bear few calls. The lock is held.
-func (f *Forwarder) setSenders(members []detector.Member) {
+// setSendingEntries sets which entries share the limits of cold and limited endpoints. The lock must be held.
+func (f *Forwarder) setSendingEntries(members []detector.Member) {
 	live := make([]string, 0, len(members))
 	for _, m := range members {
 		if m.Name == f.cfg.Name || m.State == detector.Live {
--- a/forwarder/handler.go
+++ b/forwarder/handler.go
@@ -19,16 +19,16 @@
 )
 
 const (
-	// defaultTimeout holds for routes that name none.
+	// defaultTimeout applies to routes without a timeout.
 	defaultTimeout = 30 * time.Second
-	// writeGrace is how long after a request's deadline its answer may still be written: an answer that is ready is
-	// delivered, also late.
+	// writeGrace is how long after a request's deadline its response may still be written: a response that is ready
+	// is delivered even if it is late.
 	writeGrace = 2 * time.Second
-	// bodyTimeout bounds the reading of a request's body.
+	// bodyTimeout bounds the time to read a request body.
 	bodyTimeout = 10 * time.Second
 )
 
-// exchange is one request on its way.
+// exchange is the state of one request.
 type exchange struct {
 	f       *Forwarder
 	w       http.ResponseWriter
@@ -39,31 +39,31 @@
 	version int64
 	service *cataloger.Service
 	account string
-	// homes are the regions that the request may be served in, nil where it may be in all.
-	homes []string
-	// priority is the client account's or the route's, 0 first.
-	priority int
-	keepKey  bool
-	body     []byte
-	began    time.Time
-	// due is when an answer is on time, deadline when it must be final.
+	// allowedRegions are the regions in which the request may be served; nil allows all.
+	allowedRegions []string
+	// priority is taken from the client account or the route; 0 is the highest.
+	priority   int
+	forwardKey bool
+	body       []byte
+	startTime  time.Time
+	// due is when the response should be delivered, and deadline when the request ends with a final result.
 	due      time.Time
 	deadline time.Time
-	// firstBy is when a stream's caller leaves that has no event yet.
-	firstBy time.Time
+	// firstEventDeadline is when the caller of a stream gives up if it has received no event.
+	firstEventDeadline time.Time
 
 	tried []string
-	// runs is how many endpoints may have run the request.
+	// runs counts the endpoints that may have run the request.
 	runs int
-	// sends is how many endpoints it was sent to.
-	sends int
-	// headed is set once the answer's header has gone to the caller.
-	headed bool
-	// status is that of the endpoint's answer.
+	// attempts counts the endpoints that the request was sent to.
+	attempts int
+	// headerSent is set once the response header was written to the caller.
+	headerSent bool
+	// status is the status of the endpoint's response.
 	status int
 }
 
-// ServeHTTP answers callers' requests.
+// ServeHTTP serves callers' requests.
 func (f *Forwarder) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	now := time.Now()
 	f.inFlight.Add(1)
@@ -72,22 +72,22 @@
 	if f.stopping.Load() {
 		w.Header().Set("Connection", "close")
 	}
-	x := &exchange{f: f, w: w, in: r, ctx: r.Context(), began: now}
-	x.boundWrites(now.Add(defaultTimeout))
+	x := &exchange{f: f, w: w, in: r, ctx: r.Context(), startTime: now}
+	x.setWriteDeadline(now.Add(defaultTimeout))
 	failure := x.serve()
 	x.log(failure)
 	if failure == nil {
 		return
 	}
-	if x.headed {
-		// The answer has begun: only a connection that ends shows the caller that it is not whole.
+	if x.headerSent {
+		// The header was already written: closing the connection is the only way to show that the response is
+		// incomplete.
 		panic(http.ErrAbortHandler)
 	}
-	failure.send(w)
+	failure.write(w)
 }
 
-// serve carries the request out. It gives the failure that the caller is to be told, or nil once the caller has its
-// answer.
+// serve handles the request. It returns the failure to report to the caller, or nil once the response was written.
 func (x *exchange) serve() *FailureError {
 	if failure := x.check(); failure != nil {
 		return failure
@@ -95,7 +95,7 @@
 	if failure := x.readBody(); failure != nil {
 		return failure
 	}
-	if failure := x.checkContent(); failure != nil {
+	if failure := x.checkQuarantine(); failure != nil {
 		return failure
 	}
 	if failure := x.checkAvailable(); failure != nil {
@@ -110,19 +110,20 @@
 	return x.servePlain()
 }
 
-// check finds the route, the client account and the deadline.
+// check determines the route, the client account, the deadlines and the service.
 func (x *exchange) check() *FailureError {
 	if guarder.Ambiguous(x.in.Context()) {
-		// Two lengths of one body: where the next request begins is in doubt, and a hidden one could follow.
+		// The request has two conflicting body lengths, so the start of the next request is ambiguous and could hide
+		// a smuggled one.
 		x.w.Header().Set("Connection", "close")
 		return &FailureError{Status: http.StatusBadRequest, Reason: "ambiguousLength"}
 	}
 	x.f.mu.Lock()
 	catalog, known := x.f.catalog, x.f.registry.Known()
-	start := x.f.startReturn(x.began)
+	retryAfter := x.f.startupRetryDelay(x.startTime)
 	x.f.mu.Unlock()
 	if catalog == nil || !known {
-		return notRun("starting", start)
+		return notRun("starting", retryAfter)
 	}
 	x.version = catalog.Version()
 	path, _, _ := strings.Cut(x.in.RequestURI, "?")
@@ -138,10 +139,10 @@
 	if failure := x.checkKey(catalog); failure != nil {
 		return failure
 	}
-	x.setTimes()
+	x.setDeadlines()
 	service, known := catalog.Service(route.Target(xxhash.Sum64String(x.req.ID)))
 	if !known {
-		return notRun("unknownService", soon())
+		return notRun("unknownService", shortRetryDelay())
 	}
 	x.service = service
 	if limit := catalog.Limits().BodyBytes; limit > 0 {
@@ -156,9 +157,9 @@
 
 func (x *exchange) checkKey(catalog *cataloger.Catalog) *FailureError {
 	x.priority = x.route.Priority
-	x.homes = homesOf(x.route, nil)
+	x.allowedRegions = allowedRegionsOf(x.route, nil)
 	if !catalog.NeedsKeys() {
-		x.keepKey = true
+		x.forwardKey = true
 		return nil
 	}
 	account, known := catalog.Account(x.req.Key)
@@ -169,21 +170,21 @@
 		return &FailureError{Status: http.StatusUnauthorized, Reason: "unknownKey"}
 	}
 	x.account = account.Name
-	x.homes = homesOf(x.route, account)
+	x.allowedRegions = allowedRegionsOf(x.route, account)
 	if account.HasPriority {
 		x.priority = account.Priority
 	}
 	return nil
 }
 
-// boundWrites ends writing to a caller that does not read. Its request's context does not end a write that waits for the
-// caller, and the endpoint's connection and the request's memory would be held for as long as the caller likes.
-func (x *exchange) boundWrites(deadline time.Time) {
-	// An error means that the connection takes no deadline, as in tests of the handler alone.
+// setWriteDeadline bounds writes to a caller that does not read. Cancelling the request context does not interrupt a
+// blocked write, so the endpoint's connection and the request's memory would be held indefinitely.
+func (x *exchange) setWriteDeadline(deadline time.Time) {
+	// An error means that the connection does not support deadlines, as in tests of the handler alone.
 	_ = http.NewResponseController(x.w).SetWriteDeadline(deadline.Add(writeGrace))
 }
 
-func (x *exchange) setTimes() {
+func (x *exchange) setDeadlines() {
 	timeout := x.route.Timeout
 	if timeout <= 0 {
 		timeout = defaultTimeout
@@ -191,21 +192,21 @@
 	if x.req.Timeout > 0 {
 		timeout = min(timeout, x.req.Timeout)
 	}
-	x.deadline = x.began.Add(timeout)
-	x.due = x.began.Add(x.route.Objective)
-	x.firstBy = x.deadline
-	if patience := x.route.FirstEventPatience; patience > 0 && patience < timeout {
-		x.firstBy = x.began.Add(patience)
+	x.deadline = x.startTime.Add(timeout)
+	x.due = x.startTime.Add(x.route.Objective)
+	x.firstEventDeadline = x.deadline
+	if wait := x.route.FirstEventPatience; wait > 0 && wait < timeout {
+		x.firstEventDeadline = x.startTime.Add(wait)
 	}
-	x.boundWrites(x.deadline)
+	x.setWriteDeadline(x.deadline)
 }
 
 func (x *exchange) readBody() *FailureError {
 	if x.in.ContentLength == 0 {
 		return nil
 	}
-	// An error means that the connection takes no deadline; then the server's own bound holds.
-	_ = http.NewResponseController(x.w).SetReadDeadline(x.began.Add(bodyTimeout))
+	// An error means that the connection does not support deadlines; the server's own limit applies then.
+	_ = http.NewResponseController(x.w).SetReadDeadline(x.startTime.Add(bodyTimeout))
 	body, err := io.ReadAll(x.in.Body)
 	_ = http.NewResponseController(x.w).SetReadDeadline(time.Time{})
 	var tooLarge *http.MaxBytesError
@@ -221,12 +222,12 @@
 	return nil
 }
 
-// choose picks the next endpoint for the request and counts the call there.
-func (x *exchange) choose(query selector.Query) (selector.Choice, bool) {
+// chooseEndpoint selects the next endpoint for the request and counts the call to it.
+func (x *exchange) chooseEndpoint(query selector.Query) (selector.Choice, bool) {
 	now := time.Now()
 	query.Service = x.service.Name
 	query.Avoid = x.tried
-	query.Regions = x.homes
+	query.Regions = x.allowedRegions
 	query.NoProbe = !x.route.Repeatable()
 	x.f.mu.Lock()
 	choice, found := x.f.selector.Choose(query, now)
@@ -237,7 +238,7 @@
 	count := x.f.selector.Count(query.Service)
 	x.f.mu.Unlock()
 	x.f.cfg.Meter.Counter(meter.ForwardCalls, query.Service).Inc(1)
-	x.f.note("endpoint chosen",
+	x.f.logSampled("endpoint chosen",
 		zap.String("request", x.req.ID),
 		zap.String("service", query.Service),
 		zap.Bool("found", found),
@@ -250,58 +251,59 @@
 	return choice, found
 }
 
-// mayTryAgain spends a part of the budget of extra calls.
-func (x *exchange) mayTryAgain() bool {
-	if x.sends >= maxEndpoints {
+// allowAttempt reports whether the request may be sent to one more endpoint. Each attempt after the first uses up
+// retry budget.
+func (x *exchange) allowAttempt() bool {
+	if x.attempts >= maxEndpointsPerRequest {
 		return false
 	}
 	now := time.Now()
 	x.f.mu.Lock()
 	defer x.f.mu.Unlock()
-	if x.sends == 0 {
+	if x.attempts == 0 {
 		x.f.retrier.First(x.service.Name, false, now)
 		return true
 	}
-	allowed := x.f.retrier.Retry(x.service.Name, x.sends, now)
+	allowed := x.f.retrier.Retry(x.service.Name, x.attempts, now)
 	if allowed {
 		x.f.cfg.Meter.Counter(meter.ForwardRepeats, x.service.Name).Inc(1)
 	}
-	x.f.log.Info("another endpoint",
+	x.f.log.Info("retry requested",
 		zap.String("request", x.req.ID),
 		zap.String("service", x.service.Name),
 		zap.Bool("allowed", allowed),
-		zap.Int("sends", x.sends),
+		zap.Int("sends", x.attempts),
 		zap.Int("runs", x.runs))
 	return allowed
 }
 
-// callInfo is what a call to the endpoint says.
+// callInfo returns the call metadata for an endpoint.
 func (x *exchange) callInfo(e registrar.Endpoint, now time.Time) CallInfo {
 	return CallInfo{
 		Timeout:     x.deadline.Sub(now),
 		Instance:    e.ID,
 		Account:     x.account,
-		ForwardKey:  x.keepKey,
+		ForwardKey:  x.forwardKey,
 		Priority:    x.priority,
 		HasPriority: x.service.Model != nil,
 	}
 }
 
-// left tells how long the request may still take.
-func (x *exchange) left(now time.Time) time.Duration { return x.deadline.Sub(now) }
+// remaining returns the time until the request's deadline.
+func (x *exchange) remaining(now time.Time) time.Duration { return x.deadline.Sub(now) }
 
-// callerGone tells that nobody waits for the answer any more.
+// callerGone reports whether the caller has disconnected.
 func (x *exchange) callerGone() bool { return x.in.Context().Err() != nil }
 
-// log writes one line for the request's end.
+// log records metrics and writes one log line at the end of the request.
 func (x *exchange) log(failure *FailureError) {
-	took := time.Since(x.began)
+	took := time.Since(x.startTime)
 	x.f.cfg.Meter.Histogram(meter.ForwardMicros).Update(took.Microseconds())
 	fields := []zap.Field{
 		zap.String("request", x.req.ID),
 		zap.Duration("took", took),
 		zap.Int64("version", x.version),
-		zap.Int("sends", x.sends),
+		zap.Int("sends", x.attempts),
 		zap.Int("runs", x.runs),
 		zap.String("target", x.in.RequestURI),
 	}
@@ -312,8 +314,8 @@
 		fields = append(fields, zap.Strings("endpoints", x.tried))
 	}
 	if failure == nil {
-		x.f.cfg.Meter.Counter(meter.ForwardRequests, answeredOK).Inc(1)
-		x.f.note("request answered", append(fields, zap.Int("status", x.status))...)
+		x.f.cfg.Meter.Counter(meter.ForwardRequests, outcomeAnswered).Inc(1)
+		x.f.logSampled("request answered", append(fields, zap.Int("status", x.status))...)
 		return
 	}
 	x.f.cfg.Meter.Counter(meter.ForwardRequests, failure.Reason).Inc(1)
--- a/forwarder/knowledge.go
+++ b/forwarder/knowledge.go
@@ -14,12 +14,13 @@
 	"geraniumline/registrar"
 )
 
-// ApplyConfig takes a configuration that was read from the store or told by a peer. An older one than that in force is
-// dropped: a stale read must not bring back a route or key that was taken away.
+// ApplyConfig puts a configuration in force that was read from the store or received from a peer. A version that is
+// not newer than the one in force is ignored: a stale read must not restore a route or key that was removed. It
+// returns an error if the configuration can't be decoded.
 func (f *Forwarder) ApplyConfig(data []byte, source string, now time.Time) error {
 	catalog, err := f.cfg.DecodeConfig(data)
 	if err != nil {
-		f.log.Error("configuration can't be used", zap.String("source", source), zap.Error(err))
+		f.log.Error("configuration rejected", zap.String("source", source), zap.Error(err))
 		return err
 	}
 	f.mu.Lock()
@@ -37,8 +38,8 @@
 			f.selector.SetCold(name, service.ColdPerSecond)
 		}
 	}
-	f.duties.forget()
-	f.raw = data
+	f.duties.reset()
+	f.rawConfig = data
 	f.behindSince = time.Time{}
 	f.registry.SetServices(slices.Collect(maps.Keys(catalog.Services())), now)
 	for name, p := range f.pools {
@@ -46,9 +47,9 @@
 			p.SetStage(*s.Stage)
 		}
 	}
-	todo := f.endpointsChanged(now)
+	actions := f.endpointsChanged(now)
 	f.mu.Unlock()
-	run(todo)
+	runActions(actions)
 	f.log.Info("configuration in force",
 		zap.Int64("version", catalog.Version()),
 		zap.Int64("before", before),
@@ -56,64 +57,64 @@
 	return nil
 }
 
-// ApplyEndpoints takes changes of endpoints' entries, from one position up to another, that were read from the store. The
-// entry that reads for all passes them on.
+// ApplyEndpoints applies changes of endpoints' records between two positions that were read from the store. The entry
+// that reads for all broadcasts them.
 func (f *Forwarder) ApplyEndpoints(changes []registrar.Change, from, next locator.Position, now time.Time) {
-	f.locked(func() []func() {
+	f.withLock(func() []func() {
 		news := f.registry.News(changes)
 		f.registry.Apply(changes, next, now)
-		todo := f.passOn(news, from, next, now)
+		actions := f.broadcastChanges(news, from, next, now)
 		if len(news) == 0 {
-			return todo
+			return actions
 		}
-		return append(todo, f.endpointsChanged(now)...)
+		return append(actions, f.endpointsChanged(now)...)
 	})
 }
 
-// ReplaceEndpoints takes the newest entry of every endpoint.
+// ReplaceEndpoints replaces the list of endpoints with the newest record of every endpoint.
 func (f *Forwarder) ReplaceEndpoints(all []registrar.Change, next locator.Position, now time.Time) {
-	f.locked(func() []func() {
+	f.withLock(func() []func() {
 		f.registry.Replace(all, next, now)
-		f.newsAt = now
+		f.updateReceivedAt = now
 		return f.endpointsChanged(now)
 	})
 }
 
-// RecordStoreResponse notes that the store has answered this entry, in which era.
+// RecordStoreResponse records that the store answered this entry, and its era.
 func (f *Forwarder) RecordStoreResponse(era int64, now time.Time) {
 	f.mu.Lock()
 	f.registry.Heard(now)
-	f.takeEra(era, "store")
-	news := f.storeLost
+	f.applyEra(era, "store")
+	changed := f.storeLost
 	f.storeLost = false
 	f.mu.Unlock()
-	if news {
+	if changed {
 		f.log.Info("store answers again")
 	}
 }
 
-// RecordStoreFailure notes that the store does not answer this entry. For the list of endpoints that counts only if it does not
-// answer the entry that reads for all either.
+// RecordStoreFailure records that the store does not answer this entry. The list of endpoints is considered stale
+// only if the entry that reads for all gets no answer either.
 func (f *Forwarder) RecordStoreFailure(err error, now time.Time) {
 	f.mu.Lock()
-	if now.Sub(f.newsAt) >= newsPatience {
+	if now.Sub(f.updateReceivedAt) >= updateTimeout {
 		f.registry.Lost()
 	}
-	news := !f.storeLost
+	changed := !f.storeLost
 	f.storeLost = true
 	f.mu.Unlock()
-	if news {
+	if changed {
 		f.log.Warn("store does not answer", zap.Error(err))
 	}
 }
 
-// endpointsChanged hands the usable endpoints to those that choose among them. The lock is held.
+// endpointsChanged passes the usable endpoints to the selector and the pools. The lock must be held.
 func (f *Forwarder) endpointsChanged(now time.Time) []func() {
 	usable := f.usable(now)
 	if f.catalog == nil {
 		return nil
 	}
-	f.duties.forget()
+	f.duties.reset()
 	var direct []registrar.Endpoint
 	for _, e := range usable {
 		if _, isStage := f.stageService(e.Service); !isStage {
@@ -121,26 +122,26 @@
 		}
 	}
 	f.selector.SetEndpoints(direct)
-	var todo []func()
+	var actions []func()
 	for name, p := range f.pools {
-		todo = append(todo, f.performAll(name, p, p.Reduce(f.endpointsOf(name, usable), now))...)
+		actions = append(actions, f.performAll(name, p, p.Reduce(f.endpointsOf(name, usable), now))...)
 	}
-	return todo
+	return actions
 }
 
-// endpointsOf gives the endpoints of a pool that may get new work. The lock is held.
+// endpointsOf returns the endpoints of a pool that may receive new work. The lock must be held.
 func (f *Forwarder) endpointsOf(pool string, usable []registrar.Endpoint) collector.EndpointsChanged {
-	own := divider.Parse(pool)
-	changed := collector.EndpointsChanged{Evacuated: !f.availability.serves(own.Service, nil)}
+	parsed := divider.Parse(pool)
+	changed := collector.EndpointsChanged{Evacuated: !f.availability.serves(parsed.Service, nil)}
 	for i := range usable {
-		if own.Takes(&usable[i]) {
+		if parsed.Takes(&usable[i]) {
 			changed.Endpoints = append(changed.Endpoints, usable[i])
 		}
 	}
 	return changed
 }
 
-// stageService gives what the configuration says of a stage's service. The lock is held.
+// stageService returns the configuration of a stage's service. The lock must be held.
 func (f *Forwarder) stageService(name string) (*cataloger.Service, bool) {
 	if f.catalog == nil {
 		return nil, false
--- a/forwarder/leaving_test.go
+++ b/forwarder/leaving_test.go
@@ -16,7 +16,7 @@
 
 // leave has an entry get an answer that says that the endpoint leaves.
 func (m *mesh) leave(entry, endpoint string) {
-	m.nodes[entry].takeNotice(endpointAt(endpoint).Endpoint, regulator.Notice{Leaving: true}, m.now)
+	m.nodes[entry].applyNotice(endpointAt(endpoint).Endpoint, regulator.Notice{Leaving: true}, m.now)
 }
 
 // chosenAt counts which endpoints an entry chooses for so many requests.
@@ -85,21 +85,21 @@
 	}
 	f := m.nodes["entry-0"]
 	f.ReplaceEndpoints([]registrar.Change{started(first)}, locator.At(0, 5), m.now)
-	f.takeNotice(started(first).Endpoint, regulator.Notice{Leaving: true}, m.now)
+	f.applyNotice(started(first).Endpoint, regulator.Notice{Leaving: true}, m.now)
 	require.Empty(t, m.chosenAt("entry-0", 5))
 	again := started(second)
 	again.Position = locator.At(0, 8)
 	f.ApplyEndpoints([]registrar.Change{again}, locator.At(0, 5), locator.At(0, 9), m.now)
 	require.Len(t, m.chosenAt("entry-0", 5), 1)
-	f.takeNotice(started(first).Endpoint, regulator.Notice{Leaving: true}, m.now)
-	f.takeMessage("entry-1", &carrier.Heartbeat{
+	f.applyNotice(started(first).Endpoint, regulator.Notice{Leaving: true}, m.now)
+	f.handleMessage("entry-1", &carrier.Heartbeat{
 		From: carrier.Member{Name: "entry-1"}, Leaving: []carrier.EndpointLeave{{ID: "a", StartedMillis: first.UnixMilli()}},
 	}, m.now)
 	require.Len(t, m.chosenAt("entry-0", 5), 1)
 }
 
 // Guards against a peer's word that spares a leaving endpoint nothing: the requests in the second after it first says so, with the
-// words between entries and without.
+// words between entries and exclude.
 func TestPeersWordSparesALeavingEndpoint(t *testing.T) {
 	for _, entries := range []int{7, 65} {
 		const seeds = 5
--- a/forwarder/limit_test.go
+++ b/forwarder/limit_test.go
@@ -36,7 +36,7 @@
 	rnd *rand.Rand
 	// loss is the part of the frames between entries that is lost.
 	loss float64
-	// limits are those that the endpoints name at present, since is when each began to.
+	// limits are those that the endpoints name at present, since is when each startTime to.
 	limits map[string]float64
 	since  map[string]time.Time
 	// refuses are the endpoints that turn all away at once, unrun, and ask for a time of rest where it is not 0.
@@ -98,10 +98,10 @@
 // run has so many requests a second come to the entries, each at a random one.
 func (p *limitedPool) run(d time.Duration, perSecond float64) {
 	for end := p.m.now.Add(d); p.m.now.Before(end); {
-		p.m.step(tickEvery)
+		p.m.step(tickInterval)
 		p.m.deliver(p.loss, p.rnd)
 		p.answer()
-		for n := p.poisson(perSecond * tickEvery.Seconds()); n > 0; n-- {
+		for n := p.poisson(perSecond * tickInterval.Seconds()); n > 0; n-- {
 			p.request(fmt.Sprintf("entry-%d", p.rnd.IntN(len(p.m.nodes))))
 		}
 	}
@@ -136,7 +136,7 @@
 			})
 			return
 		}
-		f.takeNotice(&choice.Endpoint, regulator.Notice{Rest: rest}, p.m.now)
+		f.applyNotice(&choice.Endpoint, regulator.Notice{Rest: rest}, p.m.now)
 		f.mu.Lock()
 		f.selector.Refused(choice, p.m.now)
 		f.mu.Unlock()
@@ -180,7 +180,7 @@
 		if _, knows := p.told[key]; a.notice.Limited && !knows {
 			p.told[key] = p.m.now
 		}
-		f.takeNotice(&a.choice.Endpoint, a.notice, p.m.now)
+		f.applyNotice(&a.choice.Endpoint, a.notice, p.m.now)
 		f.mu.Lock()
 		f.selector.Ended(a.choice, ejector.Good, p.m.now)
 		f.mu.Unlock()
--- a/forwarder/loadreport.go
+++ b/forwarder/loadreport.go
@@ -6,11 +6,11 @@
 	"geraniumline/carrier"
 )
 
-// reportLife is how long a peer's load report counts: most prompts are read by then. Where reports go to few
-// peers a round the next one may come seconds later.
-const reportLife = time.Second
+// reportTTL is how long a peer's load report is valid: most prompts are read within it. Where reports go to few peers
+// per round, the next one may arrive seconds later.
+const reportTTL = time.Second
 
-// loadReport tells peers what this entry has under way. The lock is held.
+// loadReport returns the work that this entry has in flight at each endpoint. The lock must be held.
 func (f *Forwarder) loadReport() *carrier.LoadReport {
 	w := &carrier.LoadReport{}
 	for id, tokens := range f.selector.Work() {
@@ -19,7 +19,7 @@
 	return w
 }
 
-func (f *Forwarder) takeLoadReport(from string, m *carrier.LoadReport, now time.Time) {
+func (f *Forwarder) applyLoadReport(from string, m *carrier.LoadReport, now time.Time) {
 	tokens := make(map[string]int, len(m.Endpoints))
 	for _, e := range m.Endpoints {
 		tokens[e.ID] = int(e.Tokens)
@@ -28,10 +28,10 @@
 	f.reportedAt[from] = now
 }
 
-// dropOldReports forgets what peers had under way once their reports are old. The lock is held.
-func (f *Forwarder) dropOldReports(now time.Time) {
+// expireReports discards peers' load reports that have expired. The lock must be held.
+func (f *Forwarder) expireReports(now time.Time) {
 	for peer, at := range f.reportedAt {
-		if now.Sub(at) >= reportLife {
+		if now.Sub(at) >= reportTTL {
 			f.selector.SetPeer(peer, nil)
 			delete(f.reportedAt, peer)
 		}
--- a/forwarder/mesh_test.go
+++ b/forwarder/mesh_test.go
@@ -34,7 +34,7 @@
 
 func (noWire) InstanceHeader(string) http.Header { return http.Header{} }
 
-// mesh joins forwarders without a network. A cut entry's messages go nowhere.
+// mesh joins forwarders exclude a network. A cut entry's messages go nowhere.
 type mesh struct {
 	t     testing.TB
 	nodes map[string]*Forwarder
@@ -71,17 +71,17 @@
 		now = p.m.now
 	}
 	if p.m.defers {
-		p.m.deferred = append(p.m.deferred, func() { target.takeMessage(p.name, message, now) })
+		p.m.deferred = append(p.m.deferred, func() { target.handleMessage(p.name, message, now) })
 		return
 	}
-	target.takeMessage(p.name, message, now)
+	target.handleMessage(p.name, message, now)
 }
 
 // step lets model time pass, with the ticks and heartbeats of all entries that are not cut.
 func (m *mesh) step(d time.Duration) {
 	m.modelTime = true
-	for end := m.now.Add(d); m.now.Before(end); m.now = m.now.Add(tickEvery) {
-		beats := m.now.Sub(m.beaten) >= heartbeatEvery
+	for end := m.now.Add(d); m.now.Before(end); m.now = m.now.Add(tickInterval) {
+		beats := m.now.Sub(m.beaten) >= heartbeatInterval
 		if beats {
 			m.beaten = m.now
 		}
@@ -160,7 +160,7 @@
 	for range rounds {
 		now := time.Now()
 		if m.modelTime {
-			m.now = m.now.Add(heartbeatEvery)
+			m.now = m.now.Add(heartbeatInterval)
 			now = m.now
 		}
 		for i := range len(m.nodes) {
@@ -187,7 +187,7 @@
 	m := newMesh(t, 3)
 	addresses, ttl := m.nodes["entry-1"].Addresses("", "", time.Now())
 	require.ElementsMatch(t, []string{"caller-entry-0", "caller-entry-1", "caller-entry-2"}, addresses)
-	require.Equal(t, youngTTL, ttl, "a young entry may not know all yet")
+	require.Equal(t, startupTTL, ttl, "a young entry may not know all yet")
 	m.nodes["entry-2"].stopping.Store(true)
 	m.beat(1)
 	addresses, ttl = m.nodes["entry-1"].Addresses("", "", m.now.Add(time.Minute))
@@ -228,7 +228,7 @@
 	f := m.nodes["entry-0"]
 	before := m.sent["*carrier.Heartbeat"]
 	f.heartbeat(time.Now())
-	require.LessOrEqual(t, m.sent["*carrier.Heartbeat"]-before, heartbeatsEachRound)
+	require.LessOrEqual(t, m.sent["*carrier.Heartbeat"]-before, heartbeatsPerRound)
 	m.beat(3)
 	extra := 0
 	for name, f := range m.nodes {
--- a/forwarder/note.go
+++ b/forwarder/note.go
@@ -11,48 +11,48 @@
 )
 
 const (
-	// ordinaryRate bounds the lines a second on decisions of ordinary requests, ordinaryBurst what may come at once.
-	ordinaryRate  = 200
-	ordinaryBurst = 400
-	// peerRate bounds the lines a second on changes of peers' states, and on endpoints' notices; peerBurst what may come
-	// at once, such as when all peers are lost and come back.
-	peerRate  = 20
-	peerBurst = 400
-	// sampledEvery is how often the number of lines left out is told.
-	sampledEvery = 5 * time.Second
+	// requestLineRate bounds the log lines per second on ordinary requests, and requestLineBurst the lines at once.
+	requestLineRate  = 200
+	requestLineBurst = 400
+	// peerLineRate bounds the log lines per second on changes of peers' states, and on endpoints' notices.
+	// peerLineBurst bounds the lines at once, as when all peers are lost and return.
+	peerLineRate  = 20
+	peerLineBurst = 400
+	// dropReportInterval is how often the number of dropped lines is logged.
+	dropReportInterval = 5 * time.Second
 )
 
-// The reasons for which log lines are not written.
+// Label values of counters.
 const (
-	overRate   = "rate"
-	answeredOK = "answered"
+	dropReasonRate  = "rate"
+	outcomeAnswered = "answered"
 )
 
-// notes writes decisions of ordinary requests as far as their rate allows. Failures and changes of belief go to the
-// logger itself.
-type notes struct {
-	log     *zap.Logger
-	limiter *rate.Limiter
-	peers   *rate.Limiter
-	notices *rate.Limiter
-	left    int64
-	told    time.Time
-	meter   *meter.Meter
+// sampledLog limits the rate of log lines on ordinary requests, peers and endpoints' notices. Failures and other
+// changes of state are written to the logger directly.
+type sampledLog struct {
+	log           *zap.Logger
+	requests      *rate.Limiter
+	peers         *rate.Limiter
+	notices       *rate.Limiter
+	reportedDrops int64
+	lastReport    time.Time
+	meter         *meter.Meter
 }
 
-func newNotes(log *zap.Logger, m *meter.Meter) *notes {
-	return &notes{
-		log:     log,
-		limiter: rate.NewLimiter(ordinaryRate, ordinaryBurst),
-		peers:   rate.NewLimiter(peerRate, peerBurst),
-		notices: rate.NewLimiter(peerRate, peerBurst),
-		meter:   m,
+func newSampledLog(log *zap.Logger, m *meter.Meter) *sampledLog {
+	return &sampledLog{
+		log:      log,
+		requests: rate.NewLimiter(requestLineRate, requestLineBurst),
+		peers:    rate.NewLimiter(peerLineRate, peerLineBurst),
+		notices:  rate.NewLimiter(peerLineRate, peerLineBurst),
+		meter:    m,
 	}
 }
 
-// notePeer writes a line on the change of a peer's state.
-func (f *Forwarder) notePeer(t detector.Transition) {
-	f.noteBy(f.notes.peers, "peer changed",
+// logPeerTransition logs the change of a peer's state.
+func (f *Forwarder) logPeerTransition(t detector.Transition) {
+	f.logWithin(f.sampledLog.peers, "peer state changed",
 		zap.String("peer", t.Member.Name),
 		zap.Stringer("from", t.From),
 		zap.Stringer("to", t.To),
@@ -60,48 +60,49 @@
 		zap.Duration("away", t.Away))
 }
 
-// note writes a line on an ordinary decision.
-func (f *Forwarder) note(msg string, fields ...zap.Field) { f.noteBy(f.notes.limiter, msg, fields...) }
+// logSampled logs an event of an ordinary request.
+func (f *Forwarder) logSampled(msg string, fields ...zap.Field) {
+	f.logWithin(f.sampledLog.requests, msg, fields...)
+}
 
-// noteNotice writes a line on what an endpoint has said of the work that it takes. One that says something else in each answer must
-// not fill the log.
-func (f *Forwarder) noteNotice(msg string, fields ...zap.Field) {
-	f.noteBy(f.notes.notices, msg, fields...)
+// logNotice logs an endpoint's notice. The rate is limited since an endpoint may change its notice in each response.
+func (f *Forwarder) logNotice(msg string, fields ...zap.Field) {
+	f.logWithin(f.sampledLog.notices, msg, fields...)
 }
 
-func (f *Forwarder) noteBy(limiter *rate.Limiter, msg string, fields ...zap.Field) {
+func (f *Forwarder) logWithin(limiter *rate.Limiter, msg string, fields ...zap.Field) {
 	if limiter.Allow() {
 		f.log.Info(msg, fields...)
 		return
 	}
-	f.notes.meter.Counter(meter.LogLinesDropped, overRate).Inc(1)
+	f.sampledLog.meter.Counter(meter.LogLinesDropped, dropReasonRate).Inc(1)
 }
 
-// tellSampled tells how many lines were left out since it was last told.
-func (f *Forwarder) tellSampled(now time.Time) {
-	if now.Sub(f.notes.told) < sampledEvery {
+// reportDroppedLines logs how many lines were dropped since its last report.
+func (f *Forwarder) reportDroppedLines(now time.Time) {
+	if now.Sub(f.sampledLog.lastReport) < dropReportInterval {
 		return
 	}
-	f.notes.told = now
-	total := f.notes.meter.Counter(meter.LogLinesDropped, overRate).Count()
-	if n := total - f.notes.left; n > 0 {
-		f.log.Warn("lines on ordinary requests and peers left out", zap.Int64("lines", n))
+	f.sampledLog.lastReport = now
+	total := f.sampledLog.meter.Counter(meter.LogLinesDropped, dropReasonRate).Count()
+	if n := total - f.sampledLog.reportedDrops; n > 0 {
+		f.log.Warn("log lines dropped by rate limits", zap.Int64("lines", n))
 	}
-	f.notes.left = total
+	f.sampledLog.reportedDrops = total
 }
 
-// measure sets the gauges.
-func (f *Forwarder) measure(now time.Time) {
+// updateGauges sets the gauges.
+func (f *Forwarder) updateGauges(now time.Time) {
 	m := f.cfg.Meter
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	m.Gauge(meter.ForwardInFlight).Update(f.inFlight.Load())
 	m.Gauge(meter.ConfigVersion).Update(f.version())
-	if !f.configHeard.IsZero() {
-		m.Gauge(meter.ConfigAge).Update(now.Sub(f.configHeard).Milliseconds())
+	if !f.configReadAt.IsZero() {
+		m.Gauge(meter.ConfigAge).Update(now.Sub(f.configReadAt).Milliseconds())
 	}
 	m.Gauge(meter.EndpointsCold).Update(int64(f.selector.Cold(now)))
-	f.measureNotices(now)
+	f.updateNoticeGauges(now)
 	m.Gauge(meter.PeersLive).Update(int64(len(f.liveAddresses(f.detector.Members()))))
 	if f.registry.Known() {
 		m.Gauge(meter.EndpointsAge).Update(f.registry.Age(now).Milliseconds())
--- a/forwarder/notice.go
+++ b/forwarder/notice.go
@@ -13,65 +13,66 @@
 	"geraniumline/regulator"
 )
 
-// readAnswer decodes the header of an endpoint's answer, and takes what it says of the work that the endpoint takes.
-func (f *Forwarder) readAnswer(e *registrar.Endpoint, answer *connector.Answer) ResponseInfo {
-	info := f.cfg.Wire.ReadResponse(answer.Status(), answer.Header())
+// readResponse decodes the header of an endpoint's response, and applies its notice about the work that the endpoint
+// accepts.
+func (f *Forwarder) readResponse(e *registrar.Endpoint, resp *connector.Answer) ResponseInfo {
+	info := f.cfg.Wire.ReadResponse(resp.Status(), resp.Header())
 	if info.NoticeErr != nil {
 		f.cfg.Meter.Counter(meter.NoticesUnusable, e.Service).Inc(1)
-		f.noteNotice("endpoint's notice can't be used", zap.String("endpoint", e.ID), zap.Error(info.NoticeErr))
+		f.logNotice("invalid endpoint notice", zap.String("endpoint", e.ID), zap.Error(info.NoticeErr))
 	}
 	if info.NoticeErr == nil || info.Notice != (regulator.Notice{}) {
-		f.takeNotice(e, info.Notice, time.Now())
+		f.applyNotice(e, info.Notice, time.Now())
 	}
 	return info
 }
 
-// takeNotice takes what an endpoint's answer says of the work that it takes.
-func (f *Forwarder) takeNotice(e *registrar.Endpoint, n regulator.Notice, now time.Time) {
-	f.locked(func() []func() {
+// applyNotice applies an endpoint's notice about the work that it accepts.
+func (f *Forwarder) applyNotice(e *registrar.Endpoint, n regulator.Notice, now time.Time) {
+	f.withLock(func() []func() {
 		if !f.registry.Lists(e.ID, e.Started) {
 			return nil
 		}
 		change := f.regulator.Heard(e, n, now)
 		if change.Limit {
-			f.noteLimit(e.ID, n.PerSecond, e.ID)
+			f.logLimit(e.ID, n.PerSecond, e.ID)
 		}
 		if change.Rest {
-			f.noteNotice("endpoint asks for rest", zap.String("endpoint", e.ID), zap.Duration("rest", n.Rest))
+			f.logNotice("endpoint asks for rest", zap.String("endpoint", e.ID), zap.Duration("rest", n.Rest))
 		}
 		if !change.Leaving {
 			return nil
 		}
-		f.noteLeaving(e.ID, e.ID)
+		f.logLeaving(e.ID, e.ID)
 		return f.endpointsChanged(now)
 	})
 }
 
-// noteLeaving writes a line on an endpoint that leaves; the source is the endpoint itself or a peer.
-func (f *Forwarder) noteLeaving(endpoint, source string) {
-	f.noteNotice("endpoint leaves", zap.String("endpoint", endpoint), zap.String("source", source))
+// logLeaving logs that an endpoint leaves; the source is the endpoint itself or a peer.
+func (f *Forwarder) logLeaving(endpoint, source string) {
+	f.logNotice("endpoint leaves", zap.String("endpoint", endpoint), zap.String("source", source))
 }
 
-// noteLimit writes a line on the change of an endpoint's limit; the source is the endpoint itself or a peer.
-func (f *Forwarder) noteLimit(endpoint string, perSecond float64, source string) {
-	f.noteNotice("endpoint's limit changed",
+// logLimit logs the change of an endpoint's limit; the source is the endpoint itself or a peer.
+func (f *Forwarder) logLimit(endpoint string, perSecond float64, source string) {
+	f.logNotice("endpoint's limit changed",
 		zap.String("endpoint", endpoint),
 		zap.Float64("perSecond", perSecond),
 		zap.String("source", source))
 }
 
-// sparedAt tells whether an endpoint at the address has asked for few calls. The lock is held.
+// sparedAt reports whether an endpoint at the address has asked for few calls. The lock must be held.
 func (f *Forwarder) sparedAt(address string, now time.Time) bool {
 	return slices.ContainsFunc(f.registry.At(address), func(id string) bool { return f.regulator.Spared(id, now) })
 }
 
-// limits tells peers the limits that endpoints have named. The lock is held.
+// limits returns the part of the endpoints' limits to send in the next heartbeat. The lock must be held.
 func (f *Forwarder) limits(now time.Time) []carrier.EndpointLimit {
 	var list []carrier.EndpointLimit
-	for _, l := range nextPart(&f.limitsTold, f.regulator.Limits(now), f.random) {
+	for _, l := range nextPart(&f.limitsRotation, f.regulator.Limits(now), f.random) {
 		list = append(list, carrier.EndpointLimit{
 			ID:            l.Endpoint,
-			StartedMillis: unixMillis(l.Started),
+			StartedMillis: toUnixMillis(l.Started),
 			PerSecond:     l.PerSecond,
 			AgeMillis:     uint32(now.Sub(l.At).Milliseconds()),
 		})
@@ -79,39 +80,39 @@
 	return list
 }
 
-// takeLimits takes endpoints' limits that a peer tells. The lock is held.
-func (f *Forwarder) takeLimits(list []carrier.EndpointLimit, from string, now time.Time) {
+// applyLimits applies endpoints' limits reported by a peer. The lock must be held.
+func (f *Forwarder) applyLimits(list []carrier.EndpointLimit, from string, now time.Time) {
 	for _, m := range list {
 		l := regulator.Limit{
 			Endpoint:  m.ID,
-			Started:   timeOf(m.StartedMillis),
+			Started:   fromUnixMillis(m.StartedMillis),
 			PerSecond: m.PerSecond,
 			At:        now.Add(-time.Duration(m.AgeMillis) * time.Millisecond),
 		}
 		usable := l.PerSecond >= 0 && f.registry.Lists(l.Endpoint, l.Started)
 		if usable && f.regulator.Told(l) {
-			f.noteLimit(l.Endpoint, l.PerSecond, from)
+			f.logLimit(l.Endpoint, l.PerSecond, from)
 		}
 	}
 }
 
-// leaving tells peers which endpoints have said that they leave. The lock is held.
+// leaving returns the part of the leaving endpoints to send in the next heartbeat. The lock must be held.
 func (f *Forwarder) leaving() []carrier.EndpointLeave {
 	var list []carrier.EndpointLeave
-	for _, l := range nextPart(&f.leavesTold, f.regulator.Leaves(), f.random) {
-		list = append(list, carrier.EndpointLeave{ID: l.Endpoint, StartedMillis: unixMillis(l.Started)})
+	for _, l := range nextPart(&f.leavesRotation, f.regulator.Leaves(), f.random) {
+		list = append(list, carrier.EndpointLeave{ID: l.Endpoint, StartedMillis: toUnixMillis(l.Started)})
 	}
 	return list
 }
 
-// takeLeaving takes the endpoints that leave as a peer tells. The lock is held.
-func (f *Forwarder) takeLeaving(list []carrier.EndpointLeave, from string, now time.Time) []func() {
+// applyLeaving applies leaving endpoints reported by a peer. The lock must be held.
+func (f *Forwarder) applyLeaving(list []carrier.EndpointLeave, from string, now time.Time) []func() {
 	changed := false
 	for _, m := range list {
-		l := regulator.Leave{Endpoint: m.ID, Started: timeOf(m.StartedMillis)}
+		l := regulator.Leave{Endpoint: m.ID, Started: fromUnixMillis(m.StartedMillis)}
 		if f.registry.Lists(l.Endpoint, l.Started) && f.regulator.ToldLeaving(l) {
 			changed = true
-			f.noteLeaving(l.Endpoint, from)
+			f.logLeaving(l.Endpoint, from)
 		}
 	}
 	if !changed {
@@ -120,46 +121,48 @@
 	return f.endpointsChanged(now)
 }
 
-// refusing tells peers which endpoints refuse this entry's calls in a row. The lock is held.
-func (f *Forwarder) refusing(now time.Time) []carrier.EndpointRefusal {
+// refusals returns the part of the endpoints that repeatedly refuse this entry's calls to send in the next heartbeat.
+// The lock must be held.
+func (f *Forwarder) refusals(now time.Time) []carrier.EndpointRefusal {
 	var list []carrier.EndpointRefusal
-	for _, r := range nextPart(&f.refusalsTold, f.selector.Refusals(now), f.random) {
+	for _, r := range nextPart(&f.refusalsRotation, f.selector.Refusals(now), f.random) {
 		list = append(list, carrier.EndpointRefusal{
 			ID:            r.Endpoint.ID,
-			StartedMillis: unixMillis(r.Endpoint.Started),
+			StartedMillis: toUnixMillis(r.Endpoint.Started),
 			AgeMillis:     uint32(now.Sub(r.At).Milliseconds()),
 		})
 	}
 	return list
 }
 
-// takeRefusing takes the endpoints that refuse a peer's calls. The lock is held.
-func (f *Forwarder) takeRefusing(list []carrier.EndpointRefusal, now time.Time) {
+// applyRefusals applies endpoint refusals reported by a peer. The lock must be held.
+func (f *Forwarder) applyRefusals(list []carrier.EndpointRefusal, now time.Time) {
 	for _, m := range list {
-		if f.registry.Lists(m.ID, timeOf(m.StartedMillis)) {
+		if f.registry.Lists(m.ID, fromUnixMillis(m.StartedMillis)) {
 			f.selector.ToldRefusal(m.ID, now.Add(-time.Duration(m.AgeMillis)*time.Millisecond))
 		}
 	}
 }
 
-// unixMillis gives a time as peers tell it; 0 stands for the zero time.
-func unixMillis(t time.Time) int64 {
+// toUnixMillis converts a time to the form used between peers; 0 stands for the zero time.
+func toUnixMillis(t time.Time) int64 {
 	if t.IsZero() {
 		return 0
 	}
 	return t.UnixMilli()
 }
 
-// timeOf is the time that a peer has told.
-func timeOf(millis int64) time.Time {
+// fromUnixMillis converts a time received from a peer.
+func fromUnixMillis(millis int64) time.Time {
 	if millis == 0 {
 		return time.Time{}
 	}
 	return time.UnixMilli(millis)
 }
 
-// measureNotices sets the gauges of what endpoints ask for, by service. The lock is held.
-func (f *Forwarder) measureNotices(now time.Time) {
+// updateNoticeGauges sets the gauges of limited, leaving and resting endpoints for each service. The lock must be
+// held.
+func (f *Forwarder) updateNoticeGauges(now time.Time) {
 	if f.catalog == nil {
 		return
 	}
--- a/forwarder/peers.go
+++ b/forwarder/peers.go
@@ -14,67 +14,69 @@
 )
 
 const (
-	// configPatience is how long this entry may know of a newer configuration at a peer before it asks for it: its
-	// own reading of the store usually brings it first.
-	configPatience = 150 * time.Millisecond
-	// endpointsPatience is the age of the own list of endpoints from which peers are asked for theirs: two readings
-	// of the store were missed.
-	endpointsPatience = 1500 * time.Millisecond
-	// maxConfigAge is the age that stands for any longer one, and for never.
+	// configWait is how long this entry waits after a peer reported a newer configuration before it requests it: its
+	// own read of the store usually returns it first.
+	configWait = 150 * time.Millisecond
+	// maxEndpointsAge is the age of this entry's list of endpoints from which it asks peers for theirs: two reads of
+	// the store were missed.
+	maxEndpointsAge = 1500 * time.Millisecond
+	// maxConfigAge is reported for any longer age, and if the configuration was never read.
 	maxConfigAge = time.Hour
-	// askEvery is how often peers are asked.
-	askEvery = 500 * time.Millisecond
-	// askedPeers is how many peers an entry asks for their list of endpoints at a time. A store outage makes all
-	// entries ask at once; asked of all peers, with whole lists as answers, that fills the links of small VMs, so that
-	// heartbeats are late and entries take each other for dead.
-	askedPeers = 3
-	// freshMargin is how much fresher a peer's reading of the store must be to be passed on: nearly one interval.
-	freshMargin = 500 * time.Millisecond
+	// queryInterval is the minimum time between two queries of the same kind.
+	queryInterval = 500 * time.Millisecond
+	// queriedPeers is how many peers an entry asks for their list of endpoints at a time. In a store outage all
+	// entries ask at once. If they asked all peers and received whole lists, the links of small VMs would fill,
+	// heartbeats would be late and entries would consider each other dead.
+	queriedPeers = 3
+	// freshnessMargin is how much more recent a peer's read of the store must be to be sent: nearly one read
+	// interval.
+	freshnessMargin = 500 * time.Millisecond
 )
 
-// heartbeat tells peers of this entry and asks them for what it lacks.
+// heartbeat sends this entry's state to its peers and queries them for missing data.
 func (f *Forwarder) heartbeat(now time.Time) {
 	f.mu.Lock()
 	f.setSelf()
 	transitions := f.detector.Tick(now)
-	// Listed once for all below: with hundreds of members each list is a part of the heartbeat's work.
+	// The list is shared by all steps below: with hundreds of members, building it is a significant part of a
+	// heartbeat's cost.
 	members := f.detector.Members()
 	peers := f.liveAddresses(members)
-	f.setSenders(members)
-	f.retrier.SetReserve(reserveFor(f.cfg.RetrySlack, max(usualEntries, len(peers)+1)))
-	f.duties.forget()
-	f.dropOldReports(now)
-	beat := f.detector.Heartbeat(now)
-	beat.Crashes = f.quarantiner.Marks(now)
-	beat.Stages = f.stageWaits(now)
+	f.setSendingEntries(members)
+	f.retrier.SetReserve(retryReserve(f.cfg.RetrySlack, max(typicalEntries, len(peers)+1)))
+	f.duties.reset()
+	f.expireReports(now)
+	message := f.detector.Heartbeat(now)
+	message.Crashes = f.quarantiner.Marks(now)
+	message.Stages = f.stageWaits(now)
 	evacuated := f.evacuator.State()
-	beat.EvacuatedEra, beat.EvacuatedNext = evacuated.Next.Era(), evacuated.Next.Offset()
-	beat.Evacuated, beat.EvacuationsHeld = evacuated.Zones, evacuated.Held
-	beat.Limits, beat.Leaving, beat.Refusing = f.limits(now), f.leaving(), f.refusing(now)
-	beat.StoreEra, beat.EndpointsEra = f.storeEra, f.registry.Next().Era()
-	beat.ConfigAgeMillis = min(now.Sub(f.configHeard), maxConfigAge).Milliseconds()
+	message.EvacuatedEra, message.EvacuatedNext = evacuated.Next.Era(), evacuated.Next.Offset()
+	message.Evacuated, message.EvacuationsHeld = evacuated.Zones, evacuated.Held
+	message.Limits, message.Leaving, message.Refusing = f.limits(now), f.leaving(), f.refusals(now)
+	message.StoreEra, message.EndpointsEra = f.storeEra, f.registry.Next().Era()
+	message.ConfigAgeMillis = min(now.Sub(f.configReadAt), maxConfigAge).Milliseconds()
 	f.round++
 	targets := f.detector.Targets(now)
 	heartbeatTargets, reportTargets := f.targets(targets, peers)
-	work := f.loadReport()
-	questions := f.questions(members, now)
-	todo := f.takeTransitions(transitions, now)
+	report := f.loadReport()
+	peerQueries := f.peerQueries(members, now)
+	actions := f.applyTransitions(transitions, now)
 	f.mu.Unlock()
-	run(todo)
+	runActions(actions)
 	for _, address := range heartbeatTargets {
-		f.sender.Send(address, beat)
+		f.sender.Send(address, message)
 	}
 	for _, address := range reportTargets {
-		f.sender.Send(address, work)
+		f.sender.Send(address, report)
 	}
-	for address, list := range questions {
+	for address, list := range peerQueries {
 		for _, m := range list {
 			f.sender.Send(address, m)
 		}
 	}
 }
 
-// Isolated tells whether this entry hears no other one, be it ready or not.
+// Isolated reports whether this entry hears no peer, ready or not.
 func (f *Forwarder) Isolated() bool {
 	now := time.Now()
 	f.mu.Lock()
@@ -84,14 +86,14 @@
 	})
 }
 
-// AddPeerAddress takes the address of an entry that may live: heartbeats to it show whether it does.
+// AddPeerAddress adds the address of an entry that may be running. Heartbeats sent to it show whether it is.
 func (f *Forwarder) AddPeerAddress(address, zone string, now time.Time) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.detector.Hint(address, zone, false, now)
 }
 
-// setSelf sets what this entry says of itself. The lock is held.
+// setSelf updates this entry's own state in the detector. The lock must be held.
 func (f *Forwarder) setSelf() {
 	state := detector.Live
 	switch {
@@ -103,7 +105,7 @@
 	f.detector.SetSelf(state, f.version(), int32(f.inFlight.Load()))
 }
 
-// liveAddresses gives the peer addresses of the other live ones of the members. The lock is held.
+// liveAddresses returns the peer addresses of the live members other than this entry. The lock must be held.
 func (f *Forwarder) liveAddresses(members []detector.Member) []string {
 	var live []string
 	for _, m := range members {
@@ -121,22 +123,22 @@
 	return f.catalog.Version()
 }
 
-// questions asks peers for a newer configuration, or for the list of endpoints while the store can't be read here.
-// The lock is held.
-func (f *Forwarder) questions(members []detector.Member, now time.Time) map[string][]carrier.Message {
-	asked := make(map[string][]carrier.Message)
-	if address, ok := f.configQuestion(members, now); ok {
-		asked[address] = append(asked[address], &carrier.ConfigCall{})
+// peerQueries returns the queries to send by peer address: for a newer configuration, and for the list of endpoints
+// while the store can't be read here. The lock must be held.
+func (f *Forwarder) peerQueries(members []detector.Member, now time.Time) map[string][]carrier.Message {
+	queries := make(map[string][]carrier.Message)
+	if address, ok := f.configQueryTarget(members, now); ok {
+		queries[address] = append(queries[address], &carrier.ConfigCall{})
 	}
-	for _, address := range f.endpointsQuestion(members, now) {
-		asked[address] = append(asked[address], f.endpointsCall(now))
+	for _, address := range f.endpointsQueryTargets(members, now) {
+		queries[address] = append(queries[address], f.endpointsCall(now))
 	}
-	return asked
+	return queries
 }
 
-// configQuestion names the peer to ask for its configuration, if one has a newer one. It is any of those that have the
-// newest: all entries would ask the same one otherwise. The lock is held.
-func (f *Forwarder) configQuestion(members []detector.Member, now time.Time) (string, bool) {
+// configQueryTarget returns the peer to ask for its configuration if one has a newer version. It is selected at
+// random among the peers with the newest version, so that not all entries ask the same one. The lock must be held.
+func (f *Forwarder) configQueryTarget(members []detector.Member, now time.Time) (string, bool) {
 	var newest []string
 	version := f.version()
 	for _, m := range members {
@@ -157,30 +159,31 @@
 	if f.behindSince.IsZero() {
 		f.behindSince = now
 	}
-	patient := f.catalog != nil && f.readsConfig(now) && now.Sub(f.behindSince) < configPatience
-	if patient || now.Sub(f.askedConfig) < askEvery {
+	waits := f.catalog != nil && f.shouldReadConfig(now) && now.Sub(f.behindSince) < configWait
+	if waits || now.Sub(f.configQueriedAt) < queryInterval {
 		return "", false
 	}
-	f.askedConfig = now
+	f.configQueriedAt = now
 	return newest[rand.IntN(len(newest))], true
 }
 
-// endpointsQuestion names the peers to ask for their list of endpoints while the own one is old. The lock is held.
-func (f *Forwarder) endpointsQuestion(members []detector.Member, now time.Time) []string {
-	stale := !f.registry.Known() || f.registry.Age(now) > endpointsPatience
-	if !stale || now.Sub(f.askedEndpoints) < askEvery {
+// endpointsQueryTargets returns the peers to ask for their list of endpoints while this entry's list is stale. The
+// lock must be held.
+func (f *Forwarder) endpointsQueryTargets(members []detector.Member, now time.Time) []string {
+	stale := !f.registry.Known() || f.registry.Age(now) > maxEndpointsAge
+	if !stale || now.Sub(f.endpointsQueriedAt) < queryInterval {
 		return nil
 	}
 	live := f.liveAddresses(members)
 	if len(live) == 0 {
 		return nil
 	}
-	f.askedEndpoints = now
+	f.endpointsQueriedAt = now
 	rand.Shuffle(len(live), func(i, j int) { live[i], live[j] = live[j], live[i] })
-	return live[:min(len(live), askedPeers)]
+	return live[:min(len(live), queriedPeers)]
 }
 
-// endpointsCall tells peers what this entry knows of the endpoints. The lock is held.
+// endpointsCall returns a query that states which list of endpoints this entry has. The lock must be held.
 func (f *Forwarder) endpointsCall(now time.Time) *carrier.EndpointsCall {
 	if !f.registry.Known() {
 		return &carrier.EndpointsCall{Next: -1}
@@ -189,79 +192,84 @@
 	return &carrier.EndpointsCall{Era: next.Era(), Next: next.Offset(), AgeMillis: f.registry.Age(now).Milliseconds()}
 }
 
-// HandleMessage takes a message from the peer that proved the name.
-func (f *Forwarder) HandleMessage(from string, m carrier.Message) { f.takeMessage(from, m, time.Now()) }
+// HandleMessage handles a message from the authenticated peer of the given name.
+func (f *Forwarder) HandleMessage(from string, m carrier.Message) {
+	f.handleMessage(from, m, time.Now())
+}
 
-func (f *Forwarder) takeMessage(from string, m carrier.Message, now time.Time) {
+func (f *Forwarder) handleMessage(from string, m carrier.Message, now time.Time) {
 	switch m := m.(type) {
 	case *carrier.Heartbeat:
-		f.locked(func() []func() {
+		f.withLock(func() []func() {
 			f.quarantiner.Heard(m.Crashes, now)
-			f.takeStageWaits(m.Stages, now)
-			f.takeLimits(m.Limits, m.From.Name, now)
-			f.takeRefusing(m.Refusing, now)
-			f.takeConfigAge(m.ConfigAgeMillis, now)
+			f.applyStageWaits(m.Stages, now)
+			f.applyLimits(m.Limits, m.From.Name, now)
+			f.applyRefusals(m.Refusing, now)
+			f.applyConfigAge(m.ConfigAgeMillis, now)
 			if m.StoreEra > 0 {
-				// Entries that know no era say 0.
-				f.takeEra(m.StoreEra, m.From.Name)
+				// Entries that have no era yet send 0.
+				f.applyEra(m.StoreEra, m.From.Name)
 			}
-			todo := append(f.takeEvacuated(m, now), f.askForEra(from, m.EndpointsEra, now)...)
-			todo = append(todo, f.takeLeaving(m.Leaving, m.From.Name, now)...)
-			return append(todo, f.takeTransitions(f.detector.Receive(m, now), now)...)
+			actions := append(f.applyPeerEvacuations(m, now), f.queryNewerEra(from, m.EndpointsEra, now)...)
+			actions = append(actions, f.applyLeaving(m.Leaving, m.From.Name, now)...)
+			return append(actions, f.applyTransitions(f.detector.Receive(m, now), now)...)
 		})
 	case *carrier.LoadReport:
-		f.locked(func() []func() { f.takeLoadReport(from, m, now); return nil })
+		f.withLock(func() []func() { f.applyLoadReport(from, m, now); return nil })
 	case *carrier.ConfigCall:
-		f.locked(func() []func() { return f.replyConfig(from) })
+		f.withLock(func() []func() { return f.replyConfig(from) })
 	case *carrier.ConfigReply:
-		// An error was logged, and the next heartbeat asks again.
+		// ApplyConfig logged the error, and the next heartbeat repeats the query.
 		_ = f.ApplyConfig(m.Data, from, now)
 	case *carrier.EndpointsCall:
-		f.locked(func() []func() { return f.replyEndpoints(from, m, now) })
+		f.withLock(func() []func() { return f.replyEndpoints(from, m, now) })
 	case *carrier.EndpointsReply:
-		f.locked(func() []func() { return f.takeEndpointsReply(m, now) })
+		f.withLock(func() []func() { return f.applyEndpointsReply(m, now) })
 	case *carrier.EndpointsNews:
-		f.locked(func() []func() { return f.takeNews(m, now) })
+		f.withLock(func() []func() { return f.applyEndpointsNews(m, now) })
 	case *carrier.PieceRequest:
-		f.locked(func() []func() { return f.takePieceRequest(from, m, now) })
+		f.withLock(func() []func() { return f.handlePieceRequest(from, m, now) })
 	case *carrier.PieceAccepted:
-		f.locked(func() []func() { f.takePieceAccepted(from, m, now); return nil })
+		f.withLock(func() []func() { f.handlePieceAccepted(from, m, now); return nil })
 	case *carrier.PieceRead:
-		f.locked(func() []func() { f.takeRead(collector.GroupID{Request: m.Request, Stage: int(m.Stage)}); return nil })
+		f.withLock(func() []func() {
+			f.markInputsRead(collector.GroupID{Request: m.Request, Stage: int(m.Stage)})
+			return nil
+		})
 	case *carrier.PieceResults:
-		f.locked(func() []func() { return f.takeResults(from, m) })
+		f.withLock(func() []func() { return f.handleResults(from, m) })
 	case *carrier.PieceWithdraw:
-		f.locked(func() []func() { return f.takeWithdraw(from, m, now) })
+		f.withLock(func() []func() { return f.handleWithdraw(from, m, now) })
 	case *carrier.PieceFree:
-		f.locked(func() []func() { return f.takeFree(m, now) })
+		f.withLock(func() []func() { return f.handleFree(m, now) })
 	default:
-		f.log.Warn("peer sent a message of no use here", zap.String("peer", from), zap.Uint8("kind", uint8(m.Kind())))
+		f.log.Warn("unexpected message kind from peer", zap.String("peer", from), zap.Uint8("kind", uint8(m.Kind())))
 	}
 }
 
-// locked decides under the lock and carries out after it.
-func (f *Forwarder) locked(decide func() []func()) {
+// withLock calls decide under the lock and runs the returned actions after releasing it.
+func (f *Forwarder) withLock(decide func() []func()) {
 	f.mu.Lock()
-	todo := decide()
+	actions := decide()
 	f.mu.Unlock()
-	run(todo)
+	runActions(actions)
 }
 
-// RecordConnectionRefused notes that the network says that no process listens at a peer address.
+// RecordConnectionRefused records that a connection to a peer address was refused because no process listens there.
 func (f *Forwarder) RecordConnectionRefused(address string) {
 	now := time.Now()
-	f.locked(func() []func() { return f.takeTransitions(f.detector.Refuse(address, now), now) })
+	f.withLock(func() []func() { return f.applyTransitions(f.detector.Refuse(address, now), now) })
 }
 
-// takeTransitions logs changes of peers' states, and drops the work of those that have ended. The lock is held.
-func (f *Forwarder) takeTransitions(transitions []detector.Transition, now time.Time) []func() {
-	var todo []func()
+// applyTransitions logs changes of peers' states, and drops the work of peers that have ended. The lock must be held.
+func (f *Forwarder) applyTransitions(transitions []detector.Transition, now time.Time) []func() {
+	var actions []func()
 	if len(transitions) > 0 {
-		f.duties.forget()
+		f.duties.reset()
 	}
 	for _, t := range transitions {
 		f.addresses[t.Member.Name] = t.Member.PeerAddress
-		f.notePeer(t)
+		f.logPeerTransition(t)
 		if t.To == detector.Live && t.Member.Name != f.cfg.Name {
 			f.peerLiveAt = now
 		}
@@ -271,16 +279,17 @@
 		f.selector.SetPeer(t.Member.Name, nil)
 		for service, p := range f.pools {
 			effects := p.Reduce(collector.OriginLost{Origin: t.Member.Name}, now)
-			todo = append(todo, f.performAll(service, p, effects)...)
+			actions = append(actions, f.performAll(service, p, effects)...)
 		}
 	}
-	return todo
+	return actions
 }
 
-// takeConfigAge notes how lately the store has answered a reading of the configuration, as a peer tells. The lock is held.
-func (f *Forwarder) takeConfigAge(millis int64, now time.Time) {
-	if at := now.Add(-time.Duration(millis) * time.Millisecond); at.After(f.configHeard) {
-		f.configHeard = at
+// applyConfigAge updates the time of the last configuration read from the age that a peer reported. The lock must be
+// held.
+func (f *Forwarder) applyConfigAge(millis int64, now time.Time) {
+	if at := now.Add(-time.Duration(millis) * time.Millisecond); at.After(f.configReadAt) {
+		f.configReadAt = at
 	}
 }
 
@@ -288,21 +297,21 @@
 	if f.catalog == nil {
 		return nil
 	}
-	reply := &carrier.ConfigReply{Version: f.catalog.Version(), Data: f.raw}
+	reply := &carrier.ConfigReply{Version: f.catalog.Version(), Data: f.rawConfig}
 	return []func(){f.sendTo(from, reply)}
 }
 
-// replyEndpoints answers a peer that asks for the list of endpoints, unless its own is as fresh. The lock is
-// held.
-func (f *Forwarder) replyEndpoints(from string, asked *carrier.EndpointsCall, now time.Time) []func() {
+// replyEndpoints answers a peer's query for the list of endpoints, unless the peer's list is as recent. The lock must
+// be held.
+func (f *Forwarder) replyEndpoints(from string, query *carrier.EndpointsCall, now time.Time) []func() {
 	if !f.registry.Known() {
 		return nil
 	}
 	next := f.registry.Next()
-	known := locator.At(asked.Era, asked.Next)
+	known := locator.At(query.Era, query.Next)
 	age := f.registry.Age(now)
-	theirs := time.Duration(asked.AgeMillis) * time.Millisecond
-	if asked.Next >= 0 && asked.Era >= next.Era() && age+freshMargin > theirs {
+	peerAge := time.Duration(query.AgeMillis) * time.Millisecond
+	if query.Next >= 0 && query.Era >= next.Era() && age+freshnessMargin > peerAge {
 		return nil
 	}
 	reply := &carrier.EndpointsReply{
@@ -313,32 +322,32 @@
 	}
 	if !reply.Unchanged {
 		for _, c := range f.registry.Changes() {
-			reply.Entries = append(reply.Entries, entryOf(c, now))
+			reply.Entries = append(reply.Entries, entryFromChange(c, now))
 		}
 	}
 	return []func(){f.sendTo(from, reply)}
 }
 
-// takeEndpointsReply takes a peer's list of endpoints. The lock is held.
-func (f *Forwarder) takeEndpointsReply(m *carrier.EndpointsReply, now time.Time) []func() {
+// applyEndpointsReply applies a peer's list of endpoints. The lock must be held.
+func (f *Forwarder) applyEndpointsReply(m *carrier.EndpointsReply, now time.Time) []func() {
 	next := locator.At(m.Era, m.Next)
 	if next.Before(f.registry.Next()) || m.Unchanged && next != f.registry.Next() {
 		return nil
 	}
 	at := now.Add(-time.Duration(m.AgeMillis) * time.Millisecond)
 	f.registry.HeardAt(at)
-	if at.After(f.newsAt) {
-		// Somebody reads the store for all, though its news have not come here yet.
-		f.newsAt = at
+	if at.After(f.updateReceivedAt) {
+		// An entry is reading the store for all, although its updates have not arrived here yet.
+		f.updateReceivedAt = at
 	}
 	if m.Unchanged {
 		return nil
 	}
-	f.registry.Replace(changesOf(m.Entries, now), next, now)
+	f.registry.Replace(changesFromEntries(m.Entries, now), next, now)
 	return f.endpointsChanged(now)
 }
 
-// sendTo sends a message to the peer of the name.
+// sendTo returns an action that sends a message to the named peer.
 func (f *Forwarder) sendTo(name string, m carrier.Message) func() {
 	address := f.peerAddress(name)
 	return func() {
--- a/forwarder/piececalls.go
+++ b/forwarder/piececalls.go
@@ -14,19 +14,20 @@
 )
 
 const (
-	// maxPiecesAnswer bounds the answer to a call for pieces: 100 bytes for each of some thousand.
-	maxPiecesAnswer = 1 << 20
-	// freeTimeout bounds a call that frees results, which lapse by themselves.
+	// maxPiecesResponse bounds the size in bytes of the response to a call for pieces: 100 bytes for each of some
+	// thousand.
+	maxPiecesResponse = 1 << 20
+	// freeTimeout bounds a call that frees results. Results that are not freed expire.
 	freeTimeout = time.Second
 )
 
-// callPieces makes a call for pieces and tells the pool how it ended.
+// callPieces sends a call for pieces and reports its end to the pool.
 func (f *Forwarder) callPieces(service string, p *collector.Pool, e collector.SendCall) {
-	began := time.Now()
+	startTime := time.Now()
 	end, results := f.exchangePieces(service, e)
 	now := time.Now()
-	f.noteCallEnd(service, e, end, results, now.Sub(began))
-	f.locked(func() []func() {
+	f.logCallEnd(service, e, end, results, now.Sub(startTime))
+	f.withLock(func() []func() {
 		return f.performAll(service, p, p.Reduce(collector.CallEnded{Call: e.Call, End: end, Results: results}, now))
 	})
 }
@@ -34,12 +35,12 @@
 func (f *Forwarder) exchangePieces(service string, e collector.SendCall) (collector.CallEnd, []collector.PieceResult) {
 	body, err := f.cfg.Wire.EncodePieces(e.Pieces, time.Now())
 	if err != nil {
-		f.logPieces(service, e, err)
+		f.logCallFailure(service, e, err)
 		return collector.Broken, nil
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), e.Timeout)
 	defer cancel()
-	answer, err := f.cfg.Client.Do(ctx, &connector.Call{
+	resp, err := f.cfg.Client.Do(ctx, &connector.Call{
 		Address: e.Endpoint.Address,
 		Method:  http.MethodPost,
 		Target:  f.cfg.Wire.PiecesTarget(),
@@ -49,49 +50,50 @@
 	})
 	var unsent *connector.UnsentError
 	if errors.As(err, &unsent) {
-		f.logPieces(service, e, err)
+		f.logCallFailure(service, e, err)
 		if unsent.Refused() {
 			return collector.Unreachable, nil
 		}
 		return collector.Unanswered, nil
 	}
 	if err != nil {
-		f.logPieces(service, e, err)
+		f.logCallFailure(service, e, err)
 		return collector.Broken, nil
 	}
-	info := f.readAnswer(&e.Endpoint, answer)
-	data, err := answer.ReadWhole(maxPiecesAnswer)
+	info := f.readResponse(&e.Endpoint, resp)
+	data, err := resp.ReadWhole(maxPiecesResponse)
 	if err != nil {
-		f.logPieces(service, e, err)
+		f.logCallFailure(service, e, err)
 		return collector.Broken, nil
 	}
 	if info.NotRun {
 		return collector.Refused, nil
 	}
-	if answer.Status() != http.StatusOK {
-		f.logPieces(service, e, &statusError{status: answer.Status()})
+	if resp.Status() != http.StatusOK {
+		f.logCallFailure(service, e, &statusError{status: resp.Status()})
 		return collector.Broken, nil
 	}
 	results, err := f.cfg.Wire.DecodePieces(bytes.TrimSpace(data))
 	if err != nil {
-		f.logPieces(service, e, err)
+		f.logCallFailure(service, e, err)
 		return collector.Broken, nil
 	}
 	return collector.Answered, results
 }
 
-// callFree gives results back at their maker. After a failure their space is taken until they lapse, which the endpoint
-// tells by refusing pieces.
+// callFree frees results at the endpoint that made them. After a failure their space stays occupied until they
+// expire; meanwhile the endpoint refuses pieces that do not fit.
 func (f *Forwarder) callFree(service string, p *collector.Pool, e collector.FreeResults) {
 	f.mu.Lock()
 	evacuated, spared := f.evacuatedAt(e.Address), f.sparedAt(e.Address, time.Now())
 	f.mu.Unlock()
 	if spared {
-		// The few calls that the endpoint takes are for pieces. Its space counts as taken until the results lapse.
+		// The endpoint accepts few calls, which are reserved for pieces. The space counts as occupied until the
+		// results expire.
 		return
 	}
 	if !evacuated {
-		// Where nothing more may be sent, results lapse by themselves.
+		// Results at an evacuated endpoint, to which nothing may be sent, expire on their own.
 		f.exchangeFree(e)
 	}
 	freed := make([]collector.Made, len(e.Handles))
@@ -99,7 +101,7 @@
 		freed[i] = collector.Made{Handle: handle, Address: e.Address}
 	}
 	now := time.Now()
-	f.locked(func() []func() {
+	f.withLock(func() []func() {
 		return f.performAll(service, p, p.Reduce(collector.FreeEnded{Results: freed}, now))
 	})
 }
@@ -112,7 +114,7 @@
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), freeTimeout)
 	defer cancel()
-	answer, err := f.cfg.Client.Do(ctx, &connector.Call{
+	resp, err := f.cfg.Client.Do(ctx, &connector.Call{
 		Address: e.Address,
 		Method:  http.MethodPost,
 		Target:  f.cfg.Wire.FreeTarget(),
@@ -121,7 +123,7 @@
 		Body:    body,
 	})
 	if err == nil {
-		_, err = answer.ReadWhole(maxPiecesAnswer)
+		_, err = resp.ReadWhole(maxPiecesResponse)
 	}
 	if err != nil {
 		f.log.Debug("results not freed", zap.String("address", e.Address), zap.Error(err))
--- a/forwarder/piecelog.go
+++ b/forwarder/piecelog.go
@@ -11,11 +11,11 @@
 	"geraniumline/registrar"
 )
 
-// noteCall writes a line on a call for pieces of several requests. The lock is held.
-func (f *Forwarder) noteCall(service string, p *collector.Pool, e collector.SendCall) {
+// logCall records metrics and logs a call for pieces of several requests. The lock must be held.
+func (f *Forwarder) logCall(service string, p *collector.Pool, e collector.SendCall) {
 	f.cfg.Meter.Counter(meter.PieceCalls, service).Inc(1)
 	f.cfg.Meter.Histogram(meter.PieceBatch, service).Update(int64(len(e.Pieces)))
-	f.note("call for pieces",
+	f.logSampled("call for pieces",
 		zap.Strings("requests", requestsOf(e)),
 		zap.String("service", service),
 		zap.Uint64("call", e.Call),
@@ -26,8 +26,8 @@
 		zap.Int("space", e.Free))
 }
 
-// noteCallEnd writes a line on the end of a call.
-func (f *Forwarder) noteCallEnd(service string, e collector.SendCall, end collector.CallEnd, results []collector.PieceResult, took time.Duration) {
+// logCallEnd records metrics and logs the end of a call for pieces.
+func (f *Forwarder) logCallEnd(service string, e collector.SendCall, end collector.CallEnd, results []collector.PieceResult, took time.Duration) {
 	f.cfg.Meter.Histogram(meter.PieceCallMicros, service).Update(took.Microseconds())
 	reasons := make(map[string]int)
 	for _, r := range results {
@@ -46,13 +46,13 @@
 		zap.Duration("took", took),
 	}
 	if end == collector.Answered && len(reasons) == 0 {
-		f.note("call for pieces ended", fields...)
+		f.logSampled("call for pieces ended", fields...)
 		return
 	}
 	f.log.Info("call for pieces ended", fields...)
 }
 
-// requestsOf lists the requests of a call's pieces.
+// requestsOf returns the distinct requests that the pieces of a call belong to.
 func requestsOf(e collector.SendCall) []string {
 	requests := make([]string, 0, len(e.Pieces))
 	for _, p := range e.Pieces {
@@ -63,7 +63,7 @@
 	return requests
 }
 
-func (f *Forwarder) logPieces(service string, e collector.SendCall, err error) {
+func (f *Forwarder) logCallFailure(service string, e collector.SendCall, err error) {
 	f.log.Warn("call for pieces failed",
 		zap.Strings("requests", requestsOf(e)),
 		zap.String("service", service),
@@ -72,14 +72,14 @@
 		zap.Error(err))
 }
 
-// logJudged writes that an endpoint was taken out of use or let back.
-func (f *Forwarder) logJudged(service string, e registrar.Endpoint, out bool) {
+// logHealthChange logs that an endpoint was ejected or readmitted.
+func (f *Forwarder) logHealthChange(service string, e registrar.Endpoint, out bool) {
 	outcome := "letBack"
 	if out {
 		outcome = "out"
 	}
 	f.cfg.Meter.Counter(meter.EndpointJudgements, outcome).Inc(1)
-	f.log.Warn("endpoint judged",
+	f.log.Warn("endpoint health changed",
 		zap.String("service", service),
 		zap.String("endpoint", e.ID),
 		zap.String("address", e.Address),
--- a/forwarder/pieces.go
+++ b/forwarder/pieces.go
@@ -10,13 +10,13 @@
 	"geraniumline/divider"
 )
 
-// freePieces gives the space of results back.
+// freePieces frees the space of results.
 func (f *Forwarder) freePieces(service string, made []collector.Made) {
 	if len(made) == 0 {
 		return
 	}
 	now := time.Now()
-	f.locked(func() []func() {
+	f.withLock(func() []func() {
 		owner, known := f.owner(service, nil)
 		if !known || owner == f.cfg.Name {
 			return f.reduce(service, collector.Freed{Results: made}, now)
@@ -29,22 +29,23 @@
 	})
 }
 
-// collect takes pieces into the pool of this entry. The lock is held.
-func (f *Forwarder) collect(service string, g collector.Group, now time.Time) []func() {
+// collectPieces adds a group of pieces to a pool of this entry. The lock must be held.
+func (f *Forwarder) collectPieces(service string, g collector.Group, now time.Time) []func() {
 	return f.reduce(service, collector.Arrived{Group: g}, now)
 }
 
-// reduce hands an event to this entry's pool of a service. The lock is held.
+// reduce applies an event to this entry's pool for a service. The lock must be held.
 func (f *Forwarder) reduce(service string, ev collector.Event, now time.Time) []func() {
 	p, known := f.pool(service, now)
 	if !known {
-		f.log.Warn("pieces of an unknown service", zap.String("service", service))
+		f.log.Warn("no pool for unknown service", zap.String("service", service))
 		return nil
 	}
 	return f.performAll(service, p, p.Reduce(ev, now))
 }
 
-// pool gives this entry's pool of the name, a new one if need be. The lock is held.
+// pool returns this entry's pool of the given name and creates it if necessary. It reports false if the service is
+// unknown. The lock must be held.
 func (f *Forwarder) pool(name string, now time.Time) (*collector.Pool, bool) {
 	if p, known := f.pools[name]; known {
 		return p, true
@@ -59,9 +60,9 @@
 	return p, true
 }
 
-// takePieceRequest takes a peer's request for pieces. An entry that does not know the service leaves it unanswered, and the peer asks
-// elsewhere. The lock is held.
-func (f *Forwarder) takePieceRequest(from string, m *carrier.PieceRequest, now time.Time) []func() {
+// handlePieceRequest handles a peer's request for pieces. An entry that does not know the service sends no
+// acknowledgement, so that the peer asks another entry. The lock must be held.
+func (f *Forwarder) handlePieceRequest(from string, m *carrier.PieceRequest, now time.Time) []func() {
 	if _, known := f.pool(m.Service, now); !known {
 		return nil
 	}
@@ -86,11 +87,11 @@
 	for _, n := range m.Numbers {
 		g.Segments = append(g.Segments, int(n))
 	}
-	taken := &carrier.PieceAccepted{Service: m.Service, Request: m.Request, Stage: m.Stage}
-	return append([]func(){f.sendTo(from, taken)}, f.collect(m.Service, g, now)...)
+	accepted := &carrier.PieceAccepted{Service: m.Service, Request: m.Request, Stage: m.Stage}
+	return append([]func(){f.sendTo(from, accepted)}, f.collectPieces(m.Service, g, now)...)
 }
 
-func (f *Forwarder) takeWithdraw(from string, m *carrier.PieceWithdraw, now time.Time) []func() {
+func (f *Forwarder) handleWithdraw(from string, m *carrier.PieceWithdraw, now time.Time) []func() {
 	if _, known := f.pools[m.Service]; !known {
 		return nil
 	}
@@ -98,7 +99,7 @@
 	return f.reduce(m.Service, collector.Withdrawn{ID: id}, now)
 }
 
-func (f *Forwarder) takeFree(m *carrier.PieceFree, now time.Time) []func() {
+func (f *Forwarder) handleFree(m *carrier.PieceFree, now time.Time) []func() {
 	made := make([]collector.Made, len(m.Results))
 	for i, r := range m.Results {
 		made[i] = collector.Made{Handle: r.Handle, Address: r.Address}
@@ -106,36 +107,36 @@
 	return f.reduce(m.Service, collector.Freed{Results: made}, now)
 }
 
-// performAll turns a pool's effects into what is to be done after the lock. The lock is held.
+// performAll converts a pool's effects to actions to run after the lock is released. The lock must be held.
 func (f *Forwarder) performAll(service string, p *collector.Pool, effects []collector.Effect) []func() {
-	var todo []func()
-	away := make(map[collector.GroupID]*carrier.PieceResults)
+	var actions []func()
+	remote := make(map[collector.GroupID]*carrier.PieceResults)
 	for _, effect := range effects {
 		switch e := effect.(type) {
 		case collector.SendCall:
-			f.noteCall(service, p, e)
-			todo = append(todo, func() { go f.callPieces(service, p, e) })
+			f.logCall(service, p, e)
+			actions = append(actions, func() { go f.callPieces(service, p, e) })
 		case collector.FreeResults:
-			todo = append(todo, func() { go f.callFree(service, p, e) })
+			actions = append(actions, func() { go f.callFree(service, p, e) })
 		case collector.InputsRead:
 			if e.ID.Origin == f.cfg.Name {
-				f.takeRead(e.ID)
+				f.markInputsRead(e.ID)
 				continue
 			}
 			m := &carrier.PieceRead{Service: service, Request: e.ID.Request, Stage: int32(e.ID.Stage)}
-			todo = append(todo, f.sendTo(e.ID.Origin, m))
+			actions = append(actions, f.sendTo(e.ID.Origin, m))
 		case collector.Judged:
-			f.logJudged(service, e.Endpoint, e.Out)
+			f.logHealthChange(service, e.Endpoint, e.Out)
 		case collector.Deliver:
 			if e.ID.Origin == f.cfg.Name {
-				todo = append(todo, f.takeDelivery(service, e, f.cfg.Name)...)
+				actions = append(actions, f.deliverResult(service, e, f.cfg.Name)...)
 				continue
 			}
-			m, known := away[e.ID]
+			m, known := remote[e.ID]
 			if !known {
 				m = &carrier.PieceResults{Service: service, Request: e.ID.Request, Stage: int32(e.ID.Stage)}
-				away[e.ID] = m
-				todo = append(todo, f.sendTo(e.ID.Origin, m))
+				remote[e.ID] = m
+				actions = append(actions, f.sendTo(e.ID.Origin, m))
 			}
 			m.Results = append(m.Results, carrier.PieceResult{
 				Number:  int32(e.Segment),
@@ -146,5 +147,5 @@
 			})
 		}
 	}
-	return todo
+	return actions
 }
--- a/forwarder/pieces_test.go
+++ b/forwarder/pieces_test.go
@@ -28,7 +28,7 @@
 	})
 	require.Equal(t, owner, a.owner)
 	require.False(t, a.accepted)
-	asking.locked(func() []func() { return asking.checkDelegations(time.Now().Add(heardLately + time.Millisecond)) })
+	asking.withLock(func() []func() { return asking.checkDelegations(time.Now().Add(recentlyHeard + time.Millisecond)) })
 	require.NotEqual(t, owner, a.owner)
 	require.True(t, a.accepted)
 
@@ -61,19 +61,19 @@
 	})
 	m.cut[owner] = false
 	check := func(after time.Duration) {
-		asking.locked(func() []func() { return asking.checkDelegations(sent.Add(after)) })
+		asking.withLock(func() []func() { return asking.checkDelegations(sent.Add(after)) })
 	}
-	for after := 10 * time.Millisecond; after < heardPatience; after += 10 * time.Millisecond {
+	for after := 10 * time.Millisecond; after < liveAcceptTimeout; after += 10 * time.Millisecond {
 		m.nodes[owner].detector.Tick(sent.Add(after))
 		asking.detector.Receive(m.nodes[owner].detector.Heartbeat(sent.Add(after)), sent.Add(after))
 		check(after)
 		require.Equal(t, owner, a.owner, "after %v", after)
 	}
-	check(heardPatience + 10*time.Millisecond)
+	check(liveAcceptTimeout + 10*time.Millisecond)
 	require.NotEqual(t, owner, a.owner)
 }
 
-// The entry that collects loses power under load, and the delegations that it leaves without a word are moved to the next one well
+// The entry that collects loses power under load, and the delegations that it leaves exclude a word are moved to the next one well
 // before anybody believes that it is gone. That one must keep them, though another is still said to have the duty: given back
 // and asked for at ever further entries, which gave them back too, they were collected by dozens at once, whose calls the
 // endpoints turned away for five seconds.
@@ -91,7 +91,7 @@
 					if name == dead {
 						continue
 					}
-					f.locked(func() []func() { return f.begin(newDelegation("encode", groupOf(name, i, m.now)), m.now) })
+					f.withLock(func() []func() { return f.startDelegation(newDelegation("encode", groupOf(name, i, m.now)), m.now) })
 				}
 				m.step(100 * time.Millisecond)
 				for name, f := range m.nodes {
@@ -130,10 +130,10 @@
 	stopping := m.nodes[owner]
 	stopping.stopping.Store(true)
 	stopping.heartbeat(time.Now())
-	stopping.handOver(time.Now())
-	require.False(t, stopping.collecting())
+	stopping.returnUnstartedPieces(time.Now())
+	require.False(t, stopping.hasPendingPieces())
 	require.True(t, a.moved)
-	asking.locked(func() []func() { return asking.checkDelegations(time.Now()) })
+	asking.withLock(func() []func() { return asking.checkDelegations(time.Now()) })
 	require.NotEqual(t, owner, a.owner)
 	require.True(t, a.accepted)
 	require.Empty(t, a.results)
@@ -154,16 +154,19 @@
 			Deadline: now.Add(time.Minute),
 		})
 		taken := &carrier.PieceAccepted{Service: "encode", Request: fmt.Sprint(i)}
-		asking.locked(func() []func() { asking.takePieceAccepted(owner, taken, a.sent.Add(140*time.Millisecond)); return nil })
+		asking.withLock(func() []func() {
+			asking.handlePieceAccepted(owner, taken, a.sent.Add(140*time.Millisecond))
+			return nil
+		})
 	}
 	a := asking.delegate("encode", collector.Group{
 		ID:       collector.GroupID{Origin: asking.cfg.Name, Request: "last"},
 		Segments: []int{0},
 		Deadline: now.Add(time.Minute),
 	})
-	asking.locked(func() []func() { return asking.checkDelegations(a.sent.Add(400 * time.Millisecond)) })
+	asking.withLock(func() []func() { return asking.checkDelegations(a.sent.Add(400 * time.Millisecond)) })
 	require.Equal(t, owner, a.owner)
-	asking.locked(func() []func() { return asking.checkDelegations(a.sent.Add(time.Second)) })
+	asking.withLock(func() []func() { return asking.checkDelegations(a.sent.Add(time.Second)) })
 	require.NotEqual(t, owner, a.owner)
 }
 
@@ -175,19 +178,19 @@
 	owner, _ := m.nodes["entry-0"].owner("encode", nil)
 	asking := m.other(owner)
 	now := time.Now()
-	asking.began = now
+	asking.startTime = now
 	asking.peerLiveAt = now
 	a := asking.delegate("encode", collector.Group{
 		ID:       collector.GroupID{Origin: asking.cfg.Name, Request: "r"},
 		Segments: []int{0},
 		Deadline: now.Add(time.Minute),
 	})
-	require.True(t, a.held)
+	require.True(t, a.deferred)
 	require.False(t, a.accepted)
-	asking.locked(func() []func() { return asking.checkDelegations(now.Add(calmTime / 2)) })
-	require.True(t, a.held)
-	asking.locked(func() []func() { return asking.checkDelegations(now.Add(calmTime + time.Millisecond)) })
-	require.False(t, a.held)
+	asking.withLock(func() []func() { return asking.checkDelegations(now.Add(stableTime / 2)) })
+	require.True(t, a.deferred)
+	asking.withLock(func() []func() { return asking.checkDelegations(now.Add(stableTime + time.Millisecond)) })
+	require.False(t, a.deferred)
 	require.Equal(t, owner, a.owner)
 	require.True(t, a.accepted)
 	asking.peerLiveAt = time.Time{}
@@ -208,16 +211,16 @@
 		Deadline: now.Add(time.Minute),
 	}
 	a := other.delegate("encode", group)
-	other.locked(func() []func() {
+	other.withLock(func() []func() {
 		a.owner = other.cfg.Name
-		return other.collect("encode", group, now)
+		return other.collectPieces("encode", group, now)
 	})
-	require.True(t, other.collecting())
-	other.locked(func() []func() { return other.handBack(now) })
-	require.True(t, other.collecting(), "a peer may be back in a moment")
-	other.locked(func() []func() { return other.handBack(now.Add(handBackAfter)) })
-	require.False(t, other.collecting())
+	require.True(t, other.hasPendingPieces())
+	other.withLock(func() []func() { return other.returnWaitingPieces(now) })
+	require.True(t, other.hasPendingPieces(), "a peer may be back in a moment")
+	other.withLock(func() []func() { return other.returnWaitingPieces(now.Add(returnPiecesAfter)) })
+	require.False(t, other.hasPendingPieces())
 	require.True(t, a.moved)
-	other.locked(func() []func() { return other.checkDelegations(now.Add(handBackAfter)) })
+	other.withLock(func() []func() { return other.checkDelegations(now.Add(returnPiecesAfter)) })
 	require.Equal(t, owner, a.owner)
 }
--- a/forwarder/plain.go
+++ b/forwarder/plain.go
@@ -13,80 +13,82 @@
 )
 
 const (
-	// maxPlainAnswer bounds an answer that is read whole before it is passed on, so that one which breaks off can
-	// be asked for again. Longer ones are refused.
-	maxPlainAnswer = 8 << 20
-	// patienceShare is the part of the objective after which a silent endpoint's request, if it may run twice, is
-	// sent to another one.
-	patienceShare = 0.7
-	// leastPatience keeps short objectives from being asked for twice by usual delays.
-	leastPatience = 50 * time.Millisecond
+	// maxPlainResponse bounds the size in bytes of a response that is read completely before it is forwarded, so that
+	// the request can be repeated if the response is interrupted. Longer ones are refused.
+	maxPlainResponse = 8 << 20
+	// hedgeShare is the part of the objective after which a request is sent to another endpoint if the first is
+	// silent and the request may run twice.
+	hedgeShare = 0.7
+	// minHedgeDelay keeps requests with short objectives from being sent twice because of normal delays.
+	minHedgeDelay = 50 * time.Millisecond
 )
 
-// servePlain passes a request on whose answer is one body.
+// servePlain forwards a request whose response is a single body.
 func (x *exchange) servePlain() *FailureError {
 	for {
-		if !x.mayTryAgain() {
+		if !x.allowAttempt() {
 			return x.giveUp("noEndpointTook")
 		}
-		choice, found := x.choose(selector.Query{})
+		choice, found := x.chooseEndpoint(selector.Query{})
 		if !found {
 			return x.noEndpoint()
 		}
-		done, failure := x.tryPlain(choice)
+		done, failure := x.attemptPlain(choice)
 		if done {
 			return failure
 		}
 	}
 }
 
-// tryPlain sends the request to one endpoint. It tells whether the caller has its answer or its failure.
-func (x *exchange) tryPlain(choice selector.Choice) (bool, *FailureError) {
-	began := time.Now()
-	x.sends++
+// attemptPlain sends the request to one endpoint. It reports whether the request has ended, with a response or a
+// failure.
+func (x *exchange) attemptPlain(choice selector.Choice) (bool, *FailureError) {
+	startTime := time.Now()
+	x.attempts++
 	x.tried = append(x.tried, choice.Endpoint.ID)
-	ctx, cancel := x.patience(began)
+	ctx, cancel := x.hedgeContext(startTime)
 	defer cancel()
-	answer, info, body, err := x.exchangePlain(ctx, choice, began)
+	resp, info, body, err := x.exchangePlain(ctx, choice, startTime)
 	if err != nil {
-		return x.failed(choice, err)
+		return x.handleFailure(choice, err)
 	}
 	if info.NotRun {
-		x.endRefused(choice)
+		x.endRefusedCall(choice)
 		return false, nil
 	}
 	x.runs++
-	bad := answer.Status() >= http.StatusInternalServerError
-	if bad && x.againAfterRun() {
-		x.end(choice, ejector.Bad, true)
+	bad := resp.Status() >= http.StatusInternalServerError
+	if bad && x.mayRetryAfterRun() {
+		x.endCall(choice, ejector.Bad, true)
 		return false, nil
 	}
-	x.endTimed(choice, bad, time.Since(began))
-	x.clearContent()
-	x.sendWhole(answer, body)
+	x.endTimedCall(choice, bad, time.Since(startTime))
+	x.recordContentServed()
+	x.writeResponse(resp, body)
 	return true, nil
 }
 
-// patience bounds the wait for an endpoint, if the request may be sent to another one after it.
-func (x *exchange) patience(now time.Time) (context.Context, context.CancelFunc) {
+// hedgeContext returns a context that bounds the wait for an endpoint if the request may be sent to another one
+// afterwards.
+func (x *exchange) hedgeContext(now time.Time) (context.Context, context.CancelFunc) {
 	if x.f.cfg.Off.Has(switcher.Hedging) || !x.route.Repeatable() || x.runs+1 >= x.route.MaxAttempts {
 		return context.WithCancel(x.ctx)
 	}
-	wait := max(leastPatience, time.Duration(patienceShare*float64(x.route.Objective)))
+	wait := max(minHedgeDelay, time.Duration(hedgeShare*float64(x.route.Objective)))
 	return context.WithDeadline(x.ctx, now.Add(wait))
 }
 
 func (x *exchange) exchangePlain(ctx context.Context, choice selector.Choice, now time.Time) (*connector.Answer, ResponseInfo, []byte, error) {
-	answer, err := x.f.cfg.Client.Do(ctx, x.call(choice, x.callInfo(choice.Endpoint, now)))
+	resp, err := x.f.cfg.Client.Do(ctx, x.call(choice, x.callInfo(choice.Endpoint, now)))
 	if err != nil {
 		return nil, ResponseInfo{}, nil, err
 	}
-	info := x.f.readAnswer(&choice.Endpoint, answer)
-	body, err := answer.ReadWhole(maxPlainAnswer)
-	return answer, info, body, err
+	info := x.f.readResponse(&choice.Endpoint, resp)
+	body, err := resp.ReadWhole(maxPlainResponse)
+	return resp, info, body, err
 }
 
-// call is the request as it goes to an endpoint.
+// call returns the request in the form in which it is sent to an endpoint.
 func (x *exchange) call(choice selector.Choice, info CallInfo) *connector.Call {
 	return &connector.Call{
 		Address:    choice.Endpoint.Address,
@@ -99,14 +101,14 @@
 	}
 }
 
-// sendWhole passes an endpoint's whole answer on.
-func (x *exchange) sendWhole(answer *connector.Answer, body []byte) {
-	x.copyHeader(answer.Header())
+// writeResponse writes a complete endpoint response to the caller.
+func (x *exchange) writeResponse(resp *connector.Answer, body []byte) {
+	x.copyHeader(resp.Header())
 	x.w.Header().Set("Content-Length", strconv.Itoa(len(body)))
-	x.headed = true
-	x.status = answer.Status()
-	x.w.WriteHeader(answer.Status())
-	// An error means that the caller has gone.
+	x.headerSent = true
+	x.status = resp.Status()
+	x.w.WriteHeader(resp.Status())
+	// An error means that the caller has disconnected.
 	_, _ = x.w.Write(body)
 }
 
--- a/forwarder/quarantine.go
+++ b/forwarder/quarantine.go
@@ -16,17 +16,17 @@
 )
 
 const (
-	// crashCheckDelay is how long after a broken exchange the endpoint's address is tried: a process that has crashed
+	// crashCheckDelay is how long after a broken exchange the endpoint's address is probed. A process that crashed
 	// has closed its socket by then.
 	crashCheckDelay = 20 * time.Millisecond
-	// crashCheckTimeout bounds the try.
+	// crashCheckTimeout bounds the probe.
 	crashCheckTimeout = 300 * time.Millisecond
-	// quarantineReturn is when the caller of content that crashes endpoints may come back.
-	quarantineReturn = time.Minute
+	// quarantineRetryDelay is the retry delay for content that crashes endpoints.
+	quarantineRetryDelay = time.Minute
 )
 
-// digest names a request's content: who asks for what, with which body. The same content comes again under other
-// attempts' ids and at other entries.
+// digest identifies a request's content by its client account, method, host, target and body. The same content arrives again under
+// other request ids and at other entries.
 func (x *exchange) digest() quarantiner.Digest {
 	h := sha256.New()
 	for _, part := range []string{x.account, x.in.Method, x.in.Host, x.in.RequestURI} {
@@ -37,23 +37,24 @@
 	return quarantiner.Digest(h.Sum(nil))
 }
 
-// checkContent refuses content that has crashed endpoints. Its caller sends it again and again, and each time takes an
-// endpoint, with all that runs there, down for seconds.
-func (x *exchange) checkContent() *FailureError {
+// checkQuarantine refuses content that has crashed endpoints. Its caller retries it, and each attempt takes an
+// endpoint, with all its running requests, down for seconds.
+func (x *exchange) checkQuarantine() *FailureError {
 	now := time.Now()
 	x.f.mu.Lock()
 	verdict := x.f.quarantiner.Verdict(x.digest(), now)
 	x.f.mu.Unlock()
 	if verdict == quarantiner.Quarantined {
-		return notRun("crashesEndpoints", quarantineReturn)
+		return notRun("crashesEndpoints", quarantineRetryDelay)
 	}
 	return nil
 }
 
-// brokenAt looks into an exchange that an endpoint broke off: if its address refuses connections now, the endpoint has
-// crashed while it ran the content. A reset connection or a spoiled answer alone proves nothing, nor does an address that
-// does not answer: this VM may have lost its network, and the content would be refused everywhere for minutes.
-func (x *exchange) brokenAt(e registrar.Endpoint) {
+// checkCrash checks the address of an endpoint that interrupted an exchange: if it refuses connections, the endpoint
+// crashed while it ran the content. A connection reset or an invalid response alone proves nothing. Neither does an
+// address that does not answer: this VM may have lost its network, and the content would be refused everywhere for
+// minutes.
+func (x *exchange) checkCrash(e registrar.Endpoint) {
 	digest := x.digest()
 	id := x.req.ID
 	f := x.f
@@ -79,8 +80,8 @@
 	})
 }
 
-// clearContent notes that the content ran to its end.
-func (x *exchange) clearContent() {
+// recordContentServed records that an endpoint completed a request with this content.
+func (x *exchange) recordContentServed() {
 	now := time.Now()
 	x.f.mu.Lock()
 	x.f.quarantiner.Answered(x.digest(), now)
--- a/forwarder/reader.go
+++ b/forwarder/reader.go
@@ -9,79 +9,82 @@
 	"geraniumline/registrar"
 )
 
-// readerDuty is the duty of reading the endpoints' entries for all. Each entry could read for itself; the calls are
-// priced and limited over all entries, and the entries change with every heartbeat of an endpoint.
-const readerDuty = "endpoints"
+// endpointsDuty is the duty of reading the endpoints' records for all entries. The calls are priced and limited over
+// all entries, and the records change with every heartbeat of an endpoint, so the entries do not all read for
+// themselves.
+const endpointsDuty = "endpoints"
 
-// newsPatience is how long an entry goes without news from the one that reads before it reads itself. It is one reading
-// and half of the next; with its own reading an endpoint that leaves is known well within two seconds.
-const newsPatience = 1100 * time.Millisecond
+// updateTimeout is how long an entry waits for an update from the reading entry before it reads the store itself. It
+// is one read interval and half of the next; with its own read, the entry learns of a leaving endpoint well within
+// two seconds.
+const updateTimeout = 1100 * time.Millisecond
 
 const (
-	// configDuty is the duty of following the operator's configuration for all.
+	// configDuty is the duty of following the operator's configuration for all entries.
 	configDuty = "config"
-	// configReaders is how many entries follow the configuration in the store; the others hear of a newer version from
-	// them. The store may turn entries away, and a key be withdrawn meanwhile, which must be in force everywhere within
-	// seconds: that it serves none of the eight, while it turns three of five entries away, has a chance of two in a hundred.
-	// With eight entries or less each follows it.
+	// configReaders is how many entries follow the configuration in the store; the others learn of a newer version
+	// from them. The store may refuse entries while a key is withdrawn, and the withdrawal must be in force
+	// everywhere within seconds. If the store refuses three of five entries, the probability that it serves none of
+	// the eight is two in a hundred. With eight entries or less each follows it.
 	configReaders = 8
-	// configSilence is how long ago the store may last have answered a reading of the configuration
-	// before more entries read for themselves.
-	configSilence = 5 * time.Second
-	// rankStep is how much longer each further entry in the order of a duty waits before it takes the duty up. The first
-	// one that the store answers tells all others, so that in an outage a few entries ask the store and not all.
-	rankStep = 200 * time.Millisecond
-	// firstStartPatience is how long an entry waits for news from its peers at the first start of all: until they have
-	// found each other, one has read, and what it read has gone round.
-	firstStartPatience = 3 * time.Second
-	// addressDuty is the duty of leaving one's address in the store for those who hear no peer; addressKeepers entries have
-	// it, so that a few are there after any loss but that of all.
-	addressDuty    = "addresses"
-	addressKeepers = 8
+	// configReadTimeout is the time since the store's last answer to a configuration read after which more entries
+	// read for themselves.
+	configReadTimeout = 5 * time.Second
+	// rankDelay is how much longer each further entry in the order for a duty waits before it takes up the duty. The
+	// first one that the store answers informs all others, so that in an outage only a few entries query the store.
+	rankDelay = 200 * time.Millisecond
+	// firstStartWait is how long an entry waits for updates from its peers at the first start of the system: until
+	// they have discovered each other, one has read the store, and its data has spread.
+	firstStartWait = 3 * time.Second
+	// addressDuty is the duty of registering one's address in the store for entries that hear no peer. addressOwners
+	// entries own it, so that a few remain after any loss short of all entries.
+	addressDuty   = "addresses"
+	addressOwners = 8
 )
 
-// ShouldReadConfig tells whether this entry is to follow the configuration in the store now.
+// ShouldReadConfig reports whether this entry should follow the configuration in the store now.
 func (f *Forwarder) ShouldReadConfig(now time.Time) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return f.readsConfig(now)
+	return f.shouldReadConfig(now)
 }
 
-// readsConfig is ShouldReadConfig with the lock held.
-func (f *Forwarder) readsConfig(now time.Time) bool {
+// shouldReadConfig is ShouldReadConfig for callers that hold the lock.
+func (f *Forwarder) shouldReadConfig(now time.Time) bool {
 	rank := f.rank(configDuty)
 	if f.catalog == nil {
-		return rank < configReaders && !f.settling(now) || !f.patient(now)
+		return rank < configReaders && !f.settling(now) || !f.waitsForPeers(now)
 	}
 	if rank < configReaders {
 		return true
 	}
-	return now.Sub(f.configHeard) >= configSilence+time.Duration(rank-configReaders)*rankStep
+	return now.Sub(f.configReadAt) >= configReadTimeout+time.Duration(rank-configReaders)*rankDelay
 }
 
-// patient tells whether an entry that knows nothing waits for news from its peers before it asks the store. At the first
-// start of all no caller waits yet, and each that reads for itself is two calls; at any other start callers do wait. The
-// lock is held.
-func (f *Forwarder) patient(now time.Time) bool {
-	return f.cfg.FirstStart && now.Sub(f.began) < firstStartPatience
+// waitsForPeers reports whether an entry without data waits for updates from its peers before it queries the store.
+// At the first start of the system there are no waiting callers yet, and each entry that reads for itself costs two
+// calls; at any other start callers do wait. The lock must be held.
+func (f *Forwarder) waitsForPeers(now time.Time) bool {
+	return f.cfg.FirstStart && now.Sub(f.startTime) < firstStartWait
 }
 
-// RecordConfigRead notes that the store has answered a reading of the configuration.
+// RecordConfigRead records that the store answered a configuration read.
 func (f *Forwarder) RecordConfigRead(now time.Time) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.configHeard = now
+	f.configReadAt = now
 }
 
-// ShouldRegisterAddress tells whether this entry is to leave its address in the store.
+// ShouldRegisterAddress reports whether this entry should register its address in the store.
 func (f *Forwarder) ShouldRegisterAddress(now time.Time) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return !f.settling(now) && f.rank(addressDuty) < addressKeepers
+	return !f.settling(now) && f.rank(addressDuty) < addressOwners
 }
 
-// ShouldReadEndpoints tells whether this entry is to read the endpoints' entries from the store now, and from which offset.
-// The one that the duty falls to does; any other only while it hears nothing, one after the other.
+// ShouldReadEndpoints reports whether this entry should read the endpoints' records from the store now, and from
+// which position. The owner of the duty does; other entries do only while they receive no updates, one after the
+// other.
 func (f *Forwarder) ShouldReadEndpoints(now time.Time) (locator.Position, bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -89,46 +92,47 @@
 	if f.registry.Known() {
 		from = f.registry.Next()
 	}
-	rank := f.rank(readerDuty)
+	rank := f.rank(endpointsDuty)
 	if !f.registry.Known() {
-		return from, rank == 0 && !f.settling(now) || !f.patient(now)
+		return from, rank == 0 && !f.settling(now) || !f.waitsForPeers(now)
 	}
-	told := now.Sub(f.newsAt) < newsPatience+time.Duration(rank)*rankStep
-	return from, rank == 0 && !f.settling(now) || !told
+	updated := now.Sub(f.updateReceivedAt) < updateTimeout+time.Duration(rank)*rankDelay
+	return from, rank == 0 && !f.settling(now) || !updated
 }
 
-// passOn tells all peers what was read. Empty news are sent too: they say that nothing has changed. The lock is held.
-func (f *Forwarder) passOn(changes []registrar.Change, from, next locator.Position, now time.Time) []func() {
+// broadcastChanges sends the changes that were read to all peers. Empty updates are sent too, since they confirm that
+// nothing has changed. The lock must be held.
+func (f *Forwarder) broadcastChanges(changes []registrar.Change, from, next locator.Position, now time.Time) []func() {
 	news := &carrier.EndpointsNews{Era: next.Era(), From: from.Offset(), Next: next.Offset()}
 	for _, c := range changes {
-		news.Entries = append(news.Entries, entryOf(c, now))
+		news.Entries = append(news.Entries, entryFromChange(c, now))
 	}
-	var todo []func()
+	var actions []func()
 	for _, m := range f.detector.Members() {
 		if m.Name != f.cfg.Name && m.State != detector.Dead && m.State != detector.Stopped {
-			todo = append(todo, f.sendTo(m.Name, news))
+			actions = append(actions, f.sendTo(m.Name, news))
 		}
 	}
-	return todo
+	return actions
 }
 
-// takeNews takes what the reading entry has read. After a gap, such as a new era of the store, it is of no use, and this entry
-// asks for the list or reads itself. The lock is held.
-func (f *Forwarder) takeNews(m *carrier.EndpointsNews, now time.Time) []func() {
+// applyEndpointsNews applies an update from the reading entry. After a gap, such as a new era of the store, the
+// update is ignored, and this entry asks a peer for the list or reads the store itself. The lock must be held.
+func (f *Forwarder) applyEndpointsNews(m *carrier.EndpointsNews, now time.Time) []func() {
 	next := f.registry.Next()
 	if !f.registry.Known() || m.Era != next.Era() || m.From > next.Offset() {
 		return nil
 	}
-	f.newsAt = now
+	f.updateReceivedAt = now
 	f.registry.Heard(now)
-	f.registry.Apply(changesOf(m.Entries, now), locator.At(m.Era, m.Next), now)
+	f.registry.Apply(changesFromEntries(m.Entries, now), locator.At(m.Era, m.Next), now)
 	if len(m.Entries) == 0 {
 		return nil
 	}
 	return f.endpointsChanged(now)
 }
 
-func entryOf(c registrar.Change, now time.Time) carrier.EndpointEntry {
+func entryFromChange(c registrar.Change, now time.Time) carrier.EndpointEntry {
 	entry := carrier.EndpointEntry{ID: c.ID, Era: c.Position.Era(), Offset: c.Position.Offset(), Sequence: c.Sequence}
 	if c.Endpoint == nil {
 		entry.Removed, entry.Unusable = true, c.Unusable
@@ -139,14 +143,14 @@
 	entry.Zone = c.Endpoint.Zone
 	entry.Slots = int32(c.Endpoint.Slots)
 	entry.Draining = c.Endpoint.Draining
-	entry.StartedMillis = unixMillis(c.Endpoint.Started)
+	entry.StartedMillis = toUnixMillis(c.Endpoint.Started)
 	if c.Endpoint.Cold(now) {
 		entry.ColdLeftMillis = c.Endpoint.ColdUntil.Sub(now).Milliseconds()
 	}
 	return entry
 }
 
-func changesOf(entries []carrier.EndpointEntry, now time.Time) []registrar.Change {
+func changesFromEntries(entries []carrier.EndpointEntry, now time.Time) []registrar.Change {
 	changes := make([]registrar.Change, len(entries))
 	for i, e := range entries {
 		changes[i] = registrar.Change{
@@ -162,7 +166,7 @@
 			Zone:     e.Zone,
 			Slots:    int(e.Slots),
 			Draining: e.Draining,
-			Started:  timeOf(e.StartedMillis),
+			Started:  fromUnixMillis(e.StartedMillis),
 		}
 		if e.ColdLeftMillis > 0 {
 			changes[i].Endpoint.ColdUntil = now.Add(time.Duration(e.ColdLeftMillis) * time.Millisecond)
--- a/forwarder/rest_test.go
+++ b/forwarder/rest_test.go
@@ -14,7 +14,7 @@
 	m, _ := newLossyMesh(t, 2, 11)
 	m.listEverywhere("a", "b")
 	refuse := func(rest time.Duration) {
-		m.nodes["entry-0"].takeNotice(endpointAt("a").Endpoint, regulator.Notice{Rest: rest}, m.now)
+		m.nodes["entry-0"].applyNotice(endpointAt("a").Endpoint, regulator.Notice{Rest: rest}, m.now)
 	}
 	refuse(3 * time.Second)
 	refuse(time.Second)
@@ -30,7 +30,7 @@
 func TestATimeOfRestIsBounded(t *testing.T) {
 	m, _ := newLossyMesh(t, 2, 12)
 	m.listEverywhere("a", "b")
-	m.nodes["entry-0"].takeNotice(endpointAt("a").Endpoint, regulator.Notice{Rest: 365 * 24 * time.Hour}, m.now)
+	m.nodes["entry-0"].applyNotice(endpointAt("a").Endpoint, regulator.Notice{Rest: 365 * 24 * time.Hour}, m.now)
 	require.Len(t, m.chosenAt("entry-0", 50), 1)
 	m.now = m.now.Add(regulator.DefaultMaxRest)
 	require.Len(t, m.chosenAt("entry-0", 50), 2)
--- a/forwarder/rotation.go
+++ b/forwarder/rotation.go
@@ -5,26 +5,26 @@
 	"slices"
 )
 
-// noticesEachRound is how many endpoints' notices of each kind a heartbeat carries.
-const noticesEachRound = 32
+// noticesPerHeartbeat is how many endpoint notices of each kind a heartbeat carries.
+const noticesPerHeartbeat = 32
 
-// rotation goes through a list in parts, one a heartbeat.
+// rotation iterates over a list in parts, one for each heartbeat.
 type rotation struct {
-	// start is where the present pass began, done how many it has been through.
+	// start is the index at which the current pass began, and done the number of elements it has covered.
 	start int
 	done  int
 }
 
-// nextPart gives the part of the list that the next heartbeat carries. Each pass begins at a random place: a peer that gets each
-// tenth heartbeat could else be told the same part each time.
+// nextPart returns the part of the list for the next heartbeat. Each pass begins at a random index: a peer that
+// receives each tenth heartbeat could otherwise receive the same part each time.
 func nextPart[T any](r *rotation, list []T, random *rand.Rand) []T {
-	if len(list) <= noticesEachRound {
+	if len(list) <= noticesPerHeartbeat {
 		return list
 	}
 	if r.done >= len(list) {
 		r.start, r.done = random.IntN(len(list)), 0
 	}
 	from := (r.start + r.done) % len(list)
-	r.done += noticesEachRound
-	return slices.Concat(list[from:], list[:from])[:noticesEachRound]
+	r.done += noticesPerHeartbeat
+	return slices.Concat(list[from:], list[:from])[:noticesPerHeartbeat]
 }
--- a/forwarder/stages.go
+++ b/forwarder/stages.go
@@ -14,38 +14,38 @@
 	"geraniumline/planner"
 )
 
-// stageWork has the stages of one request done as its plan says.
-type stageWork struct {
+// stageRunner runs the stages of one request according to its plan.
+type stageRunner struct {
 	x    *exchange
 	plan *planner.Plan
 	view poolView
-	// pools are the names of those that each stage was last asked for at.
+	// pools are the pools that each stage was last delegated to.
 	pools []string
-	// delegations are the latest for each stage; nil before it.
+	// delegations are the latest delegation of each stage, nil before the first.
 	delegations []*delegation
-	// mu guards the giving back of what the request itself takes, which a timer does too. sent counts the times that the
-	// request was sent, by which the timer of an earlier time is known.
-	mu   sync.Mutex
-	sent int
+	// mu guards the release of the request's own inputs, which a timer also triggers. generation changes with each
+	// attempt, so that the timer of an earlier attempt has no effect.
+	mu         sync.Mutex
+	generation int
 }
 
-// stageEnd is the result of one piece of any of the request's stages.
-type stageEnd struct {
+// stageEvent is the result of one piece of a stage, or the notice that the stage's inputs were fetched.
+type stageEvent struct {
 	stage      int
 	delegation *delegation
-	// read tells that the stage's inputs were fetched; then there is no piece.
-	read bool
+	// inputsRead is set if the stage's inputs were fetched; the event then has no piece.
+	inputsRead bool
 	collector.Deliver
 }
 
-func newStageWork(x *exchange) *stageWork {
+func newStageRunner(x *exchange) *stageRunner {
 	x.f.mu.Lock()
-	homeZone := x.f.selector.HomeZone(x.service.Name, x.req.Parts, x.homes, time.Now())
+	homeZone := x.f.selector.HomeZone(x.service.Name, x.req.Parts, x.allowedRegions, time.Now())
 	modelTime := x.f.selector.FirstEvent(x.service.Name, x.req.Parts)
 	x.f.mu.Unlock()
-	return &stageWork{
+	return &stageRunner{
 		x:           x,
-		view:        poolView{f: x.f, draw: xxhash.Sum64String(x.req.ID), near: homeZone, homes: x.homes, asked: make(map[string]string)},
+		view:        poolView{f: x.f, hash: xxhash.Sum64String(x.req.ID), preferredZone: homeZone, allowedRegions: x.allowedRegions, usedPools: make(map[string]string)},
 		pools:       make([]string, len(x.route.Stages)),
 		delegations: make([]*delegation, len(x.route.Stages)),
 		plan: planner.New(planner.Config{
@@ -56,9 +56,9 @@
 			Key:       x.req.PieceKey,
 			Priority:  x.priority,
 			Account:   x.account,
-			Regions:   x.homes,
+			Regions:   x.allowedRegions,
 			Due:       x.due,
-			FirstBy:   x.firstBy,
+			FirstBy:   x.firstEventDeadline,
 			HomeZone:  homeZone,
 			ModelTime: modelTime,
 			Off:       x.f.cfg.Off,
@@ -66,16 +66,16 @@
 	}
 }
 
-// poolView is what this entry knows of the stages' pools that a request's pieces would be asked for at.
+// poolView gives a request's plan access to the state of the stage pools as this entry knows it.
 type poolView struct {
 	f *Forwarder
-	// draw and near choose among the pools of a service.
-	draw uint64
-	near string
-	// homes are the regions where the request's pieces may be made, nil where they may be in all.
-	homes []string
-	// asked are the pools by service that the request's pieces were asked for at.
-	asked map[string]string
+	// hash and preferredZone select among the pools of a service.
+	hash          uint64
+	preferredZone string
+	// allowedRegions are the regions in which the request's pieces may run; nil allows all.
+	allowedRegions []string
+	// usedPools maps each service to the pool that the request's pieces were delegated to.
+	usedPools map[string]string
 }
 
 // Pool implements planner.View.
@@ -94,120 +94,120 @@
 	v.f.mu.Lock()
 	defer v.f.mu.Unlock()
 	now := time.Now()
-	pool, asked := v.asked[service]
-	if !asked {
+	pool, used := v.usedPools[service]
+	if !used {
 		pool = v.pool(service, now)
 	}
 	return v.f.poolLoad(pool, now)
 }
 
-// pool names the pool that pieces of a service are asked for at now. The lock is held.
+// pool returns the pool to which pieces of a service would be delegated at present. The lock must be held.
 func (v poolView) pool(service string, now time.Time) string {
-	return v.poolNear(service, v.near, 0, now)
+	return v.poolForZone(service, v.preferredZone, 0, now)
 }
 
 const (
-	// nearCalls and farCalls are how many full calls longer than elsewhere pieces wait for the pool in the zone where they
-	// should be made: with less and with more than collector.HeavyBytes to cross zones. Two calls are most of what an
-	// objective leaves beside the calls themselves.
-	nearCalls = 0.5
-	farCalls  = 2
+	// nearSlackCalls and farSlackCalls are how many full calls longer than elsewhere pieces may wait for the pool in
+	// their preferred zone: if fewer, or at least, collector.HeavyBytes would otherwise cross zones. Two calls take
+	// up most of the time that an objective leaves beside the calls themselves.
+	nearSlackCalls = 0.5
+	farSlackCalls  = 2
 )
 
-// poolNear names the pool for pieces that should be made in a zone, and of which so many bytes cross zones elsewhere. The lock is
-// held.
-func (v poolView) poolNear(service, near string, farBytes int64, now time.Time) string {
-	calls := nearCalls
+// poolForZone returns the pool for pieces that should run in the given zone; farBytes is the data that crosses zones
+// if they run elsewhere. The lock must be held.
+func (v poolView) poolForZone(service, zone string, farBytes int64, now time.Time) string {
+	calls := nearSlackCalls
 	if farBytes >= collector.HeavyBytes {
-		calls = farCalls
+		calls = farSlackCalls
 	}
-	patience := time.Duration(0)
+	slack := time.Duration(0)
 	if s, known := v.f.stageService(service); known {
-		patience = time.Duration(calls * float64(s.Stage.CallDuration(s.Stage.Batch)))
+		slack = time.Duration(calls * float64(s.Stage.CallDuration(s.Stage.Batch)))
 	}
-	query := divider.Query{Service: service, Draw: v.draw, Near: near, Allows: v.allows, Patience: patience}
+	query := divider.Query{Service: service, Draw: v.hash, Near: zone, Allows: v.allows, Patience: slack}
 	chosen := v.f.divider.Choose(query, func(p divider.Pool) time.Duration {
 		return v.f.poolLoad(p.String(), now).Wait
 	})
 	return chosen.String()
 }
 
-// allows tells whether the request's pieces may be made in a zone.
+// allows reports whether the request's pieces may run in a zone.
 func (v poolView) allows(zone string) bool {
-	return v.homes == nil || slices.Contains(v.homes, v.f.cfg.Regions[zone])
+	return v.allowedRegions == nil || slices.Contains(v.allowedRegions, v.f.cfg.Regions[zone])
 }
 
-// poolOf names the pool that a group of pieces of a service is asked for at.
-func (v poolView) poolOf(service string, g *collector.Group, now time.Time) string {
-	near := g.Zone
-	if near == "" {
-		near = v.near
+// poolForGroup returns the pool to which a group of pieces of a service is delegated.
+func (v poolView) poolForGroup(service string, g *collector.Group, now time.Time) string {
+	zone := g.Zone
+	if zone == "" {
+		zone = v.preferredZone
 	}
 	v.f.mu.Lock()
 	defer v.f.mu.Unlock()
-	return v.poolNear(service, near, g.FarBytes, now)
+	return v.poolForZone(service, zone, g.FarBytes, now)
 }
 
-// checkTime refuses a request whose first event can't come before its caller leaves.
-func (s *stageWork) checkTime(now time.Time) *FailureError {
+// checkOverload refuses a request whose first event can't arrive before its caller gives up.
+func (s *stageRunner) checkOverload(now time.Time) *FailureError {
 	service, over := s.plan.Overload(s.view, now)
 	if !over {
 		return nil
 	}
-	return notRun("overload", s.view.comeBack(service))
+	return notRun("overload", s.view.retryDelay(service))
 }
 
-// run has all stages done, each as soon as those before it are.
-func (s *stageWork) run() *FailureError {
-	ends := make(chan stageEnd, 1)
+// run runs all stages, each as soon as the stages that it depends on are done.
+func (s *stageRunner) run() *FailureError {
+	events := make(chan stageEvent, 1)
 	quit := make(chan struct{})
 	defer close(quit)
 	late := time.NewTimer(time.Until(s.plan.LastStart()))
 	defer late.Stop()
 	for {
-		again := s.delegateNext(ends, quit)
+		recheck := s.delegateNext(events, quit)
 		if s.plan.Done() {
 			return nil
 		}
 		select {
-		case <-again:
-		case end := <-ends:
-			if failure := s.take(end); failure != nil {
+		case <-recheck:
+		case event := <-events:
+			if failure := s.handleEvent(event); failure != nil {
 				return failure
 			}
 		case <-s.x.f.ending:
-			return notRun("entryStops", soon())
+			return notRun("entryStops", shortRetryDelay())
 		case <-late.C:
-			return notRun("stagesTimedOut", soon())
+			return notRun("stagesTimedOut", shortRetryDelay())
 		case <-s.x.ctx.Done():
-			return notRun("stagesTimedOut", soon())
+			return notRun("stagesTimedOut", shortRetryDelay())
 		}
 	}
 }
 
-// delegateNext asks for the pieces of the stages whose turn it is. The channel tells when to look again at those that wait for
-// others; it is nil where none does.
-func (s *stageWork) delegateNext(ends chan<- stageEnd, quit <-chan struct{}) <-chan time.Time {
+// delegateNext delegates the stages that are ready. The returned channel fires when stages that wait for others
+// should be checked again; it is nil if there are none.
+func (s *stageRunner) delegateNext(events chan<- stageEvent, quit <-chan struct{}) <-chan time.Time {
 	now := time.Now()
-	next, again := s.plan.Next(s.view, now)
+	next, recheck := s.plan.Next(s.view, now)
 	for _, stage := range next {
 		s.delegateStage(stage, now)
-		go pump(stage, s.delegations[stage], ends, quit)
+		go forwardResults(stage, s.delegations[stage], events, quit)
 	}
-	if !again {
+	if !recheck {
 		return nil
 	}
 	return time.After(planner.LookAgain)
 }
 
-// delegateStage asks for a stage's pieces.
-func (s *stageWork) delegateStage(stage int, now time.Time) {
+// delegateStage delegates the pieces of a stage.
+func (s *stageRunner) delegateStage(stage int, now time.Time) {
 	g := s.plan.Group(stage, s.view, now)
-	service := s.view.poolOf(s.plan.Service(stage), &g, now)
+	service := s.view.poolForGroup(s.plan.Service(stage), &g, now)
 	s.pools[stage] = service
-	s.view.asked[s.plan.Service(stage)] = service
+	s.view.usedPools[s.plan.Service(stage)] = service
 	s.delegations[stage] = s.x.f.delegate(service, g)
-	s.x.f.note("stage asked for",
+	s.x.f.logSampled("stage delegated",
 		zap.String("request", s.x.req.ID),
 		zap.Int("stage", stage),
 		zap.String("service", service),
@@ -217,141 +217,144 @@
 		zap.Duration("dueIn", g.Due.Sub(now)))
 }
 
-// pump passes a delegation's results on.
-func pump(stage int, a *delegation, ends chan<- stageEnd, quit <-chan struct{}) {
+// forwardResults forwards the results of a delegation as events.
+func forwardResults(stage int, a *delegation, events chan<- stageEvent, quit <-chan struct{}) {
 	read := a.read
 	for left := cap(a.results); left > 0; {
-		end := stageEnd{stage: stage, delegation: a}
+		event := stageEvent{stage: stage, delegation: a}
 		select {
-		case end.Deliver = <-a.results:
+		case event.Deliver = <-a.results:
 			left--
 		case <-read:
 			read = nil
-			end.read = true
+			event.inputsRead = true
 		case <-quit:
 			return
 		}
 		select {
-		case ends <- end:
+		case events <- event:
 		case <-quit:
 			return
 		}
 	}
 }
 
-// take takes one piece's result.
-func (s *stageWork) take(end stageEnd) *FailureError {
+// handleEvent handles the result of one piece, or the notice that a stage's inputs were fetched.
+func (s *stageRunner) handleEvent(event stageEvent) *FailureError {
 	switch {
-	case end.delegation != s.delegations[end.stage]:
-		// The stage was asked for anew since, as its inputs had lapsed: this result is of no use.
-		s.freeDelivered(end.stage, end.Deliver)
+	case event.delegation != s.delegations[event.stage]:
+		// The stage was delegated again because its inputs had expired, so this result is not needed.
+		s.freeResult(event.stage, event.Deliver)
 		return nil
-	case end.read:
-		s.free(s.plan.InputsRead(end.stage, s.view))
+	case event.inputsRead:
+		s.free(s.plan.InputsRead(event.stage, s.view))
 		return nil
-	case end.Result.Reason == collector.InputGone && s.remake(end.stage):
+	case event.Result.Reason == collector.InputGone && s.recompute(event.stage):
 		return nil
-	case end.Result.Handle == "":
-		return s.failed(end)
+	case event.Result.Handle == "":
+		return s.fail(event)
 	}
-	s.free(s.plan.Took(end.stage, end.Deliver))
-	if s.plan.StageDone(end.stage) {
-		s.x.f.note("stage done",
+	s.free(s.plan.Took(event.stage, event.Deliver))
+	if s.plan.StageDone(event.stage) {
+		s.x.f.logSampled("stage completed",
 			zap.String("request", s.x.req.ID),
-			zap.Int("stage", end.stage),
-			zap.Strings("zones", s.plan.Zones(end.stage)),
-			zap.Duration("since", time.Since(s.x.began)))
+			zap.Int("stage", event.stage),
+			zap.Strings("zones", s.plan.Zones(event.stage)),
+			zap.Duration("since", time.Since(s.x.startTime)))
 	}
 	return nil
 }
 
-// failed ends the request, which has not run.
-func (s *stageWork) failed(end stageEnd) *FailureError {
-	service := s.plan.Service(end.stage)
+// fail returns the failure for a request whose stage failed. The request itself has not run.
+func (s *stageRunner) fail(event stageEvent) *FailureError {
+	service := s.plan.Service(event.stage)
 	s.x.f.log.Warn("stage failed",
 		zap.String("request", s.x.req.ID),
-		zap.Int("stage", end.stage),
-		zap.Int("piece", end.Segment),
+		zap.Int("stage", event.stage),
+		zap.Int("piece", event.Segment),
 		zap.String("service", service),
-		zap.String("collector", s.x.f.ownerOf(end.delegation)),
-		zap.Stringer("reason", end.Result.Reason),
+		zap.String("collector", s.x.f.ownerOf(event.delegation)),
+		zap.Stringer("reason", event.Result.Reason),
 		zap.Duration("waits", s.view.Load(service).Wait))
-	if end.Result.Reason == collector.Evacuated {
-		return notRun("stageevacuated", evacuatedReturn)
+	if event.Result.Reason == collector.Evacuated {
+		return notRun("stageevacuated", evacuatedRetryDelay)
 	}
-	return notRun("stage"+end.Result.Reason.String(), s.view.comeBack(service))
+	return notRun("stage"+event.Result.Reason.String(), s.view.retryDelay(service))
 }
 
-// remake has lapsed inputs of a stage made again.
-func (s *stageWork) remake(stage int) bool {
-	ended, freed, again := s.plan.Remake(stage)
-	if !again {
+// recompute schedules the expired inputs of a stage to be computed again.
+func (s *stageRunner) recompute(stage int) bool {
+	ended, freed, possible := s.plan.Remake(stage)
+	if !possible {
 		return false
 	}
 	s.free(freed)
 	for _, i := range ended {
 		s.endDelegation(i, i == stage)
 	}
-	s.x.f.log.Info("stage results made again", zap.String("request", s.x.req.ID), zap.Int("stage", stage))
+	s.x.f.log.Info("recomputing stage results", zap.String("request", s.x.req.ID), zap.Int("stage", stage))
 	return true
 }
 
-// freeFetched gives the results that the request takes back once the engine has fetched them, if space for them is short: they
-// would lie there until its first event, for which the whole prompt is read, while the pool waits for space. The function ends
-// that; from then on nothing is given back by it.
-func (s *stageWork) freeFetched() (end func()) {
+// freeAfterFetch schedules the release of the request's inputs at the time when the engine has fetched them, if their
+// pool is short of space. They would otherwise be held until the first event, for which the engine reads the whole
+// prompt, while the pool waits for space. The returned function stops the timer; after it returns, the timer frees
+// nothing.
+func (s *stageRunner) freeAfterFetch() (end func()) {
 	after, short := s.plan.LastFetched(s.view)
 	if !short {
 		return func() {}
 	}
 	s.mu.Lock()
-	s.sent++
-	sent := s.sent
+	s.generation++
+	generation := s.generation
 	s.mu.Unlock()
-	timer := time.AfterFunc(after, func() { s.freeLast(sent) })
+	timer := time.AfterFunc(after, func() { s.freeLastStage(generation) })
 	return func() {
 		timer.Stop()
 		s.mu.Lock()
-		s.sent++
+		s.generation++
 		s.mu.Unlock()
 	}
 }
 
-// freeLast gives the results back, unless the sending that it belongs to is over. It holds the lock until it is done, so that
-// nothing is made again meanwhile.
-func (s *stageWork) freeLast(sent int) {
+// freeLastStage frees the results of the last stages, unless the attempt that it was scheduled for is over. It holds
+// the lock while it frees them, so that none is computed again meanwhile.
+func (s *stageRunner) freeLastStage(generation int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.sent == sent {
+	if s.generation == generation {
 		s.free(s.plan.FreeLast())
 	}
 }
 
-// restore has the results made again that the request itself takes, where an endpoint that broke off has had them already.
-// Without them the next endpoint would refuse the rest of the stream, and its caller would be left with the beginning.
-func (s *stageWork) restore() *FailureError {
+// restoreInputs recomputes the request's own inputs if they were already freed for an endpoint whose stream was
+// interrupted. Without them the next endpoint would refuse the rest of the stream, and the caller would keep an
+// incomplete response.
+func (s *stageRunner) restoreInputs() *FailureError {
 	if !s.plan.LastFreed() {
 		return nil
 	}
 	now := time.Now()
-	firstBy := s.x.deadline
-	if patience := s.x.route.FirstEventPatience; patience > 0 && now.Add(patience).Before(firstBy) {
-		firstBy = now.Add(patience)
+	firstEventDeadline := s.x.deadline
+	if wait := s.x.route.FirstEventPatience; wait > 0 && now.Add(wait).Before(firstEventDeadline) {
+		firstEventDeadline = now.Add(wait)
 	}
-	ended, freed, again := s.plan.RemakeLast(now.Add(s.x.route.Objective), firstBy)
-	if !again {
-		return notRun("stageResultGone", soon())
+	ended, freed, possible := s.plan.RemakeLast(now.Add(s.x.route.Objective), firstEventDeadline)
+	if !possible {
+		return notRun("stageResultGone", shortRetryDelay())
 	}
 	s.free(freed)
 	for _, i := range ended {
 		s.endDelegation(i, false)
 	}
-	s.x.f.log.Info("stage results made again for another endpoint", zap.String("request", s.x.req.ID))
+	s.x.f.log.Info("recomputing stage results for another endpoint", zap.String("request", s.x.req.ID))
 	return s.run()
 }
 
-// endDelegation ends a stage's delegation. Results that have come and were not taken yet are kept if they are still of use.
-func (s *stageWork) endDelegation(stage int, keep bool) {
+// endDelegation ends the delegation of a stage. Results that have arrived but were not handled yet are kept if keep
+// is set, and freed otherwise.
+func (s *stageRunner) endDelegation(stage int, keep bool) {
 	a := s.delegations[stage]
 	if a == nil {
 		return
@@ -365,28 +368,28 @@
 				s.free(s.plan.Took(stage, d))
 				continue
 			}
-			s.freeDelivered(stage, d)
+			s.freeResult(stage, d)
 		default:
 			return
 		}
 	}
 }
 
-func (s *stageWork) freeDelivered(stage int, d collector.Deliver) {
+func (s *stageRunner) freeResult(stage int, d collector.Deliver) {
 	if d.Result.Handle == "" {
 		return
 	}
 	s.x.f.freePieces(s.pools[stage], []collector.Made{{Handle: d.Result.Handle, Address: d.Address}})
 }
 
-func (s *stageWork) free(freed []planner.Freed) {
+func (s *stageRunner) free(freed []planner.Freed) {
 	for _, f := range freed {
 		s.x.f.freePieces(s.pools[f.Stage], f.Made)
 	}
 }
 
-// freeAll ends the request's stages: nothing of them is needed any more.
-func (s *stageWork) freeAll() {
+// freeAll frees all results and ends all delegations of the request.
+func (s *stageRunner) freeAll() {
 	s.free(s.plan.FreeAll())
 	for i := range s.delegations {
 		s.endDelegation(i, false)
--- a/forwarder/stop.go
+++ b/forwarder/stop.go
@@ -10,37 +10,37 @@
 )
 
 const (
-	// quietTime is how long no request may have come before a stopping entry ends: callers with old addresses still
-	// come.
+	// quietTime is how long no request may have arrived before a stopping entry exits, since callers with expired
+	// addresses still send requests.
 	quietTime = 400 * time.Millisecond
-	// lastCall is how long before its limit a stopping entry answers requests whose stages are not done: cut with the
-	// process, their callers would not know whether they have run.
-	lastCall = 500 * time.Millisecond
-	// stopPoll is how often a stopping entry looks whether it may end.
-	stopPoll = 25 * time.Millisecond
+	// finalAnswerMargin is how long before its limit a stopping entry fails requests whose stages are not done. If
+	// they were cut off with the process, their callers would not know whether they have run.
+	finalAnswerMargin = 500 * time.Millisecond
+	// stopPollInterval is how often a stopping entry checks whether it may exit.
+	stopPollInterval = 25 * time.Millisecond
 )
 
-// Stop begins a planned stop and waits until no request is in flight and callers' old addresses have lapsed, or until
-// limit is over. New requests are served meanwhile.
+// Stop begins a planned stop and waits until no request is in flight and the addresses cached by callers have
+// expired, or until limit has passed or the context ends. New requests are served meanwhile.
 func (f *Forwarder) Stop(ctx context.Context, limit time.Duration) {
-	begun := time.Now()
+	startTime := time.Now()
 	f.stopping.Store(true)
-	f.log.Info("planned stop begun", zap.Int64("inFlight", f.inFlight.Load()))
-	f.heartbeat(begun)
-	f.handOver(begun)
-	lapse := begun.Add(f.cfg.AddressTTL + quietTime)
-	poll := time.NewTicker(stopPoll)
+	f.log.Info("planned stop started", zap.Int64("inFlight", f.inFlight.Load()))
+	f.heartbeat(startTime)
+	f.returnUnstartedPieces(startTime)
+	addressesExpired := startTime.Add(f.cfg.AddressTTL + quietTime)
+	poll := time.NewTicker(stopPollInterval)
 	defer poll.Stop()
-	last := time.AfterFunc(limit-lastCall, func() { close(f.ending) })
-	defer last.Stop()
+	failTimer := time.AfterFunc(limit-finalAnswerMargin, func() { close(f.ending) })
+	defer failTimer.Stop()
 	for {
 		select {
 		case <-ctx.Done():
 			return
 		case now := <-poll.C:
-			if f.mayEnd(now, lapse) || now.Sub(begun) >= limit {
-				f.log.Info("planned stop done",
-					zap.Duration("took", now.Sub(begun)),
+			if f.canStop(now, addressesExpired) || now.Sub(startTime) >= limit {
+				f.log.Info("planned stop finished",
+					zap.Duration("took", now.Sub(startTime)),
 					zap.Int64("inFlight", f.inFlight.Load()))
 				return
 			}
@@ -48,15 +48,15 @@
 	}
 }
 
-func (f *Forwarder) mayEnd(now, lapse time.Time) bool {
-	if f.inFlight.Load() > 0 || now.Before(lapse) || f.collecting() {
+func (f *Forwarder) canStop(now, addressesExpired time.Time) bool {
+	if f.inFlight.Load() > 0 || now.Before(addressesExpired) || f.hasPendingPieces() {
 		return false
 	}
 	return now.UnixNano()-f.lastRequest.Load() >= int64(quietTime)
 }
 
-// collecting tells whether peers still wait for pieces here.
-func (f *Forwarder) collecting() bool {
+// hasPendingPieces reports whether pieces collected here are still pending.
+func (f *Forwarder) hasPendingPieces() bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	for _, p := range f.pools {
@@ -67,16 +67,16 @@
 	return false
 }
 
-// handOver gives the pieces that have not begun back to their entries, if another entry can collect them.
-func (f *Forwarder) handOver(now time.Time) {
-	f.locked(func() []func() {
-		var todo []func()
+// returnUnstartedPieces returns the pieces that have not started to their entries if another entry can collect them.
+func (f *Forwarder) returnUnstartedPieces(now time.Time) {
+	f.withLock(func() []func() {
+		var actions []func()
 		for service, p := range f.pools {
 			if _, other := f.owner(service, []string{f.cfg.Name}); !other {
 				continue
 			}
-			todo = append(todo, f.performAll(service, p, p.Reduce(collector.Closing{}, now))...)
+			actions = append(actions, f.performAll(service, p, p.Reduce(collector.Closing{}, now))...)
 		}
-		return todo
+		return actions
 	})
 }
--- a/forwarder/storm_test.go
+++ b/forwarder/storm_test.go
@@ -14,7 +14,7 @@
 // The store goes down, and the list of endpoints of each of 60 entries grows old at the same time. Each asks its peers
 // for a newer one. Asked of all, with whole lists as answers, that is thousands of lists in each round: it fills the
 // links of small VMs, heartbeats are late, and callers see a system in which every entry takes the others for dead. A
-// few questions an entry, answered only by who has news, are enough: there is nothing to be learnt.
+// few peerQueries an entry, answered only by who has news, are enough: there is nothing to be learnt.
 func TestAStoreOutageStartsNoStormOfQuestions(t *testing.T) {
 	const entries = 60
 	m := newMesh(t, entries)
@@ -24,11 +24,11 @@
 	}
 	for _, f := range m.nodes {
 		f.ReplaceEndpoints(all, locator.At(0, 4), time.Now())
-		f.RecordStoreResponse(0, time.Now().Add(-endpointsPatience-time.Second))
+		f.RecordStoreResponse(0, time.Now().Add(-maxEndpointsAge-time.Second))
 	}
 	m.sent = map[string]int{}
 	m.beat(1)
-	require.LessOrEqual(t, m.sent["*carrier.EndpointsCall"], askedPeers*entries)
+	require.LessOrEqual(t, m.sent["*carrier.EndpointsCall"], queriedPeers*entries)
 	require.Positive(t, m.sent["*carrier.EndpointsCall"])
 	require.Zero(t, m.sent["*carrier.EndpointsReply"], "nobody knows more than another")
 }
@@ -38,7 +38,7 @@
 func TestAStaleEntryIsToldOnce(t *testing.T) {
 	m := newMesh(t, 3)
 	stale := m.nodes["entry-2"]
-	stale.RecordStoreResponse(0, time.Now().Add(-endpointsPatience-time.Second))
+	stale.RecordStoreResponse(0, time.Now().Add(-maxEndpointsAge-time.Second))
 	for _, name := range []string{"entry-0", "entry-1"} {
 		f := m.nodes[name]
 		f.ReplaceEndpoints([]registrar.Change{endpointAt("a")}, locator.At(0, 4), time.Now())
@@ -48,9 +48,9 @@
 	stale.heartbeat(time.Now())
 	require.Equal(t, 2, m.sent["*carrier.EndpointsCall"])
 	require.Equal(t, locator.At(0, 4), stale.registry.Next())
-	require.Less(t, stale.registry.Age(time.Now()), endpointsPatience)
+	require.Less(t, stale.registry.Age(time.Now()), maxEndpointsAge)
 
-	stale.askedEndpoints = time.Time{}
+	stale.endpointsQueriedAt = time.Time{}
 	stale.heartbeat(time.Now())
 	require.Equal(t, 2, m.sent["*carrier.EndpointsCall"], "what was told is fresh")
 }
