--- a/forwarder/stream.go
+++ b/forwarder/stream.go
@@ -18,31 +18,31 @@
 )
 
 const (
-	// stallFactor is how many times the longest good pause a stream that may be resumed may be silent.
+	// stallFactor is how many times the longest normal pause a resumable stream may be silent.
 	stallFactor = 4
-	// leastStall keeps short pauses from being taken for a stall.
-	leastStall = time.Second
-	// streamBuffer takes some dozens of events.
+	// minStallTime keeps short pauses from being treated as a stall.
+	minStallTime = time.Second
+	// streamBuffer is the size in bytes of the read buffer, which holds some dozens of events.
 	streamBuffer = 16 << 10
 )
 
-// streamer passes the events of one request on.
+// streamer relays the events of one request.
 type streamer struct {
 	x      *exchange
-	stages *stageWork
-	// last is the number of the last event that the caller has.
+	stages *stageRunner
+	// last is the ID of the last event written to the caller.
 	last    int64
 	hasLast bool
 }
 
-// serveStream has the stages done and passes the model's events on.
+// serveStream runs the stages and relays the events of the model.
 func (x *exchange) serveStream() *FailureError {
-	stages := newStageWork(x)
+	stages := newStageRunner(x)
 	defer stages.freeAll()
-	if failure := stages.checkTime(x.began); failure != nil {
+	if failure := stages.checkOverload(x.startTime); failure != nil {
 		return failure
 	}
-	if failure := x.checkHeld(); failure != nil {
+	if failure := x.checkHeldBack(); failure != nil {
 		return failure
 	}
 	if failure := stages.run(); failure != nil {
@@ -50,30 +50,30 @@
 	}
 	s := &streamer{x: x, stages: stages}
 	for {
-		if !x.mayTryAgain() {
+		if !x.allowAttempt() {
 			return x.giveUp("noEndpointTook")
 		}
-		if failure := stages.restore(); failure != nil {
+		if failure := stages.restoreInputs(); failure != nil {
 			return x.giveUp(failure.Reason)
 		}
-		choice, found := x.choose(selector.Query{Parts: x.req.Parts, ZoneBytes: stages.plan.ZoneBytes()})
+		choice, found := x.chooseEndpoint(selector.Query{Parts: x.req.Parts, ZoneBytes: stages.plan.ZoneBytes()})
 		if !found {
 			return x.noEndpoint()
 		}
-		done, failure := s.try(choice)
+		done, failure := s.attempt(choice)
 		if done {
 			return failure
 		}
 	}
 }
 
-// try has the stream from one endpoint. It tells whether the request has ended.
-func (s *streamer) try(choice selector.Choice) (bool, *FailureError) {
+// attempt requests the stream from one endpoint. It reports whether the request has ended.
+func (s *streamer) attempt(choice selector.Choice) (bool, *FailureError) {
 	x := s.x
-	began := time.Now()
-	x.sends++
+	startTime := time.Now()
+	x.attempts++
 	x.tried = append(x.tried, choice.Endpoint.ID)
-	info := x.callInfo(choice.Endpoint, began)
+	info := x.callInfo(choice.Endpoint, startTime)
 	info.Inputs = s.stages.plan.Inputs()
 	if s.hasLast {
 		x.f.cfg.Meter.Counter(meter.ForwardResumes).Inc(1)
@@ -81,145 +81,145 @@
 	}
 	ctx, cancel := context.WithCancel(x.ctx)
 	defer cancel()
-	stall := s.watch(cancel, began)
+	stall := s.startStallTimer(cancel, startTime)
 	defer stall.Stop()
-	fetched := s.stages.freeFetched()
-	answer, err := x.f.cfg.Client.Do(ctx, x.call(choice, info))
-	fetched()
+	stopFreeing := s.stages.freeAfterFetch()
+	resp, err := x.f.cfg.Client.Do(ctx, x.call(choice, info))
+	stopFreeing()
 	if err != nil {
-		return s.failed(choice, err)
+		return s.handleFailure(choice, err)
 	}
-	defer answer.Close()
-	if info := x.f.readAnswer(&choice.Endpoint, answer); info.NotRun {
-		return s.refused(choice, answer, info)
+	defer resp.Close()
+	if info := x.f.readResponse(&choice.Endpoint, resp); info.NotRun {
+		return s.handleRefusal(choice, resp, info)
 	}
-	if answer.Status() != http.StatusOK {
-		return s.other(choice, answer)
+	if resp.Status() != http.StatusOK {
+		return s.handleErrorResponse(choice, resp)
 	}
-	return s.follow(&choice, answer, stall, began)
+	return s.relay(&choice, resp, stall, startTime)
 }
 
-// watch ends a silent attempt at a stream that may go on at another endpoint. An attempt that may not is left alone:
-// its silence is no reason to end the answer.
-func (s *streamer) watch(cancel context.CancelFunc, now time.Time) *time.Timer {
+// startStallTimer starts a timer that cancels a silent attempt if the stream may resume at another endpoint. An
+// attempt that may not be resumed is not cancelled, as silence alone is no reason to end the response.
+func (s *streamer) startStallTimer(cancel context.CancelFunc, now time.Time) *time.Timer {
 	if !s.mayResume() {
-		return time.NewTimer(s.x.left(now) + time.Hour)
+		return time.NewTimer(s.x.remaining(now) + time.Hour)
 	}
-	return time.AfterFunc(max(leastStall, s.x.route.Objective/2), cancel)
+	return time.AfterFunc(max(minStallTime, s.x.route.Objective/2), cancel)
 }
 
 func (s *streamer) mayResume() bool {
 	return s.x.route.Repeatable() && s.x.runs+1 < s.x.route.MaxAttempts
 }
 
-func (s *streamer) stallTime() time.Duration {
-	return max(leastStall, stallFactor*s.x.route.EventGap)
+func (s *streamer) stallTimeout() time.Duration {
+	return max(minStallTime, stallFactor*s.x.route.EventGap)
 }
 
-// refused passes over an endpoint that did not run the request.
-func (s *streamer) refused(choice selector.Choice, answer *connector.Answer, info ResponseInfo) (bool, *FailureError) {
-	if _, err := answer.ReadWhole(maxPlainAnswer); err != nil {
-		s.x.f.log.Debug("refusal cut short", zap.String("request", s.x.req.ID), zap.Error(err))
+// handleRefusal handles an endpoint that refused the request without running it.
+func (s *streamer) handleRefusal(choice selector.Choice, resp *connector.Answer, info ResponseInfo) (bool, *FailureError) {
+	if _, err := resp.ReadWhole(maxPlainResponse); err != nil {
+		s.x.f.log.Debug("reading refusal body failed", zap.String("request", s.x.req.ID), zap.Error(err))
 	}
-	s.x.endRefused(choice)
+	s.x.endRefusedCall(choice)
 	if info.InputGone && !s.stages.plan.LastFreed() {
 		return true, s.x.giveUp("stageResultGone")
 	}
 	return false, nil
 }
 
-// other passes on an answer that is no stream.
-func (s *streamer) other(choice selector.Choice, answer *connector.Answer) (bool, *FailureError) {
+// handleErrorResponse handles a response that is not a stream.
+func (s *streamer) handleErrorResponse(choice selector.Choice, resp *connector.Answer) (bool, *FailureError) {
 	x := s.x
-	body, err := answer.ReadWhole(maxPlainAnswer)
+	body, err := resp.ReadWhole(maxPlainResponse)
 	if err != nil {
-		return s.failed(choice, err)
+		return s.handleFailure(choice, err)
 	}
 	x.runs++
-	x.end(choice, ejector.Bad, true)
-	if x.againAfterRun() {
+	x.endCall(choice, ejector.Bad, true)
+	if x.mayRetryAfterRun() {
 		return false, nil
 	}
-	if x.headed {
+	if x.headerSent {
 		return true, mayHaveRun("endpointFailed")
 	}
-	x.sendWhole(answer, body)
+	x.writeResponse(resp, body)
 	return true, nil
 }
 
-// failed decides what follows an attempt that broke off.
-func (s *streamer) failed(choice selector.Choice, err error) (bool, *FailureError) {
-	s.x.f.log.Info("stream broke off",
+// handleFailure handles an attempt that was interrupted.
+func (s *streamer) handleFailure(choice selector.Choice, err error) (bool, *FailureError) {
+	s.x.f.log.Info("stream interrupted",
 		zap.String("request", s.x.req.ID),
 		zap.String("endpoint", choice.Endpoint.ID),
 		zap.Int64("lastEvent", s.last),
 		zap.Bool("callerGone", s.x.callerGone()),
 		zap.Error(err))
-	return s.x.failed(choice, err)
+	return s.x.handleFailure(choice, err)
 }
 
-// follow passes whole events on until the stream ends.
-func (s *streamer) follow(choice *selector.Choice, answer *connector.Answer, stall *time.Timer, sent time.Time) (bool, *FailureError) {
+// relay writes complete events to the caller until the stream ends.
+func (s *streamer) relay(choice *selector.Choice, resp *connector.Answer, stall *time.Timer, sent time.Time) (bool, *FailureError) {
 	split := splitter.New(0)
 	buf := make([]byte, streamBuffer)
 	first := true
 	for {
-		n, err := answer.Read(buf)
+		n, err := resp.Read(buf)
 		if n > 0 {
 			events, splitErr := split.Feed(buf[:n])
 			if splitErr != nil {
-				return s.failed(*choice, splitErr)
+				return s.handleFailure(*choice, splitErr)
 			}
 			if len(events) > 0 && first {
 				first = false
-				s.begin(choice, answer, sent)
+				s.beginResponse(choice, resp, sent)
 			}
-			s.send(events)
+			s.writeEvents(events)
 			if s.mayResume() {
-				stall.Reset(s.stallTime())
+				stall.Reset(s.stallTimeout())
 			}
 		}
 		if errors.Is(err, io.EOF) {
-			return s.finish(*choice, answer, split.Rest(), first)
+			return s.finish(*choice, resp, split.Rest(), first)
 		}
 		if err != nil {
-			return s.failed(*choice, err)
+			return s.handleFailure(*choice, err)
 		}
 	}
 }
 
-// begin passes the header on with the first event: until then another endpoint can take over unseen. The inputs have
-// been read by then, so their space is given back.
-func (s *streamer) begin(choice *selector.Choice, answer *connector.Answer, sent time.Time) {
+// beginResponse writes the header with the first event; until then another endpoint can take over unnoticed by the
+// caller. The endpoint has read its inputs by then, so their space is freed.
+func (s *streamer) beginResponse(choice *selector.Choice, resp *connector.Answer, sent time.Time) {
 	x := s.x
 	took := time.Since(sent)
 	x.f.cfg.Meter.Histogram(meter.ForwardFirstMicros).Update(took.Microseconds())
-	x.f.cfg.Meter.Histogram(meter.ForwardStageMicros).Update(sent.Sub(x.began).Microseconds())
-	x.f.note("first event",
+	x.f.cfg.Meter.Histogram(meter.ForwardStageMicros).Update(sent.Sub(x.startTime).Microseconds())
+	x.f.logSampled("first event",
 		zap.String("request", x.req.ID),
 		zap.String("endpoint", choice.Endpoint.ID),
-		zap.Duration("stagesTook", sent.Sub(x.began)),
+		zap.Duration("stagesTook", sent.Sub(x.startTime)),
 		zap.Duration("modelTook", took))
 	x.f.mu.Lock()
 	x.f.selector.Observe(*choice, time.Since(sent))
 	x.f.selector.Read(choice)
 	x.f.mu.Unlock()
 	s.stages.free(s.stages.plan.FreeLast())
-	s.head(answer)
+	s.writeHeader(resp)
 }
 
-func (s *streamer) head(answer *connector.Answer) {
-	if s.x.headed {
+func (s *streamer) writeHeader(resp *connector.Answer) {
+	if s.x.headerSent {
 		return
 	}
-	s.x.headed = true
-	s.x.status = answer.Status()
-	s.x.copyHeader(answer.Header())
-	s.x.w.WriteHeader(answer.Status())
+	s.x.headerSent = true
+	s.x.status = resp.Status()
+	s.x.copyHeader(resp.Header())
+	s.x.w.WriteHeader(resp.Status())
 }
 
-// send passes events on that the caller does not have yet.
-func (s *streamer) send(events []splitter.Event) {
+// writeEvents writes the events that the caller does not have yet.
+func (s *streamer) writeEvents(events []splitter.Event) {
 	if len(events) == 0 {
 		return
 	}
@@ -230,18 +230,18 @@
 			}
 			s.last, s.hasLast = e.ID, true
 		}
-		// An error means that the caller has gone; the request's context then ends the exchange.
+		// An error means that the caller has disconnected; the request's context then ends the exchange.
 		_, _ = s.x.w.Write(e.Data)
 	}
 	_ = http.NewResponseController(s.x.w).Flush()
 }
 
-// finish ends a whole stream.
-func (s *streamer) finish(choice selector.Choice, answer *connector.Answer, rest []byte, empty bool) (bool, *FailureError) {
+// finish ends a complete stream.
+func (s *streamer) finish(choice selector.Choice, resp *connector.Answer, rest []byte, empty bool) (bool, *FailureError) {
 	s.x.runs++
-	s.x.end(choice, ejector.Good, false)
-	s.x.clearContent()
-	s.head(answer)
+	s.x.endCall(choice, ejector.Good, false)
+	s.x.recordContentServed()
+	s.writeHeader(resp)
 	if len(rest) > 0 || empty {
 		_, _ = s.x.w.Write(rest)
 	}
--- a/forwarder/target.go
+++ b/forwarder/target.go
@@ -1,36 +1,37 @@
 package forwarder
 
 const (
-	// toldWhole is up to how many peers all are told in each round.
-	toldWhole = 20
-	// heartbeatsEachRound and reportsEachRound are how many peers hear of others' lives and of this entry's work in one
-	// round where there are more. A heartbeat's news reach some 60 entries within two or three rounds, well inside
-	// suspectAfter; work is not passed on, so that each must hear it from the entry itself, every 0.6 s.
-	heartbeatsEachRound = 10
-	reportsEachRound    = 20
-	// maxReportPeers is up to how many peers each tells all others in turn of its work. Beyond it a report comes from each of them
-	// once in over a second, and says little that is still true.
+	// fullRoundPeers is the largest number of peers that are all sent to in each round.
+	fullRoundPeers = 20
+	// heartbeatsPerRound and reportsPerRound are how many peers receive a heartbeat and a load report in one round if
+	// there are more. The state in a heartbeat reaches some 60 entries within two or three rounds, well inside
+	// suspectAfter. Load reports are not passed on, so each peer must receive them from the entry itself, every 0.6
+	// s.
+	heartbeatsPerRound = 10
+	reportsPerRound    = 20
+	// maxReportPeers is the largest number of peers to which each entry sends its load reports directly, in rotation.
+	// Beyond it a report from each of them would arrive once in over a second, and would be mostly outdated.
 	maxReportPeers = 128
 )
 
-// targets gives those of the detector's targets that get a heartbeat in this round, and the peers that get this entry's
-// work. The lock is held.
+// targets selects the detector's targets that receive a heartbeat in this round, and the peers that receive a load
+// report. The lock must be held.
 func (f *Forwarder) targets(detected, peers []string) (heartbeats, reports []string) {
 	if !f.detector.Spreads() {
-		return f.shareOf(detected, heartbeatsEachRound), f.shareOf(detected, reportsEachRound)
+		return f.roundTargets(detected, heartbeatsPerRound), f.roundTargets(detected, reportsPerRound)
 	}
 	if len(peers) > maxReportPeers {
 		return detected, detected
 	}
-	return detected, f.shareOf(peers, reportsEachRound)
+	return detected, f.roundTargets(peers, reportsPerRound)
 }
 
-// shareOf gives the part of the peers that are told in this round. Told all in each round, what an entry sends grows
-// with the square of their number. Each heartbeat carries the newest state of all
-// members, so that one of a part each round still tells of everybody. Entries tell different parts in the same round:
-// told by all at once, a peer would hear nothing for the rounds between, and take everybody for dead.
-func (f *Forwarder) shareOf(targets []string, each int) []string {
-	if len(targets) <= toldWhole {
+// roundTargets selects the targets of this round. If all were sent to in each round, the traffic of an entry would
+// grow with the square of their number. Each heartbeat carries the newest state of all members, so that one sent to a
+// part in each round still reports all of them. Entries select different parts in the same round: if all selected the
+// same, a peer would hear nothing in the rounds between, and consider every entry dead.
+func (f *Forwarder) roundTargets(targets []string, each int) []string {
+	if len(targets) <= fullRoundPeers {
 		return targets
 	}
 	parts := (len(targets) + each - 1) / each
--- a/forwarder/wait.go
+++ b/forwarder/wait.go
@@ -11,17 +11,17 @@
 	"geraniumline/selector"
 )
 
-// waitLife is how long what a peer tells of a stage's queue holds: some heartbeats.
-const waitLife = time.Second
+// waitTTL is how long the queue load reported by a peer stays valid: some heartbeats.
+const waitTTL = time.Second
 
-// stageWait is what a peer said of a service's pool that it collects for.
+// stageWait is the load that a peer reported for a pool that it collects for.
 type stageWait struct {
 	load planner.Load
 	at   time.Time
 }
 
-// stageWaits gives the newest waits of stage pools: of those that this entry collects for, and those that it was told. The
-// lock is held.
+// stageWaits returns the newest loads of stage pools: of those that this entry collects for, and of those reported by
+// peers. The lock must be held.
 func (f *Forwarder) stageWaits(now time.Time) []carrier.StageWait {
 	var list []carrier.StageWait
 	for service, p := range f.pools {
@@ -34,7 +34,7 @@
 		if owner, known := f.owner(service, nil); known && owner == f.cfg.Name {
 			continue
 		}
-		if age := now.Sub(w.at); age < waitLife {
+		if age := now.Sub(w.at); age < waitTTL {
 			list = append(list, waitMessage(service, w.load, age))
 		}
 	}
@@ -52,9 +52,10 @@
 	}
 }
 
-// takeStageWaits takes the waits that a peer tells where they are newer than those known. Told by the collecting entry alone they
-// would come to each of many entries once in seconds; passed on by all they are as old as news of a peer. The lock is held.
-func (f *Forwarder) takeStageWaits(list []carrier.StageWait, now time.Time) {
+// applyStageWaits stores the loads reported by a peer that are newer than the stored ones. If only the collecting
+// entry reported them, each of many entries would receive them once in seconds; since all entries pass them on, they
+// are as recent as the gossip about a peer. The lock must be held.
+func (f *Forwarder) applyStageWaits(list []carrier.StageWait, now time.Time) {
 	for _, s := range list {
 		if pool := divider.Parse(s.Service); pool.Zone != "" {
 			f.divider.Told(pool.Service)
@@ -72,7 +73,7 @@
 	}
 }
 
-// poolLoad gives the newest load known of a service's pool, or nothing. The lock is held.
+// poolLoad returns the newest known load of a pool, or the zero value. The lock must be held.
 func (f *Forwarder) poolLoad(service string, now time.Time) planner.Load {
 	if owner, known := f.owner(service, nil); known && owner == f.cfg.Name {
 		p, collects := f.pools[service]
@@ -81,35 +82,35 @@
 		}
 		return planner.LoadOf(p, now)
 	}
-	if w, known := f.waits[service]; known && now.Sub(w.at) < waitLife {
+	if w, known := f.waits[service]; known && now.Sub(w.at) < waitTTL {
 		return w.load
 	}
 	return planner.Load{}
 }
 
-// comeBack tells when a refused caller should come back: once what waits now is done, spread so that callers who were
-// refused together do not come back together.
-func (v poolView) comeBack(service string) time.Duration {
+// retryDelay returns when a refused caller should retry: once the present queue is done, with jitter so that callers
+// refused together do not retry together.
+func (v poolView) retryDelay(service string) time.Duration {
 	return planner.ReturnAfter(v.Load(service), rand.Float64())
 }
 
-// urgentPriority is up to which priority callers come back before all others.
+// urgentPriority is the largest priority value whose callers are scheduled to retry before all others.
 const urgentPriority = 0
 
-// heldReturn tells when a caller should come back whose service takes no call now, since all its endpoints have asked for fewer.
-// The lock is held.
-func (f *Forwarder) heldReturn(service string, held selector.Held, priority int, now time.Time) time.Duration {
-	r, known := f.returns[service]
+// heldBackRetryDelay returns when a caller should retry if all endpoints of the service have asked for fewer calls.
+// The lock must be held.
+func (f *Forwarder) heldBackRetryDelay(service string, held selector.Held, priority int, now time.Time) time.Duration {
+	r, known := f.retrySchedules[service]
 	if !known {
 		r = &regulator.Returns{}
-		f.returns[service] = r
+		f.retrySchedules[service] = r
 	}
-	return r.After(held.Until, f.returnRate(service), priority <= urgentPriority, now)
+	return r.After(held.Until, f.retryRate(service), priority <= urgentPriority, now)
 }
 
-// returnRate is how many of the callers that come back the limits of a service's endpoints allow to each entry; 0 where one has
-// no limit. The lock is held.
-func (f *Forwarder) returnRate(service string) float64 {
+// retryRate returns the rate per second of retrying callers that the limits of a service's endpoints allow for each
+// entry, or 0 if an endpoint has no limit. The lock must be held.
+func (f *Forwarder) retryRate(service string) float64 {
 	total := 0.0
 	for _, id := range f.selector.Endpoints(service) {
 		perSecond, limited := f.regulator.Limit(id)
@@ -122,23 +123,24 @@
 }
 
 const (
-	// storeAnswers is how long after its start an entry has heard the store, if that answers: some ten times its usual answer.
-	storeAnswers = 150 * time.Millisecond
-	// storeAwayReturn is when the caller of an entry that knows nothing comes back while the store is away. Most callers try
-	// once more: told to come back within a moment, all that came in an outage of three seconds were refused twice, and lost.
-	// Outages last for seconds; two of them leave most callers time for an answer.
-	storeAwayReturn = 2 * time.Second
+	// storeResponseTime is how long after its start an entry has heard from a store that answers: about ten times the
+	// usual response time.
+	storeResponseTime = 150 * time.Millisecond
+	// storeOutageRetryDelay is the retry delay that an entry without a configuration returns while the store is down.
+	// Most callers retry once: with a delay of a moment, all callers that arrived in an outage of three seconds were
+	// refused twice, and lost. Outages last for seconds; a delay of two leaves most callers time for a response.
+	storeOutageRetryDelay = 2 * time.Second
 )
 
-// startReturn tells when a caller should come back to an entry that does not know the configuration or the endpoints yet: soon
-// after a start, later if the store has left it without an answer. The lock is held.
-func (f *Forwarder) startReturn(now time.Time) time.Duration {
+// startupRetryDelay returns when a caller should retry at an entry that has no configuration or endpoints yet: soon
+// after a start, later if the store has not answered. The lock must be held.
+func (f *Forwarder) startupRetryDelay(now time.Time) time.Duration {
 	load := planner.Load{}
-	if f.storeLost || now.Sub(f.began) >= storeAnswers {
-		load.Wait = storeAwayReturn
+	if f.storeLost || now.Sub(f.startTime) >= storeResponseTime {
+		load.Wait = storeOutageRetryDelay
 	}
 	return planner.ReturnAfter(load, rand.Float64())
 }
 
-// soon tells a caller to come back within a moment.
-func soon() time.Duration { return planner.ReturnAfter(planner.Load{}, rand.Float64()) }
+// shortRetryDelay returns a short, jittered retry delay.
+func shortRetryDelay() time.Duration { return planner.ReturnAfter(planner.Load{}, rand.Float64()) }
--- a/forwarder/wire.go
+++ b/forwarder/wire.go
@@ -9,28 +9,29 @@
 	"geraniumline/selector"
 )
 
-// Request is what a caller's header says of a request.
+// Request is the decoded header of a caller's request.
 type Request struct {
-	// ID names one attempt of the caller.
+	// ID identifies one attempt of the caller.
 	ID string
-	// Timeout is how long the caller waits; 0 where it does not say.
+	// Timeout is how long the caller waits; 0 if unspecified.
 	Timeout time.Duration
 	// Key is the credential of a client account.
 	Key string
-	// Parts are the prompt's parts.
+	// Parts are the parts of the prompt.
 	Parts []selector.Part
-	// PieceCounts is how many pieces each stage has, PieceKey the input of the first stages.
+	// PieceCounts is the number of pieces of each stage, and PieceKey the input of the first stages.
 	PieceCounts []int
 	PieceKey    string
-	// LastEvent is the last event that the caller has of a stream that it resumes; empty for a new one.
+	// LastEvent is the ID of the last event that the caller received of a stream that it resumes; empty for a new
+	// one.
 	LastEvent string
 }
 
-// CallInfo is what a call to an endpoint says beside the caller's own header.
+// CallInfo is the metadata that a call to an endpoint carries in addition to the caller's own header.
 type CallInfo struct {
 	// Timeout is how long the endpoint may work.
 	Timeout time.Duration
-	// Instance is the endpoint's id: another process at its address refuses the call.
+	// Instance is the endpoint's ID: another process at its address refuses the call.
 	Instance string
 	Account  string
 	// Priority orders requests within a model engine, 0 first; it is sent only if HasPriority is set.
@@ -38,43 +39,43 @@
 	HasPriority bool
 	// Inputs are the results of the last stages.
 	Inputs []string
-	// LastEvent is the last event that was passed on, where a stream goes on at another endpoint.
+	// LastEvent is the ID of the last relayed event if a stream resumes at another endpoint.
 	LastEvent string
-	// ForwardKey passes the caller's credential on: only where the system itself has no keys.
+	// ForwardKey forwards the caller's credential. It is set only if the configuration has no keys.
 	ForwardKey bool
 }
 
-// ResponseInfo is what an endpoint's answer says beside its content.
+// ResponseInfo is the metadata of an endpoint's response.
 type ResponseInfo struct {
-	// NotRun tells that the endpoint did not run the request and will not.
+	// NotRun is set if the endpoint did not run the request and will not.
 	NotRun bool
-	// InputGone tells that a stage's result is no longer there.
+	// InputGone is set if a stage's result no longer exists.
 	InputGone bool
-	// Notice is what the answer says of the work that the endpoint takes. NoticeErr tells of a part that can't be used.
+	// Notice is the endpoint's notice about the work that it accepts. NoticeErr reports an invalid part of it.
 	Notice    regulator.Notice
 	NoticeErr error
 }
 
-// Wire translates between the header names and bodies of callers and endpoints and the types above.
+// Wire converts between the types above and the headers and bodies of callers and endpoints.
 type Wire interface {
 	// ReadRequest decodes a caller's header.
 	ReadRequest(h http.Header) (Request, error)
-	// CallHeader gives the header of a call. Headers that only the system may set are removed from the caller's.
+	// CallHeader returns the header of a call. Headers that only the system may set are removed from the caller's.
 	CallHeader(caller http.Header, info CallInfo) http.Header
-	// ReadResponse decodes an endpoint's answer.
+	// ReadResponse decodes the status and header of an endpoint's response.
 	ReadResponse(status int, h http.Header) ResponseInfo
-	// ResponseHeader gives the part of an endpoint's header that the caller gets.
+	// ResponseHeader returns the part of an endpoint's header that is forwarded to the caller.
 	ResponseHeader(h http.Header) http.Header
-	// EchoHeader is the header that endpoints send back as it came.
+	// EchoHeader names the header that endpoints echo unchanged.
 	EchoHeader() string
-	// PiecesTarget and FreeTarget are the paths of the calls on pieces.
+	// PiecesTarget and FreeTarget are the paths of the calls that run pieces and free results.
 	PiecesTarget() string
 	FreeTarget() string
-	// InstanceHeader gives a header that names the endpoint that is meant.
+	// InstanceHeader returns a header that names the addressed endpoint.
 	InstanceHeader(instance string) http.Header
-	// EncodePieces and DecodePieces translate the bodies of a call for pieces.
+	// EncodePieces and DecodePieces convert the bodies of a call for pieces.
 	EncodePieces(pieces []collector.Piece, now time.Time) ([]byte, error)
 	DecodePieces(body []byte) ([]collector.PieceResult, error)
-	// EncodeFree gives the body of a call that frees results.
+	// EncodeFree returns the body of a call that frees results.
 	EncodeFree(handles []string) ([]byte, error)
 }
