--- a/forwarder/bench_test.go
+++ b/forwarder/bench_test.go
@@ -8,10 +8,10 @@
 	"geraniumline/carrier"
 )
 
-// counting takes messages and adds up their sizes on the wire.
-type counting struct{ bytes, frames int }
+// countingSender adds up the encoded sizes of the messages that are sent.
+type countingSender struct{ bytes, frames int }
 
-func (c *counting) Send(_ string, m carrier.Message) {
+func (c *countingSender) Send(_ string, m carrier.Message) {
 	data, err := m.MarshalMsg(nil)
 	if err != nil {
 		panic(err)
@@ -20,13 +20,13 @@
 	c.frames++
 }
 
-// BenchmarkHeartbeat is one round of what an entry tells all others: its time, and the bytes that it sends.
+// BenchmarkHeartbeat measures one heartbeat round of an entry: its time, and the bytes that it sends to all others.
 func BenchmarkHeartbeat(b *testing.B) {
 	for _, n := range []int{7, 20, 80} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
 			m := newMesh(b, n)
 			f := m.nodes["entry-0"]
-			c := &counting{}
+			c := &countingSender{}
 			f.SetSender(c)
 			now := time.Now()
 			for b.Loop() {
--- a/forwarder/delegation.go
+++ b/forwarder/delegation.go
@@ -250,8 +250,8 @@
 	return actions
 }
 
-// deliverResult passes a result to the request that waits for it. A result without a waiting request is freed: it is
-// a duplicate, or its request has ended. The lock must be held.
+// deliverResult passes a result to the request that waits for it. A result without a waiting request is freed: it
+// arrived twice, or its request has ended. The lock must be held.
 func (f *Forwarder) deliverResult(service string, d collector.Deliver, from string) []func() {
 	a, known := f.delegations[delegationID{d.ID.Request, d.ID.Stage}]
 	if d.Result.Reason == collector.Moved {
--- a/forwarder/duty_test.go
+++ b/forwarder/duty_test.go
@@ -11,7 +11,7 @@
 	"geraniumline/registrar"
 )
 
-func (m *mesh) reader(now time.Time) []string {
+func (m *mesh) readers(now time.Time) []string {
 	var names []string
 	for name, f := range m.nodes {
 		if _, reads := f.ShouldReadEndpoints(now); reads {
@@ -21,23 +21,23 @@
 	return names
 }
 
-// The entry that reads the store for all falls silent. The others must read for themselves before an endpoint's leaving
-// is two seconds old, and stop when they are told again.
+// The entry that reads the store for all falls silent. The others must read for themselves before an endpoint's
+// leaving is two seconds old, and stop when they receive updates again.
 func TestOneEntryReadsTheStoreForAll(t *testing.T) {
 	m := newMesh(t, 3)
 	now := time.Now()
-	require.Len(t, m.reader(now), 1, "all have just read the list")
+	require.Len(t, m.readers(now), 1, "all entries have just read the list")
 	duty, _ := m.nodes["entry-0"].owner(endpointsDuty, nil)
-	m.nodes[duty].ApplyEndpoints([]registrar.Change{endpointAt("a")}, locator.At(0, 0), locator.At(0, 4), now)
-	require.Equal(t, []string{duty}, m.reader(time.Now()))
+	m.nodes[duty].ApplyEndpoints([]registrar.Change{endpointChange("a")}, locator.At(0, 0), locator.At(0, 4), now)
+	require.Equal(t, []string{duty}, m.readers(time.Now()))
 	for _, f := range m.nodes {
 		require.Equal(t, 1, f.selector.Count("plain"))
 		from, _ := f.ShouldReadEndpoints(now)
 		require.Equal(t, locator.At(0, 4), from)
 	}
-	require.Len(t, m.reader(time.Now().Add(updateTimeout-time.Millisecond)), 1)
-	require.Len(t, m.reader(time.Now().Add(updateTimeout+rankDelay)), 2, "the next one first: if the store answers it, it tells the others")
-	require.Len(t, m.reader(time.Now().Add(updateTimeout+2*rankDelay)), 3)
+	require.Len(t, m.readers(time.Now().Add(updateTimeout-time.Millisecond)), 1)
+	require.Len(t, m.readers(time.Now().Add(updateTimeout+rankDelay)), 2, "the next in rank reads first and informs the others")
+	require.Len(t, m.readers(time.Now().Add(updateTimeout+2*rankDelay)), 3)
 
 	m.nodes[duty].ApplyEndpoints([]registrar.Change{{ID: "a", Position: locator.At(0, 9)}}, locator.At(0, 9), locator.At(0, 10), time.Now())
 	for name, f := range m.nodes {
@@ -45,32 +45,33 @@
 		if name == duty {
 			want = 0
 		}
-		require.Equal(t, want, f.selector.Count("plain"), "news after a gap are of no use")
+		require.Equal(t, want, f.selector.Count("plain"), "updates after a gap are ignored")
 	}
 }
 
-// The entry that reads for all is cut from the store while its peers still hear it. The next one takes the duty up, and
-// what it reads must end the wait of all: each that reads for itself is a call more to a store that serves few.
+// The entry that reads for all loses its connection to the store while its peers still hear it. The next one takes up
+// the duty, and its updates must keep the others from reading: each additional reader is one more call to a store
+// that serves few.
 func TestTheNextReaderTellsAll(t *testing.T) {
 	m := newMesh(t, 9)
 	duty, _ := m.nodes["entry-0"].owner(endpointsDuty, nil)
 	later := time.Now().Add(updateTimeout + rankDelay)
-	readers := m.reader(later)
+	readers := m.readers(later)
 	require.Len(t, readers, 2)
 	for _, name := range readers {
 		if name != duty {
-			m.nodes[name].ApplyEndpoints([]registrar.Change{endpointAt("a")}, locator.At(0, 0), locator.At(0, 4), later)
+			m.nodes[name].ApplyEndpoints([]registrar.Change{endpointChange("a")}, locator.At(0, 0), locator.At(0, 4), later)
 		}
 	}
 	for name, f := range m.nodes {
 		require.Equal(t, 1, f.selector.Count("plain"), name)
 	}
-	require.Contains(t, m.reader(time.Now().Add(updateTimeout+rankDelay/2)), duty, "it asks on")
+	require.Contains(t, m.readers(time.Now().Add(updateTimeout+rankDelay/2)), duty, "the owner keeps trying")
 }
 
-// Twenty entries, of which a few follow the configuration in the store. They are all cut from it exclude a word, and a
-// key is withdrawn meanwhile. Others must take the duty up one after the other, and the word of the first that the store
-// answers must be enough for all.
+// Twenty entries, of which a few follow the configuration in the store, all lose their connection to it without an
+// error while a key is withdrawn. Others must take up the duty one after the other, and the first answer from the
+// store must be enough for all.
 func TestAFewFollowTheConfiguration(t *testing.T) {
 	m := newMesh(t, 20)
 	now := time.Now()
@@ -94,23 +95,23 @@
 			f.RecordConfigRead(now.Add(configReadTimeout))
 		}
 	}
-	m.beat(2)
-	require.Equal(t, configReaders, reading(silent.Add(5*rankDelay)), "one was answered")
+	m.sendHeartbeats(2)
+	require.Equal(t, configReaders, reading(silent.Add(5*rankDelay)), "one read was answered")
 }
 
-// Six of 65 entries are on large VMs, which have the duties first. The configuration is followed by eight all the same, the two
-// others being those that come next: where small VMs' entries shared ranks, 43 of them asked the store every four seconds, and
-// all of them at once in its outages.
-func TestSmallVMsTakeDutiesUpOneAfterTheOther(t *testing.T) {
-	m := newMeshIn(t, 65, 3, func(name string) int {
+// Six of 65 entries are on large VMs, which own the duties first. Exactly eight must follow the configuration, so two
+// on small VMs are next in rank. When entries on small VMs shared ranks, 43 of them queried the store every four
+// seconds, and all of them at once in its outages.
+func TestSmallVMsHaveDistinctRanks(t *testing.T) {
+	m := newMeshInZones(t, 65, 3, func(name string) int {
 		if len(name) == len("entry-0") && name <= "entry-5" {
 			return 800
 		}
 		return 192
 	})
-	m.modelTime, m.now = true, time.Now()
+	m.simulatedTime, m.now = true, time.Now()
 	for range 8 {
-		m.beat(1)
+		m.sendHeartbeats(1)
 	}
 	ranks := make(map[int]int)
 	for _, f := range m.nodes {
@@ -123,7 +124,7 @@
 	}
 }
 
-// A stale read brings an older configuration, with a key that was withdrawn since.
+// Guards against a stale read that restores an older configuration, with a key that was withdrawn since.
 func TestAConfigurationNeverGoesBack(t *testing.T) {
 	m := newMesh(t, 1)
 	f := m.nodes["entry-0"]
@@ -134,15 +135,15 @@
 	require.Equal(t, int64(7), f.Catalog().Version())
 }
 
-// Duties go to large VMs while one lives: a small one would be late with the work of all.
+// Duties go to large VMs while one is live: a small one would delay the work of all entries.
 func TestDutiesGoToLargeVMs(t *testing.T) {
-	m := newMeshOf(t, 5, func(name string) int {
+	m := newMeshWithCapacity(t, 5, func(name string) int {
 		if name == "entry-3" {
 			return 800
 		}
 		return 100
 	})
-	m.beat(2)
+	m.sendHeartbeats(2)
 	for _, f := range m.nodes {
 		for _, duty := range []string{"a", "b", "c", "d"} {
 			owner, known := f.owner(duty, nil)
@@ -157,9 +158,9 @@
 	require.Equal(t, 50, CapacityOf(0.8, 1))
 }
 
-// Three services, and VMs enough. One entry that collects for two of them has twice the work of a burst to do, and is late
-// with both. Each service has a collecting entry of its own, the same by all views; where one is avoided the next one is
-// free of the others' duties too, and with few VMs left duties are shared all the same.
+// Three services on enough VMs. An entry that collects for two of them has twice the work in a burst, and is late
+// with both. Each service must have its own collecting entry, the same in the view of every entry. If that one is
+// avoided, the next one must not own the others' duties either. With few VMs left, duties are shared.
 func TestEachServiceHasItsOwnCollector(t *testing.T) {
 	stage := &cataloger.StagePool{Slots: 1, Batch: 8, CallTime: time.Hour}
 	services := []cataloger.Service{{Name: "a", Stage: stage}, {Name: "b", Stage: stage}, {Name: "c", Stage: stage}}
@@ -177,7 +178,7 @@
 				if owners[s.Name] == "" {
 					owners[s.Name] = owner
 				}
-				require.Equal(t, owners[s.Name], owner, "as %s sees it", name)
+				require.Equal(t, owners[s.Name], owner, "as seen by %s", name)
 			}
 			if n > len(services) {
 				next, _ := f.owner("c", []string{owners["c"]})
--- a/forwarder/evacuation_test.go
+++ b/forwarder/evacuation_test.go
@@ -15,7 +15,7 @@
 	"geraniumline/locator"
 )
 
-// deliver hands over what was sent in the round, but for a part that is lost.
+// deliver delivers the messages of the round, except for a share that is lost at random.
 func (m *mesh) deliver(loss float64, rnd *rand.Rand) {
 	messages := m.deferred
 	m.deferred = nil
@@ -26,23 +26,23 @@
 	}
 }
 
-// newLossyMesh makes a mesh in three zones whose frames take a round, for deliver to lose some by the draws given back. Its
-// entries know each other.
+// newLossyMesh returns a mesh in three zones in which each frame takes a round to arrive, and the random source that
+// deliver uses to lose frames. Its entries know each other.
 func newLossyMesh(t *testing.T, n int, stream uint64) (*mesh, *rand.Rand) {
 	t.Helper()
-	m := newMeshIn(t, n, 3, func(string) int { return 0 })
-	m.defers, m.modelTime = true, true
+	m := newMeshInZones(t, n, 3, func(string) int { return 0 })
+	m.deferDelivery, m.simulatedTime = true, true
 	m.now = time.Now()
 	rnd := rand.New(rand.NewPCG(uint64(n), stream))
 	for range 4 {
-		m.beat(1)
+		m.sendHeartbeats(1)
 		m.deliver(0, rnd)
 	}
 	return m, rnd
 }
 
-// knowing counts the entries that take a zone for evacuated.
-func (m *mesh) knowing(zone string) (n int) {
+// countEvacuated returns the number of entries that consider a zone evacuated.
+func (m *mesh) countEvacuated(zone string) (n int) {
 	for _, f := range m.nodes {
 		if f.evacuator.Evacuated(zone) {
 			n++
@@ -51,9 +51,10 @@
 	return n
 }
 
-// The operator evacuates a zone, and the few entries that follow the store hear of it. Every other entry sends requests there
-// until a heartbeat tells it, so that word must be everywhere well inside the time that the operator grants: at 95% of the
-// entries a second after it is acknowledged, and shortRetryDelay at all where a tenth of the frames is lost.
+// The operator evacuates a zone, and the few entries that follow the store receive the record. Every other entry
+// sends requests to the zone until a heartbeat reports it, so the report must reach all entries well inside the time
+// that the operator grants: 95% of the entries a second after the acknowledgement, and all of them soon after while a
+// tenth of the frames is lost.
 func TestWordOfAnEvacuationIsEverywhereWithinASecond(t *testing.T) {
 	for _, n := range []int{7, 65, 195, 300} {
 		t.Run(fmt.Sprint(n), func(t *testing.T) {
@@ -64,12 +65,12 @@
 				}
 			}
 			rounds, most := 0, 0
-			for ; m.knowing("z0") < n; rounds++ {
-				if 100*m.knowing("z0") < 95*n {
+			for ; m.countEvacuated("z0") < n; rounds++ {
+				if 100*m.countEvacuated("z0") < 95*n {
 					most = rounds + 1
 				}
 				require.Less(t, rounds, 20)
-				m.beat(1)
+				m.sendHeartbeats(1)
 				m.deliver(0.1, rnd)
 			}
 			t.Logf("%d entries: 95%% after %v, all after %v", n, time.Duration(most)*heartbeatInterval, time.Duration(rounds)*heartbeatInterval)
@@ -79,9 +80,9 @@
 	}
 }
 
-// All entries have lost power, and the store is away when they are back. Nobody can serve before it answers, and a caller
-// tries once more: told to come back at once it is refused twice. An entry that starts while the store answers has it back
-// within a moment.
+// All entries restart after a power loss while the store is down. None can serve before it answers, and a caller
+// retries once: with a short delay it is refused twice. An entry that starts while the store answers must return a
+// short delay.
 func TestCallersOfAnEntryWithoutTheStoreComeBackLater(t *testing.T) {
 	now := time.Now()
 	f := New(Config{Name: "entry-0", Log: zap.NewNop()}, now)
@@ -99,8 +100,8 @@
 		route, account, want []string
 	}{
 		{"none", nil, nil, nil},
-		{"the route's", []string{"a"}, nil, []string{"a"}},
-		{"the account's", nil, []string{"b"}, []string{"b"}},
+		{"route only", []string{"a"}, nil, []string{"a"}},
+		{"account only", nil, []string{"b"}, []string{"b"}},
 		{"both", []string{"a", "b"}, []string{"b", "c"}, []string{"b"}},
 		{"nothing in common", []string{"a"}, []string{"c"}, []string{}},
 	} {
@@ -112,10 +113,10 @@
 	require.Equal(t, []string{"a"}, allowedRegionsOf(&cataloger.Route{Homes: []string{"a"}}, nil))
 }
 
-// A caller asks where to connect. An entry outside the homes of its request's route and outside its own region must not get
-// its body, so the caller is told those in its region, then those at home.
+// Guards against addresses outside the caller's region and the home regions of the request's route: such an entry
+// must not receive the body. Callers get the entries in their region first, then those in the home regions.
 func TestAddressesAreNearestFirst(t *testing.T) {
-	m := newMeshIn(t, 3, 3, func(string) int { return 0 })
+	m := newMeshInZones(t, 3, 3, func(string) int { return 0 })
 	f := m.nodes["entry-0"]
 	f.cfg.Regions = map[string]string{"z0": "east", "z1": "west", "z2": "north"}
 	f.catalog, _ = cataloger.New(cataloger.Config{Version: 9, Routes: []cataloger.Route{{
--- a/forwarder/forwarder.go
+++ b/forwarder/forwarder.go
@@ -272,7 +272,7 @@
 func (f *Forwarder) Run(ctx context.Context) {
 	tick := time.NewTicker(tickInterval)
 	defer tick.Stop()
-	var heartbeat, sweep time.Time
+	var lastHeartbeat, lastSweep time.Time
 	for {
 		select {
 		case <-ctx.Done():
@@ -281,12 +281,12 @@
 		}
 		now := time.Now()
 		f.tick(now)
-		if now.Sub(heartbeat) >= heartbeatInterval {
-			heartbeat = now
+		if now.Sub(lastHeartbeat) >= heartbeatInterval {
+			lastHeartbeat = now
 			f.heartbeat(now)
 		}
-		if now.Sub(sweep) >= sweepInterval {
-			sweep = now
+		if now.Sub(lastSweep) >= sweepInterval {
+			lastSweep = now
 			f.cfg.Client.Sweep(now)
 			f.updateGauges(now)
 			f.reportDroppedLines(now)
--- a/forwarder/leaving_test.go
+++ b/forwarder/leaving_test.go
@@ -14,13 +14,13 @@
 	"geraniumline/selector"
 )
 
-// leave has an entry get an answer that says that the endpoint leaves.
-func (m *mesh) leave(entry, endpoint string) {
-	m.nodes[entry].applyNotice(endpointAt(endpoint).Endpoint, regulator.Notice{Leaving: true}, m.now)
+// announceLeave delivers a response to an entry in which the endpoint announces that it leaves.
+func (m *mesh) announceLeave(entry, endpoint string) {
+	m.nodes[entry].applyNotice(endpointChange(endpoint).Endpoint, regulator.Notice{Leaving: true}, m.now)
 }
 
-// chosenAt counts which endpoints an entry chooses for so many requests.
-func (m *mesh) chosenAt(entry string, n int) map[string]int {
+// countChosen returns how often an entry chooses each endpoint in n requests.
+func (m *mesh) countChosen(entry string, n int) map[string]int {
 	f := m.nodes[entry]
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -33,89 +33,89 @@
 	return chosen
 }
 
-// listEverywhere has all entries know the endpoints.
-func (m *mesh) listEverywhere(ids ...string) {
+// setEndpoints sets the list of endpoints of all entries.
+func (m *mesh) setEndpoints(ids ...string) {
 	all := make([]registrar.Change, len(ids))
 	for i, id := range ids {
-		all[i] = endpointAt(id)
+		all[i] = endpointChange(id)
 	}
 	for _, f := range m.nodes {
 		f.ReplaceEndpoints(all, locator.At(0, 5), m.now)
 	}
 }
 
-// Guards against requests to an endpoint whose answers say that it leaves, while the store does not know so.
+// Guards against requests to an endpoint whose responses announce that it leaves, while the store does not show it.
 func TestAnEndpointThatSaysItLeavesGetsNothing(t *testing.T) {
 	m, _ := newLossyMesh(t, 3, 8)
-	m.listEverywhere("a", "b")
-	require.Len(t, m.chosenAt("entry-0", 50), 2)
-	m.leave("entry-0", "a")
-	require.Equal(t, map[string]int{"b": 50}, m.chosenAt("entry-0", 50))
-	// The store's older word on it, told by the entry that reads for all, changes nothing.
-	m.nodes["entry-0"].ApplyEndpoints([]registrar.Change{{ID: "a", Position: locator.At(0, 6), Endpoint: endpointAt("a").Endpoint}}, locator.At(0, 5), locator.At(0, 7), m.now)
-	require.Equal(t, map[string]int{"b": 50}, m.chosenAt("entry-0", 50))
+	m.setEndpoints("a", "b")
+	require.Len(t, m.countChosen("entry-0", 50), 2)
+	m.announceLeave("entry-0", "a")
+	require.Equal(t, map[string]int{"b": 50}, m.countChosen("entry-0", 50))
+	// The store's older record, received from the entry that reads for all, must not restore the endpoint.
+	m.nodes["entry-0"].ApplyEndpoints([]registrar.Change{{ID: "a", Position: locator.At(0, 6), Endpoint: endpointChange("a").Endpoint}}, locator.At(0, 5), locator.At(0, 7), m.now)
+	require.Equal(t, map[string]int{"b": 50}, m.countChosen("entry-0", 50))
 }
 
-// Guards against each entry sending requests until it has its own answer that says so.
+// Guards against entries that keep sending requests until each has received the endpoint's announcement itself.
 func TestPeersHearOfAnEndpointThatLeaves(t *testing.T) {
 	for _, entries := range []int{7, 65} {
 		t.Run(fmt.Sprint(entries), func(t *testing.T) {
 			m, rnd := newLossyMesh(t, entries, 9)
-			m.listEverywhere("a", "b")
-			m.leave("entry-0", "a")
+			m.setEndpoints("a", "b")
+			m.announceLeave("entry-0", "a")
 			for range 10 {
-				m.beat(1)
+				m.sendHeartbeats(1)
 				m.deliver(0.1, rnd)
 			}
 			for name := range m.nodes {
-				require.Equal(t, map[string]int{"b": 20}, m.chosenAt(name, 20), name)
+				require.Equal(t, map[string]int{"b": 20}, m.countChosen(name, 20), name)
 			}
 		})
 	}
 }
 
-// Guards against the late word of an earlier process, which would keep a new one out of use.
+// Guards against a late announcement of an earlier process, which would keep its successor out of use.
 func TestAStartedEndpointIsUsedThoughItsEarlierProcessLeft(t *testing.T) {
 	m, _ := newLossyMesh(t, 2, 10)
 	first, second := time.UnixMilli(1000), time.UnixMilli(5000)
 	started := func(at time.Time) registrar.Change {
-		c := endpointAt("a")
+		c := endpointChange("a")
 		c.Endpoint.Started = at
 		return c
 	}
 	f := m.nodes["entry-0"]
 	f.ReplaceEndpoints([]registrar.Change{started(first)}, locator.At(0, 5), m.now)
 	f.applyNotice(started(first).Endpoint, regulator.Notice{Leaving: true}, m.now)
-	require.Empty(t, m.chosenAt("entry-0", 5))
+	require.Empty(t, m.countChosen("entry-0", 5))
 	again := started(second)
 	again.Position = locator.At(0, 8)
 	f.ApplyEndpoints([]registrar.Change{again}, locator.At(0, 5), locator.At(0, 9), m.now)
-	require.Len(t, m.chosenAt("entry-0", 5), 1)
+	require.Len(t, m.countChosen("entry-0", 5), 1)
 	f.applyNotice(started(first).Endpoint, regulator.Notice{Leaving: true}, m.now)
 	f.handleMessage("entry-1", &carrier.Heartbeat{
 		From: carrier.Member{Name: "entry-1"}, Leaving: []carrier.EndpointLeave{{ID: "a", StartedMillis: first.UnixMilli()}},
 	}, m.now)
-	require.Len(t, m.chosenAt("entry-0", 5), 1)
+	require.Len(t, m.countChosen("entry-0", 5), 1)
 }
 
-// Guards against a peer's word that spares a leaving endpoint nothing: the requests in the second after it first says so, with the
-// words between entries and exclude.
-func TestPeersWordSparesALeavingEndpoint(t *testing.T) {
+// Guards against peers' reports that have no effect: compares the requests that reach an endpoint in the second after
+// its first announcement, with and without messages between entries.
+func TestPeerReportsReduceRequestsToLeavingEndpoint(t *testing.T) {
 	for _, entries := range []int{7, 65} {
 		const seeds = 5
 		arrived := map[float64]int{}
 		for _, loss := range []float64{0, 1} {
 			for seed := range uint64(seeds) {
-				p := newSeededPool(t, seed, entries, "a", "b")
+				p := newSeededEndpointPool(t, seed, entries, "a", "b")
 				p.run(time.Second, 5*float64(entries))
-				p.loss = loss
+				p.frameLoss = loss
 				p.leaves["a"] = true
-				before := len(p.arrived["a"])
+				before := len(p.arrivals["a"])
 				p.run(time.Second, 5*float64(entries))
-				arrived[loss] += len(p.arrived["a"]) - before
+				arrived[loss] += len(p.arrivals["a"]) - before
 			}
 		}
-		t.Logf("%d entries, %d seeds: %d requests in the first second with peers' words, %d without", entries, seeds, arrived[0], arrived[1])
+		t.Logf("%d entries, %d seeds: %d requests in the first second with peers' reports, %d without", entries, seeds, arrived[0], arrived[1])
 		require.Less(t, arrived[0], arrived[1])
 	}
 }
--- a/forwarder/limit_test.go
+++ b/forwarder/limit_test.go
@@ -17,105 +17,106 @@
 )
 
 const (
-	// limitWindow is the span in which the requests at a limited endpoint are counted, limitExcess and limitSlack what it
-	// may get in it: limitExcess times its limit, and limitSlack more.
+	// limitWindow is the span in which the requests at a limited endpoint are counted. limitExcess and limitSlack
+	// bound their number: limitExcess times its limit, plus limitSlack.
 	limitWindow = 4 * time.Second
 	limitExcess = 1.5
 	limitSlack  = 5
-	// limitTold is how long after an entry's first answer that names the limit its requests count, limitContact how long
-	// after the endpoint first named it.
-	limitTold    = 500 * time.Millisecond
-	limitContact = 3 * time.Second
-	// answerTime is how long the endpoints of these tests take.
-	answerTime = 200 * time.Millisecond
+	// propagationTime is how long after the first response with the limit an entry's requests count, and contactTime
+	// how long after the endpoint first sent it.
+	propagationTime = 500 * time.Millisecond
+	contactTime     = 3 * time.Second
+	// responseTime is the response time of the endpoints in these tests.
+	responseTime = 200 * time.Millisecond
 )
 
-// limitedPool is one service's endpoints before a mesh of entries that get requests at random.
-type limitedPool struct {
+// endpointPool simulates the endpoints of one service and a mesh of entries that receive requests at random.
+type endpointPool struct {
 	m   *mesh
 	rnd *rand.Rand
-	// loss is the part of the frames between entries that is lost.
-	loss float64
-	// limits are those that the endpoints name at present, since is when each startTime to.
-	limits map[string]float64
-	since  map[string]time.Time
-	// refuses are the endpoints that turn all away at once, unrun, and ask for a time of rest where it is not 0.
+	// frameLoss is the share of the frames between entries that is lost.
+	frameLoss float64
+	// limits are the limits that the endpoints send at present, and limitedSince is when each began to.
+	limits       map[string]float64
+	limitedSince map[string]time.Time
+	// refuses holds the endpoints that immediately refuse all requests without running them, with the rest period
+	// that they ask for, or 0.
 	refuses map[string]time.Duration
-	// leaves are the endpoints that say that they leave.
+	// leaves holds the endpoints that announce that they leave.
 	leaves map[string]bool
-	// told is when an entry first had an answer that names an endpoint's limit.
-	told map[[2]string]time.Time
-	// counted are the arrivals at each endpoint that count for its limit, arrived all of them.
-	counted map[string][]time.Time
-	arrived map[string][]time.Time
+	// firstNamed is when an entry first received a response with an endpoint's limit, by entry and endpoint.
+	firstNamed map[[2]string]time.Time
+	// countedArrivals are the arrivals at each endpoint that count towards its limit, and arrivals all of them.
+	countedArrivals map[string][]time.Time
+	arrivals        map[string][]time.Time
 	// served and refused count the requests.
-	served  int
-	refused int
-	answers []pendingAnswer
+	served    int
+	refused   int
+	responses []pendingResponse
 }
 
-type pendingAnswer struct {
+type pendingResponse struct {
 	at     time.Time
 	entry  string
 	choice selector.Choice
 	notice regulator.Notice
 }
 
-func newLimitedPool(t *testing.T, entries int, endpoints ...string) *limitedPool {
+func newEndpointPool(t *testing.T, entries int, endpoints ...string) *endpointPool {
 	t.Helper()
-	return newSeededPool(t, 7, entries, endpoints...)
+	return newSeededEndpointPool(t, 7, entries, endpoints...)
 }
 
-func newSeededPool(t *testing.T, seed uint64, entries int, endpoints ...string) *limitedPool {
+func newSeededEndpointPool(t *testing.T, seed uint64, entries int, endpoints ...string) *endpointPool {
 	t.Helper()
 	m, rnd := newLossyMesh(t, entries, seed)
 	all := make([]registrar.Change, len(endpoints))
 	for i, id := range endpoints {
-		all[i] = endpointAt(id)
+		all[i] = endpointChange(id)
 	}
 	for _, f := range m.nodes {
 		f.ReplaceEndpoints(all, locator.At(0, 5), m.now)
 	}
-	return &limitedPool{
+	return &endpointPool{
 		m: m, rnd: rnd,
 		refuses: map[string]time.Duration{},
 		leaves:  map[string]bool{},
-		limits:  map[string]float64{}, since: map[string]time.Time{}, told: map[[2]string]time.Time{},
-		counted: map[string][]time.Time{}, arrived: map[string][]time.Time{},
+		limits:  map[string]float64{}, limitedSince: map[string]time.Time{}, firstNamed: map[[2]string]time.Time{},
+		countedArrivals: map[string][]time.Time{}, arrivals: map[string][]time.Time{},
 	}
 }
 
-// limit has an endpoint name a limit from now on; 0 ends it.
-func (p *limitedPool) limit(endpoint string, perSecond float64) {
+// limit sets the limit that an endpoint sends from now on; 0 ends it.
+func (p *endpointPool) limit(endpoint string, perSecond float64) {
 	if perSecond == 0 {
 		delete(p.limits, endpoint)
 		return
 	}
 	p.limits[endpoint] = perSecond
-	p.since[endpoint] = p.m.now
+	p.limitedSince[endpoint] = p.m.now
 }
 
-// run has so many requests a second come to the entries, each at a random one.
-func (p *limitedPool) run(d time.Duration, perSecond float64) {
+// run simulates perSecond requests a second, each at a random entry.
+func (p *endpointPool) run(d time.Duration, perSecond float64) {
 	for end := p.m.now.Add(d); p.m.now.Before(end); {
 		p.m.step(tickInterval)
-		p.m.deliver(p.loss, p.rnd)
-		p.answer()
+		p.m.deliver(p.frameLoss, p.rnd)
+		p.deliverResponses()
 		for n := p.poisson(perSecond * tickInterval.Seconds()); n > 0; n-- {
 			p.request(fmt.Sprintf("entry-%d", p.rnd.IntN(len(p.m.nodes))))
 		}
 	}
 }
 
-func (p *limitedPool) poisson(mean float64) (n int) {
+func (p *endpointPool) poisson(mean float64) (n int) {
 	for t := p.rnd.ExpFloat64(); t < mean; t += p.rnd.ExpFloat64() {
 		n++
 	}
 	return n
 }
 
-// request sends one request as the entry would, to one endpoint after the other while they refuse it.
-func (p *limitedPool) request(entry string) {
+// request sends one request as an entry does, to one endpoint after the other while they refuse it.
+func (p *endpointPool) request(entry string) {
 	f := p.m.nodes[entry]
 	query := selector.Query{Service: "plain"}
 	for sends := 0; ; sends++ {
@@ -125,13 +126,13 @@
 			return
 		}
 		id := choice.Endpoint.ID
-		p.arrive(entry, id)
+		p.recordArrival(entry, id)
 		rest, refuses := p.refuses[id]
 		if !refuses {
 			p.served++
 			limit, limited := p.limits[id]
-			p.answers = append(p.answers, pendingAnswer{
-				at: p.m.now.Add(answerTime), entry: entry, choice: choice,
+			p.responses = append(p.responses, pendingResponse{
+				at: p.m.now.Add(responseTime), entry: entry, choice: choice,
 				notice: regulator.Notice{Limited: limited, PerSecond: limit, Leaving: p.leaves[id]},
 			})
 			return
@@ -144,8 +145,8 @@
 	}
 }
 
-// choose picks the endpoint of an attempt, if the budget of extra calls allows it.
-func (p *limitedPool) choose(f *Forwarder, query selector.Query, sends int) (selector.Choice, bool) {
+// choose selects the endpoint of an attempt, if the retry budget allows it.
+func (p *endpointPool) choose(f *Forwarder, query selector.Query, sends int) (selector.Choice, bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if sends == 0 {
@@ -160,25 +161,25 @@
 	return choice, found
 }
 
-// arrive counts a request at an endpoint.
-func (p *limitedPool) arrive(entry, id string) {
+// recordArrival records a request at an endpoint.
+func (p *endpointPool) recordArrival(entry, id string) {
 	now := p.m.now
-	p.arrived[id] = append(p.arrived[id], now)
-	told, knows := p.told[[2]string{entry, id}]
-	if knows && now.Sub(told) >= limitTold && now.Sub(p.since[id]) >= limitContact {
-		p.counted[id] = append(p.counted[id], now)
+	p.arrivals[id] = append(p.arrivals[id], now)
+	named, known := p.firstNamed[[2]string{entry, id}]
+	if known && now.Sub(named) >= propagationTime && now.Sub(p.limitedSince[id]) >= contactTime {
+		p.countedArrivals[id] = append(p.countedArrivals[id], now)
 	}
 }
 
-// answer has the answers come that are due.
-func (p *limitedPool) answer() {
-	for len(p.answers) > 0 && !p.answers[0].at.After(p.m.now) {
-		a := p.answers[0]
-		p.answers = p.answers[1:]
+// deliverResponses delivers the responses that are due.
+func (p *endpointPool) deliverResponses() {
+	for len(p.responses) > 0 && !p.responses[0].at.After(p.m.now) {
+		a := p.responses[0]
+		p.responses = p.responses[1:]
 		f := p.m.nodes[a.entry]
 		key := [2]string{a.entry, a.choice.Endpoint.ID}
-		if _, knows := p.told[key]; a.notice.Limited && !knows {
-			p.told[key] = p.m.now
+		if _, known := p.firstNamed[key]; a.notice.Limited && !known {
+			p.firstNamed[key] = p.m.now
 		}
 		f.applyNotice(&a.choice.Endpoint, a.notice, p.m.now)
 		f.mu.Lock()
@@ -191,7 +192,8 @@
 	return int(limitExcess*perSecond*limitWindow.Seconds() + limitSlack)
 }
 
-// Guards against entries that each send a limited endpoint all that it takes, so that it gets many times its limit.
+// Guards against entries that each send as many requests as a limited endpoint accepts, so that it receives many
+// times its limit.
 func TestALimitHoldsForAllEntriesTogether(t *testing.T) {
 	for _, tc := range []struct {
 		entries   int
@@ -201,21 +203,21 @@
 		{7, 1, 0}, {7, 0.5, 0.1}, {7, 10, 0}, {65, 1, 0.1},
 	} {
 		t.Run(fmt.Sprintf("%d entries, %g a second", tc.entries, tc.perSecond), func(t *testing.T) {
-			p := newLimitedPool(t, tc.entries, "a", "b")
-			p.loss = tc.loss
+			p := newEndpointPool(t, tc.entries, "a", "b")
+			p.frameLoss = tc.loss
 			p.run(time.Second, 70)
 			p.limit("a", tc.perSecond)
 			p.run(15*time.Second, 70)
-			require.LessOrEqual(t, measurer.MostWithin(p.counted["a"], limitWindow), limitBound(tc.perSecond))
-			require.Zero(t, p.refused, "the other endpoint takes the rest")
+			require.LessOrEqual(t, measurer.MostWithin(p.countedArrivals["a"], limitWindow), limitBound(tc.perSecond))
+			require.Zero(t, p.refused, "the other endpoint serves the rest")
 		})
 	}
 }
 
-// used is the part of a limit that the endpoint got in the last so many seconds.
-func (p *limitedPool) used(endpoint string, perSecond float64, last time.Duration) float64 {
+// usedShare returns the share of a limit that the endpoint received in the given last period.
+func (p *endpointPool) usedShare(endpoint string, perSecond float64, last time.Duration) float64 {
 	n := 0
-	for _, at := range p.arrived[endpoint] {
+	for _, at := range p.arrivals[endpoint] {
 		if p.m.now.Sub(at) < last {
 			n++
 		}
@@ -229,20 +231,21 @@
 		perSecond float64
 	}{{7, 1}, {7, 10}, {65, 10}} {
 		t.Run(fmt.Sprintf("%d entries, %g a second", tc.entries, tc.perSecond), func(t *testing.T) {
-			p := newLimitedPool(t, tc.entries, "a", "b")
+			p := newEndpointPool(t, tc.entries, "a", "b")
 			p.limit("a", tc.perSecond)
 			p.run(25*time.Second, 10*float64(tc.entries))
-			require.Greater(t, p.used("a", tc.perSecond, 20*time.Second), 0.8)
+			require.Greater(t, p.usedShare("a", tc.perSecond, 20*time.Second), 0.8)
 		})
 	}
 }
 
-// Guards against an endpoint that stays out of use after its limit has ended, since most entries never hear so themselves.
+// Guards against an endpoint that stays out of use after its limit has ended, since most entries receive no response
+// from it themselves.
 func TestALimitThatHasEndedIsForgottenEverywhere(t *testing.T) {
 	for _, entries := range []int{7, 65} {
 		t.Run(fmt.Sprint(entries), func(t *testing.T) {
-			p := newLimitedPool(t, entries, "a", "b")
-			p.loss = 0.1
+			p := newEndpointPool(t, entries, "a", "b")
+			p.frameLoss = 0.1
 			p.limit("a", 1)
 			p.run(10*time.Second, 70)
 			p.limit("a", 0)
@@ -250,7 +253,7 @@
 			for name, f := range p.m.nodes {
 				require.Empty(t, f.regulator.Limited(), name)
 			}
-			require.Greater(t, p.used("a", 70, time.Second), 0.3, "half of the pool's requests, give or take")
+			require.Greater(t, p.usedShare("a", 70, time.Second), 0.3, "about half of the pool's requests")
 		})
 	}
 }
--- a/forwarder/mesh_test.go
+++ b/forwarder/mesh_test.go
@@ -34,24 +34,24 @@
 
 func (noWire) InstanceHeader(string) http.Header { return http.Header{} }
 
-// mesh joins forwarders exclude a network. A cut entry's messages go nowhere.
+// mesh connects forwarders without a network. Messages to and from entries in cut are dropped.
 type mesh struct {
 	t     testing.TB
 	nodes map[string]*Forwarder
 	cut   map[string]bool
 	sent  map[string]int
-	// heard counts the heartbeats that came to each entry.
-	heard map[string]int
-	now   time.Time
-	// defers keeps what is sent in deferred until the round is over, where each message is to take a round.
-	defers   bool
-	deferred []func()
-	// modelTime has messages taken at the mesh's own time, beaten is when it last let entries send heartbeats.
-	modelTime bool
-	beaten    time.Time
-}
-
-// port is one entry's way into the mesh.
+	// heartbeatsReceived counts the heartbeats that each entry received.
+	heartbeatsReceived map[string]int
+	now                time.Time
+	// deferDelivery holds messages in deferred until the end of the round, so that each takes a round to arrive.
+	deferDelivery bool
+	deferred      []func()
+	// simulatedTime makes messages arrive at the mesh's own time. lastHeartbeat is when step last sent heartbeats.
+	simulatedTime bool
+	lastHeartbeat time.Time
+}
+
+// port is one entry's connection to the mesh.
 type port struct {
 	m    *mesh
 	name string
@@ -64,26 +64,26 @@
 		return
 	}
 	if _, ok := message.(*carrier.Heartbeat); ok {
-		p.m.heard[address]++
+		p.m.heartbeatsReceived[address]++
 	}
 	now := time.Now()
-	if p.m.modelTime {
+	if p.m.simulatedTime {
 		now = p.m.now
 	}
-	if p.m.defers {
+	if p.m.deferDelivery {
 		p.m.deferred = append(p.m.deferred, func() { target.handleMessage(p.name, message, now) })
 		return
 	}
 	target.handleMessage(p.name, message, now)
 }
 
-// step lets model time pass, with the ticks and heartbeats of all entries that are not cut.
+// step advances the simulated time, with the ticks and heartbeats of all entries that are not cut.
 func (m *mesh) step(d time.Duration) {
-	m.modelTime = true
+	m.simulatedTime = true
 	for end := m.now.Add(d); m.now.Before(end); m.now = m.now.Add(tickInterval) {
-		beats := m.now.Sub(m.beaten) >= heartbeatInterval
+		beats := m.now.Sub(m.lastHeartbeat) >= heartbeatInterval
 		if beats {
-			m.beaten = m.now
+			m.lastHeartbeat = m.now
 		}
 		for i := range len(m.nodes) {
 			name := fmt.Sprintf("entry-%d", i)
@@ -98,8 +98,8 @@
 	}
 }
 
-// configOf makes a configuration whose text is its version.
-func configOf(data []byte) (*cataloger.Catalog, error) {
+// decodeTestConfig decodes a configuration whose text is its version.
+func decodeTestConfig(data []byte) (*cataloger.Catalog, error) {
 	version, err := strconv.ParseInt(string(data), 10, 64)
 	if err != nil {
 		return nil, err
@@ -112,19 +112,19 @@
 
 func newMesh(t testing.TB, n int) *mesh {
 	t.Helper()
-	return newMeshOf(t, n, func(string) int { return 0 })
+	return newMeshWithCapacity(t, n, func(string) int { return 0 })
 }
 
-// newMeshOf makes a mesh of entries on VMs of the given capacities, all in one zone.
-func newMeshOf(t testing.TB, n int, capacity func(name string) int) *mesh {
+// newMeshWithCapacity returns a mesh of entries on VMs of the given capacities, all in one zone.
+func newMeshWithCapacity(t testing.TB, n int, capacity func(name string) int) *mesh {
 	t.Helper()
-	return newMeshIn(t, n, 1, capacity)
+	return newMeshInZones(t, n, 1, capacity)
 }
 
-// newMeshIn makes a mesh of entries that are spread over so many availability zones.
-func newMeshIn(t testing.TB, n, zones int, capacity func(name string) int) *mesh {
+// newMeshInZones returns a mesh of entries that are spread over the given number of availability zones.
+func newMeshInZones(t testing.TB, n, zones int, capacity func(name string) int) *mesh {
 	t.Helper()
-	m := &mesh{t: t, nodes: map[string]*Forwarder{}, cut: map[string]bool{}, sent: map[string]int{}, heard: map[string]int{}, now: time.Now()}
+	m := &mesh{t: t, nodes: map[string]*Forwarder{}, cut: map[string]bool{}, sent: map[string]int{}, heartbeatsReceived: map[string]int{}, now: time.Now()}
 	for i := range n {
 		name := fmt.Sprintf("entry-%d", i)
 		f := New(Config{
@@ -140,7 +140,7 @@
 			RetrySlack:    54,
 			Wire:          noWire{},
 			Client:        connector.New(connector.Config{}),
-			DecodeConfig:  configOf,
+			DecodeConfig:  decodeTestConfig,
 			Log:           zap.NewNop(),
 		}, m.now.Add(-settleTime))
 		f.SetSender(port{m, name})
@@ -149,17 +149,16 @@
 		f.RecordStoreResponse(0, m.now)
 		f.ReplaceEndpoints(nil, locator.At(0, 0), m.now)
 	}
-	m.beat(5)
+	m.sendHeartbeats(5)
 	return m
 }
 
-// beat lets all entries send heartbeats, in each round at one time for all: whom an entry tells follows from the number of
-// the round, which it takes from the time. Taken from the clock for each, 80 entries' heartbeats on a busy machine fall in
-// several rounds.
-func (m *mesh) beat(rounds int) {
+// sendHeartbeats sends the heartbeats of all entries. In each round all of them are sent at the same time: with the
+// clock read for each entry, the heartbeats of 80 entries on a busy machine would fall in several rounds.
+func (m *mesh) sendHeartbeats(rounds int) {
 	for range rounds {
 		now := time.Now()
-		if m.modelTime {
+		if m.simulatedTime {
 			m.now = m.now.Add(heartbeatInterval)
 			now = m.now
 		}
@@ -169,7 +168,7 @@
 	}
 }
 
-// other gives an entry that is not the named one.
+// other returns an entry other than the named one.
 func (m *mesh) other(name string) *Forwarder {
 	for n, f := range m.nodes {
 		if n != name {
@@ -179,31 +178,31 @@
 	return nil
 }
 
-func endpointAt(id string) registrar.Change {
+func endpointChange(id string) registrar.Change {
 	return registrar.Change{ID: id, Position: locator.At(0, 3), Endpoint: &registrar.Endpoint{ID: id, Service: "plain", Address: id + ":1"}}
 }
 
-func TestAddressesNameLiveEntries(t *testing.T) {
+func TestAddressesListLiveEntries(t *testing.T) {
 	m := newMesh(t, 3)
 	addresses, ttl := m.nodes["entry-1"].Addresses("", "", time.Now())
 	require.ElementsMatch(t, []string{"caller-entry-0", "caller-entry-1", "caller-entry-2"}, addresses)
-	require.Equal(t, startupTTL, ttl, "a young entry may not know all yet")
+	require.Equal(t, startupTTL, ttl, "a recently started entry may not know all peers")
 	m.nodes["entry-2"].stopping.Store(true)
-	m.beat(1)
+	m.sendHeartbeats(1)
 	addresses, ttl = m.nodes["entry-1"].Addresses("", "", m.now.Add(time.Minute))
 	require.ElementsMatch(t, []string{"caller-entry-0", "caller-entry-1"}, addresses)
 	require.Equal(t, time.Second, ttl)
 }
 
-func TestPeersWorkIsToldAndForgotten(t *testing.T) {
+func TestLoadReportsAffectPeersChoice(t *testing.T) {
 	m := newMesh(t, 2)
 	now := time.Now()
 	for _, f := range m.nodes {
-		f.ReplaceEndpoints([]registrar.Change{endpointAt("a"), endpointAt("b")}, locator.At(0, 5), now)
+		f.ReplaceEndpoints([]registrar.Change{endpointChange("a"), endpointChange("b")}, locator.At(0, 5), now)
 	}
 	choice, found := m.nodes["entry-0"].choosePlain()
 	require.True(t, found)
-	m.beat(1)
+	m.sendHeartbeats(1)
 	other, found := m.nodes["entry-1"].choosePlain()
 	require.True(t, found)
 	require.NotEqual(t, choice.Endpoint.ID, other.Endpoint.ID)
@@ -221,15 +220,15 @@
 	return choice, found
 }
 
-// In a large fleet each entry tells a part of its peers in a round. All must
-// still know of all after a few rounds.
-func TestALargeFleetTellsAPartInEachRound(t *testing.T) {
+// In a large fleet each entry sends to a part of its peers in a round. All must still know all others after a few
+// rounds.
+func TestLargeFleetSendsToPartOfPeersEachRound(t *testing.T) {
 	m := newMesh(t, 60)
 	f := m.nodes["entry-0"]
 	before := m.sent["*carrier.Heartbeat"]
 	f.heartbeat(time.Now())
 	require.LessOrEqual(t, m.sent["*carrier.Heartbeat"]-before, heartbeatsPerRound)
-	m.beat(3)
+	m.sendHeartbeats(3)
 	extra := 0
 	for name, f := range m.nodes {
 		require.Len(t, f.liveAddresses(f.detector.Members()), 59, name)
@@ -237,20 +236,20 @@
 			extra++
 		}
 	}
-	require.LessOrEqual(t, extra, 60, "all together stay about the slack of 54")
+	require.LessOrEqual(t, extra, 60, "all entries together stay near the slack of 54")
 }
 
-// In a large fleet all entries send their heartbeats at about the same times. If all told the same peers in one round, each
-// peer would hear nothing for the rounds between, suspect everybody, and callers would see pieces asked for anew at one
-// entry after the other. In each round a peer must hear from some.
-func TestEntriesTellDifferentPeersInARound(t *testing.T) {
+// In a large fleet all entries send their heartbeats at about the same times. If all sent to the same peers in one
+// round, each peer would hear nothing in the rounds between and suspect all others, and pieces would be delegated
+// again to one entry after the other. In each round a peer must receive some heartbeats.
+func TestEntriesSendToDifferentPeersInARound(t *testing.T) {
 	const entries = 80
 	m := newMesh(t, entries)
 	for range 4 {
-		m.heard = map[string]int{}
-		m.beat(1)
+		m.heartbeatsReceived = map[string]int{}
+		m.sendHeartbeats(1)
 		for name := range m.nodes {
-			require.Positive(t, m.heard[name], name)
+			require.Positive(t, m.heartbeatsReceived[name], name)
 		}
 	}
 }
--- a/forwarder/stages.go
+++ b/forwarder/stages.go
@@ -162,8 +162,8 @@
 	events := make(chan stageEvent, 1)
 	quit := make(chan struct{})
 	defer close(quit)
-	late := time.NewTimer(time.Until(s.plan.LastStart()))
-	defer late.Stop()
+	lastStart := time.NewTimer(time.Until(s.plan.LastStart()))
+	defer lastStart.Stop()
 	for {
 		recheck := s.delegateNext(events, quit)
 		if s.plan.Done() {
@@ -177,7 +177,7 @@
 			}
 		case <-s.x.f.ending:
 			return notRun("entryStops", shortRetryDelay())
-		case <-late.C:
+		case <-lastStart.C:
 			return notRun("stagesTimedOut", shortRetryDelay())
 		case <-s.x.ctx.Done():
 			return notRun("stagesTimedOut", shortRetryDelay())
