--- a/forwarder/delegation.go
+++ b/forwarder/delegation.go
@@ -56,8 +56,8 @@
 	deferred bool
 	// results receives one Deliver for each segment.
 	results chan collector.Deliver
-	// read is closed when the inputs of all pieces were fetched.
-	read             chan struct{}
+	// inputsRead is closed when the inputs of all pieces were fetched.
+	inputsRead       chan struct{}
 	inputsReadClosed bool
 }
 
@@ -71,11 +71,11 @@
 
 func newDelegation(service string, g collector.Group) *delegation {
 	a := &delegation{
-		service: service,
-		group:   g,
-		pending: make(map[int]bool, len(g.Segments)),
-		results: make(chan collector.Deliver, len(g.Segments)),
-		read:    make(chan struct{}),
+		service:    service,
+		group:      g,
+		pending:    make(map[int]bool, len(g.Segments)),
+		results:    make(chan collector.Deliver, len(g.Segments)),
+		inputsRead: make(chan struct{}),
 	}
 	for _, s := range g.Segments {
 		a.pending[s] = true
@@ -89,8 +89,8 @@
 	return f.placeDelegation(a, now)
 }
 
-// placeDelegation sends a delegation to the collecting entry. If no other entry is available, this entry collects the pieces
-// itself. The lock must be held.
+// placeDelegation sends a delegation to the collecting entry. If no other entry is available, this entry collects the
+// pieces itself. The lock must be held.
 func (f *Forwarder) placeDelegation(a *delegation, now time.Time) []func() {
 	a.deferred = f.settling(now)
 	if a.deferred {
@@ -188,7 +188,7 @@
 		return false
 	}
 	f.cfg.Meter.Counter(meter.PieceMoved).Inc(1)
-	f.log.Warn("delegation moved to another entry",
+	f.log.Warn("moving delegation to another entry",
 		zap.String("request", a.group.ID.Request),
 		zap.String("service", a.service),
 		zap.String("peer", a.owner),
@@ -232,7 +232,7 @@
 func (f *Forwarder) markInputsRead(id collector.GroupID) {
 	if a, known := f.delegations[delegationID{id.Request, id.Stage}]; known && !a.inputsReadClosed {
 		a.inputsReadClosed = true
-		close(a.read)
+		close(a.inputsRead)
 	}
 }
 
--- a/forwarder/duty.go
+++ b/forwarder/duty.go
@@ -104,14 +104,14 @@
 	if f.catalog == nil {
 		return nil
 	}
-	var busy []string
+	var owners []string
 	for _, service := range f.catalog.StageServices() {
 		for _, pool := range f.divider.Pools(service) {
 			if pool.String() == duty {
-				return busy
+				return owners
 			}
 			if owner, known := f.owner(pool.String(), nil); known {
-				busy = append(busy, owner)
+				owners = append(owners, owner)
 			}
 		}
 	}
--- a/forwarder/forwarder.go
+++ b/forwarder/forwarder.go
@@ -137,8 +137,8 @@
 	divider     *divider.Divider
 	pools       map[string]*collector.Pool
 	delegations map[delegationID]*delegation
-	// waits holds the newest reported load of the stage pools that peers collect for.
-	waits map[string]stageWait
+	// reportedLoads holds the newest reported load of the stage pools that peers collect for.
+	reportedLoads map[string]reportedLoad
 	// reportedAt is when the load report of each peer arrived.
 	reportedAt map[string]time.Time
 	// duties caches which entry owns which duty.
@@ -228,9 +228,9 @@
 		divider:     divider.New(),
 		round:       int(uint32(xxhash.Sum64String(cfg.Name))),
 
-		pools:       make(map[string]*collector.Pool),
-		delegations: make(map[delegationID]*delegation),
-		waits:       make(map[string]stageWait),
+		pools:         make(map[string]*collector.Pool),
+		delegations:   make(map[delegationID]*delegation),
+		reportedLoads: make(map[string]reportedLoad),
 
 		retrySchedules: make(map[string]*regulator.Returns),
 
--- a/forwarder/quarantine.go
+++ b/forwarder/quarantine.go
@@ -25,8 +25,8 @@
 	quarantineRetryDelay = time.Minute
 )
 
-// digest identifies a request's content by its client account, method, host, target and body. The same content arrives again under
-// other request ids and at other entries.
+// digest identifies a request's content by its client account, method, host, target and body. The same content arrives
+// again under other request ids and at other entries.
 func (x *exchange) digest() quarantiner.Digest {
 	h := sha256.New()
 	for _, part := range []string{x.account, x.in.Method, x.in.Host, x.in.RequestURI} {
--- a/forwarder/stages.go
+++ b/forwarder/stages.go
@@ -219,14 +219,14 @@
 
 // forwardResults forwards the results of a delegation as events.
 func forwardResults(stage int, a *delegation, events chan<- stageEvent, quit <-chan struct{}) {
-	read := a.read
+	inputsRead := a.inputsRead
 	for left := cap(a.results); left > 0; {
 		event := stageEvent{stage: stage, delegation: a}
 		select {
 		case event.Deliver = <-a.results:
 			left--
-		case <-read:
-			read = nil
+		case <-inputsRead:
+			inputsRead = nil
 			event.inputsRead = true
 		case <-quit:
 			return
--- a/forwarder/target.go
+++ b/forwarder/target.go
@@ -5,8 +5,8 @@
 	fullRoundPeers = 20
 	// heartbeatsPerRound and reportsPerRound are how many peers receive a heartbeat and a load report in one round if
 	// there are more. The state in a heartbeat reaches some 60 entries within two or three rounds, well inside
-	// suspectAfter. Load reports are not passed on, so each peer must receive them from the entry itself, every 0.6
-	// s.
+	// suspectAfter. Load reports are not passed on, so each peer must receive them from the entry itself, every
+	// 0.6 seconds.
 	heartbeatsPerRound = 10
 	reportsPerRound    = 20
 	// maxReportPeers is the largest number of peers to which each entry sends its load reports directly, in rotation.
--- a/forwarder/wait.go
+++ b/forwarder/wait.go
@@ -11,11 +11,11 @@
 	"geraniumline/selector"
 )
 
-// waitTTL is how long the queue load reported by a peer stays valid: some heartbeats.
-const waitTTL = time.Second
+// loadTTL is how long the queue load reported by a peer stays valid: some heartbeats.
+const loadTTL = time.Second
 
-// stageWait is the load that a peer reported for a pool that it collects for.
-type stageWait struct {
+// reportedLoad is the load that a peer reported for a pool that it collects for.
+type reportedLoad struct {
 	load planner.Load
 	at   time.Time
 }
@@ -30,11 +30,11 @@
 			list = append(list, waitMessage(service, load, 0))
 		}
 	}
-	for service, w := range f.waits {
+	for service, w := range f.reportedLoads {
 		if owner, known := f.owner(service, nil); known && owner == f.cfg.Name {
 			continue
 		}
-		if age := now.Sub(w.at); age < waitTTL {
+		if age := now.Sub(w.at); age < loadTTL {
 			list = append(list, waitMessage(service, w.load, age))
 		}
 	}
@@ -61,10 +61,10 @@
 			f.divider.Told(pool.Service)
 		}
 		at := now.Add(-time.Duration(s.AgeMillis) * time.Millisecond)
-		if known, found := f.waits[s.Service]; found && !at.After(known.at) {
+		if known, found := f.reportedLoads[s.Service]; found && !at.After(known.at) {
 			continue
 		}
-		f.waits[s.Service] = stageWait{at: at, load: planner.Load{
+		f.reportedLoads[s.Service] = reportedLoad{at: at, load: planner.Load{
 			Wait:       time.Duration(s.Millis) * time.Millisecond,
 			Turnaround: time.Duration(s.TurnaroundMillis) * time.Millisecond,
 			Short:      s.Short,
@@ -82,7 +82,7 @@
 		}
 		return planner.LoadOf(p, now)
 	}
-	if w, known := f.waits[service]; known && now.Sub(w.at) < waitTTL {
+	if w, known := f.reportedLoads[service]; known && now.Sub(w.at) < loadTTL {
 		return w.load
 	}
 	return planner.Load{}
