--- a/forwarder/stages.go
+++ b/forwarder/stages.go
@@ -282,7 +282,7 @@
 	return notRun("stage"+event.Result.Reason.String(), s.view.retryDelay(service))
 }
 
-// recompute schedules the expired inputs of a stage to be computed again.
+// recompute schedules the expired inputs of a stage to be computed again. It reports whether that is possible.
 func (s *stageRunner) recompute(stage int) bool {
 	ended, freed, possible := s.plan.Remake(stage)
 	if !possible {
