--- a/detector/bench_test.go
+++ b/detector/bench_test.go
@@ -8,7 +8,8 @@
 	"geraniumline/carrier"
 )
 
-// benchMesh gives a detector that knows n-1 others with real-sized names and addresses, and one of the others.
+// benchMesh returns a detector that knows n-1 others with names and addresses of realistic length, and one of the
+// others.
 func benchMesh(n int) (d, other *Detector, now time.Time) {
 	now = time.Unix(1_700_000_000, 0)
 	detectors := make([]*Detector, n)
@@ -33,9 +34,9 @@
 	return d, other, now
 }
 
-// steadyHeartbeat passes over the heartbeats that introduce everybody.
-func steadyHeartbeat(d *Detector, now time.Time) *carrier.Heartbeat {
-	for range introductions + 1 {
+// steadyStateHeartbeat skips the heartbeats that describe all members in full.
+func steadyStateHeartbeat(d *Detector, now time.Time) *carrier.Heartbeat {
+	for range fullRepeats + 1 {
 		d.Heartbeat(now)
 	}
 	return d.Heartbeat(now)
@@ -43,11 +44,11 @@
 
 var benchSizes = []int{7, 50, 200}
 
-// BenchmarkHeartbeat makes and encodes one heartbeat, and reports its size.
+// BenchmarkHeartbeat builds and encodes one heartbeat, and reports its size.
 func BenchmarkHeartbeat(b *testing.B) {
 	for _, n := range benchSizes {
 		d, _, now := benchMesh(n)
-		steadyHeartbeat(d, now)
+		steadyStateHeartbeat(d, now)
 		b.Run(strconv.Itoa(n)+" members", func(b *testing.B) {
 			b.ReportAllocs()
 			var buf []byte
@@ -59,11 +60,11 @@
 	}
 }
 
-// BenchmarkReceive decodes and takes one heartbeat in which every member has made a step.
+// BenchmarkReceive decodes and processes one heartbeat in which every member has advanced a step.
 func BenchmarkReceive(b *testing.B) {
 	for _, n := range benchSizes {
 		d, other, now := benchMesh(n)
-		hb := steadyHeartbeat(other, now)
+		hb := steadyStateHeartbeat(other, now)
 		b.Run(strconv.Itoa(n)+" members", func(b *testing.B) {
 			b.ReportAllocs()
 			var got carrier.Heartbeat
@@ -86,7 +87,7 @@
 	}
 }
 
-// BenchmarkTick judges all members once.
+// BenchmarkTick re-evaluates all members once and selects targets.
 func BenchmarkTick(b *testing.B) {
 	for _, n := range benchSizes {
 		d, _, now := benchMesh(n)
--- a/detector/detector.go
+++ b/detector/detector.go
@@ -1,12 +1,13 @@
-// Package detector decides which entries are alive, from their heartbeats and from what peers pass on.
+// Package detector implements failure detection between entries, based on their heartbeats and on the state that
+// peers relay.
 //
-// Evidence of life is a counter that only its owner raises: the sequence, one for each step of the owner's
-// loop, ordered within an incarnation. A peer passes on the highest sequence that it knows of each member,
-// so a member is silent only when no path brings a higher one. Nobody passes on a belief that another
-// member is dead: each entry decides that alone, so a member needs no refutation and one bad path can't
-// make the others give a member up.
+// Liveness is proven by a sequence number that only its owner increments, once for each iteration of the owner's
+// loop, and that is ordered within an incarnation. Peers relay the highest sequence that they know for each member,
+// so a member counts as silent only if no path delivers a higher one. Suspicion is never relayed: each entry decides
+// on its own that another member is dead. A member therefore has nothing to refute, and one bad path can't make other
+// entries give up a member.
 //
-// The package is pure: it takes no clock, starts no goroutine and sends nothing.
+// The package is pure: it reads no clock, starts no goroutine and sends nothing.
 package detector
 
 import (
@@ -23,63 +24,66 @@
 // phaseShift keeps the phase small, so that sums with it don't overflow.
 const phaseShift = 32
 
-// Config holds the times of a Detector.
+// Config holds the identity, timeouts and limits of a Detector.
 type Config struct {
 	// Self is this entry: name, zone, addresses and incarnation.
 	Self carrier.Member
-	// Seeds are peer addresses that are tried for as long as no live member is known there.
+	// Seeds are peer addresses that are probed for as long as no live member is known there.
 	Seeds []string
-	// SuspectAfter is the silence after which a member is no longer given to callers.
+	// SuspectAfter is the silence after which a member is no longer handed out to callers.
 	SuspectAfter time.Duration
-	// DeadAfter is the silence after which a member is taken for dead.
+	// DeadAfter is the silence after which a member is considered dead.
 	DeadAfter time.Duration
-	// ForgetAfter is the silence after which a member is dropped from memory.
+	// ForgetAfter is the silence after which a member is removed from the membership.
 	ForgetAfter time.Duration
-	// ProbeInterval is how often dead members, hints and seeds are tried. Zero means SuspectAfter.
+	// ProbeInterval is the time between probes of dead members, hints and seeds. Zero means SuspectAfter.
 	ProbeInterval time.Duration
-	// MaxFullMesh is up to how many entries each sends its heartbeats to all others. Beyond it they spread by gossip. What
-	// else a heartbeat carries then reaches only its targets, and must be told on by them. Zero means always.
+	// MaxFullMesh is the largest number of entries for which each entry sends its heartbeats to all others. In larger
+	// systems heartbeats spread by gossip: other contents of a heartbeat then reach only its targets, which must
+	// relay them. Zero means no limit.
 	MaxFullMesh int
-	// GossipSuspectAfter and SpreadDeadAfter stand for SuspectAfter and DeadAfter beyond FullMesh, where they are longer:
-	// news of a step take some rounds of heartbeats.
+	// GossipSuspectAfter and GossipDeadAfter replace SuspectAfter and DeadAfter above MaxFullMesh if they are longer:
+	// a new sequence number takes several rounds of heartbeats to spread.
 	GossipSuspectAfter time.Duration
 	GossipDeadAfter    time.Duration
-	// HeartbeatInterval is the time between heartbeats, by which entries agree on the number of a round beyond FullMesh.
-	// Zero: each counts its own.
+	// HeartbeatInterval is the time between heartbeats, from which entries derive a common round number above
+	// MaxFullMesh. If zero, each entry counts its own rounds.
 	HeartbeatInterval time.Duration
-	// Fanout is how many entries of the own availability zone get each heartbeat beyond FullMesh. Zero means 4.
+	// Fanout is the number of entries in the own availability zone that receive each heartbeat above MaxFullMesh.
+	// Zero means 4.
 	Fanout int
 }
 
-// Detector holds the membership as this entry sees it.
+// Detector holds the membership as seen by this entry.
 type Detector struct {
 	cfg     Config
 	self    Member
 	members map[string]*record
-	// order holds the members in the order of their names.
-	order []*record
-	index index
-	hints map[string]*hint
-	// id is this entry's own pulse id.
+	// sorted holds the members ordered by name.
+	sorted []*record
+	index  index
+	hints  map[string]*hint
+	// id is the pulse ID of this entry.
 	id uint32
-	// newcomer is set when a heartbeat came from a member that was unknown: the next heartbeat tells it all.
-	newcomer bool
-	// greet holds the addresses of newcomers, which get the next heartbeat in any case.
-	greet []string
-	// turn counts heartbeats, and phase sets entries apart in whom they name in full.
-	turn, phase uint64
-	// round counts the choices of targets beyond FullMesh.
-	round uint64
-	// lastStep is the time of the newest call that brought a time; zero before the first.
-	lastStep time.Time
-	echo     echo
-	// declared is what SetSelf set.
+	// sendFull is set when a heartbeat arrives from an unknown member: the next heartbeat describes all members in
+	// full.
+	sendFull bool
+	// newPeers holds the addresses of new members, which always receive the next heartbeat.
+	newPeers []string
+	// heartbeats counts the heartbeats built. phase staggers entries so that they describe different members in full.
+	heartbeats, phase uint64
+	// gossipRound counts the target selections above MaxFullMesh.
+	gossipRound uint64
+	// lastCall is the latest time passed to any call; zero before the first.
+	lastCall time.Time
+	acks     ackTracker
+	// declared is the state set by SetSelf.
 	declared State
-	// superseded is set once a newer process with this entry's name was heard of.
+	// superseded is set once a newer process with this entry's name is known.
 	superseded bool
 }
 
-// New makes a Detector that knows only of itself.
+// New returns a Detector that knows only its own entry.
 func New(cfg Config) *Detector {
 	if cfg.ProbeInterval <= 0 {
 		cfg.ProbeInterval = cfg.SuspectAfter
@@ -114,51 +118,52 @@
 	return d
 }
 
-// SetSelf sets what this entry says of itself: Live, Stopping or Stopped, its configuration offset and load.
+// SetSelf sets what this entry announces about itself: its state (Live, Stopping or Stopped), its configuration
+// offset and its load.
 func (d *Detector) SetSelf(state State, configOffset int64, inFlight int32) {
 	d.declared = state
 	d.self.ConfigOffset = configOffset
 	d.self.InFlight = inFlight
-	d.self.State = d.assessSelf(d.lastStep)
+	d.self.State = d.assessSelf(d.lastCall)
 }
 
-// Receive takes a heartbeat that arrived from a peer.
+// Receive processes a heartbeat from a peer and returns the resulting state changes.
 func (d *Detector) Receive(hb *carrier.Heartbeat, now time.Time) []Transition {
-	out := d.step(now)
-	out = d.hearDirect(&hb.From, now, out)
+	out := d.detectPause(now)
+	out = d.mergeSender(&hb.From, now, out)
 	for i := range hb.Members {
-		out = d.hearIndirect(&hb.Members[i], now, out)
+		out = d.mergeMember(&hb.Members[i], now, out)
 	}
 	for i := range hb.Pulses {
-		out = d.hearPulse(&hb.Pulses[i], now, out)
+		out = d.mergePulse(&hb.Pulses[i], now, out)
 	}
 	return d.updateSelf(now, out)
 }
 
-// Tick is one step of this entry's loop: it raises the own sequence and judges the silence of all members.
-// Call it at least once for each heartbeat that is sent.
+// Tick runs one iteration of this entry's loop: it increments the own sequence number, re-evaluates all members and
+// returns the resulting state changes. It must be called at least once for each heartbeat that is sent.
 func (d *Detector) Tick(now time.Time) []Transition {
-	out := d.step(now)
+	out := d.detectPause(now)
 	d.self.Sequence++
 	d.self.LastHeard = now
-	d.echo.made(d.self.Sequence, now)
-	for _, r := range d.order {
-		out = d.judge(r, now, out)
+	d.acks.recordStep(d.self.Sequence, now)
+	for _, r := range d.sorted {
+		out = d.updateState(r, now, out)
 	}
 	d.forget(now)
 	d.dropHints(now)
 	return d.updateSelf(now, out)
 }
 
-// Self gives this entry as it goes into the From of a heartbeat.
+// Self returns this entry as it is sent in the From field of a heartbeat.
 func (d *Detector) Self() carrier.Member {
 	return wireMember(&d.self)
 }
 
-// Digest gives what this entry knows of the other members. Dead ones are left out: there is no news of them.
+// Digest returns the known state of all other members except dead ones, for which there is nothing new to relay.
 func (d *Detector) Digest(now time.Time) []carrier.Member {
-	out := make([]carrier.Member, 0, len(d.order))
-	for _, r := range d.order {
+	out := make([]carrier.Member, 0, len(d.sorted))
+	for _, r := range d.sorted {
 		if r.member.State != Dead {
 			out = append(out, r.wire(now))
 		}
@@ -166,21 +171,21 @@
 	return out
 }
 
-// Members gives all known members, this entry included, in the order of their names.
+// Members returns all known members, including this entry, ordered by name.
 func (d *Detector) Members() []Member {
-	out := make([]Member, 0, len(d.order)+1)
+	out := make([]Member, 0, len(d.sorted)+1)
 	own, _ := d.find(d.self.Name)
-	for _, r := range d.order[:own] {
+	for _, r := range d.sorted[:own] {
 		out = append(out, r.member)
 	}
 	out = append(out, d.self)
-	for _, r := range d.order[own:] {
+	for _, r := range d.sorted[own:] {
 		out = append(out, r.member)
 	}
 	return out
 }
 
-// Member gives the member of the name, if it is known.
+// Member returns the member with the given name and whether it is known.
 func (d *Detector) Member(name string) (Member, bool) {
 	if name == d.self.Name {
 		return d.self, true
@@ -192,27 +197,27 @@
 	return r.member, true
 }
 
-// find gives the place of a name in the order, and whether it is there.
+// find returns the index of name in d.sorted, or where it would be inserted, and whether it is present.
 func (d *Detector) find(name string) (int, bool) {
-	return slices.BinarySearchFunc(d.order, name, compareName)
+	return slices.BinarySearchFunc(d.sorted, name, compareName)
 }
 
 func compareName(r *record, name string) int {
 	return strings.Compare(r.member.Name, name)
 }
 
-// add makes the record of a member that is unknown.
+// add inserts a record for an unknown member.
 func (d *Detector) add(name string) *record {
 	r := &record{member: Member{Name: name}}
 	at, _ := d.find(name)
-	d.order = slices.Insert(d.order, at, r)
+	d.sorted = slices.Insert(d.sorted, at, r)
 	d.members[name] = r
 	return r
 }
 
-// forget drops the members that have been silent for ForgetAfter.
+// forget removes members that have been silent for longer than ForgetAfter.
 func (d *Detector) forget(now time.Time) {
-	d.order = slices.DeleteFunc(d.order, func(r *record) bool {
+	d.sorted = slices.DeleteFunc(d.sorted, func(r *record) bool {
 		silent := now.Sub(r.member.LastHeard) > d.cfg.ForgetAfter
 		if silent {
 			delete(d.members, r.member.Name)
--- a/detector/echo.go
+++ b/detector/echo.go
@@ -2,29 +2,29 @@
 
 import "time"
 
-// echoSteps is how many of the newest own steps have their times kept: with steps of 50 ms, the last 12.8 s.
-const echoSteps = 256
+// trackedSteps is the number of own steps whose times are kept: at 50 ms per step, the last 12.8 s.
+const trackedSteps = 256
 
-// echo tells when the newest own step was made that some peer has heard, from what peers say of this entry.
-// Without it, an entry that hears all peers but that none hears would go on giving itself to callers.
-type echo struct {
-	madeAt  [echoSteps]time.Time
-	newest  uint64
-	heardAt time.Time
+// ackTracker tracks the time of the latest own step that any peer has reported back. Without it, an entry that
+// receives from all peers but reaches none of them would keep handing itself out to callers.
+type ackTracker struct {
+	steppedAt [trackedSteps]time.Time
+	newest    uint64
+	ackedAt   time.Time
 }
 
-// made notes the time of an own step.
-func (e *echo) made(sequence uint64, now time.Time) {
-	e.newest = sequence
-	e.madeAt[sequence%echoSteps] = now
+// recordStep stores the time of an own step.
+func (a *ackTracker) recordStep(sequence uint64, now time.Time) {
+	a.newest = sequence
+	a.steppedAt[sequence%trackedSteps] = now
 }
 
-// heard notes that a peer knows of an own step. Steps too old to have their times kept say nothing.
-func (e *echo) heard(sequence uint64) {
-	if sequence > e.newest || e.newest-sequence >= echoSteps {
+// recordAck records that a peer knows an own step. Steps whose times are no longer kept are ignored.
+func (a *ackTracker) recordAck(sequence uint64) {
+	if sequence > a.newest || a.newest-sequence >= trackedSteps {
 		return
 	}
-	if at := e.madeAt[sequence%echoSteps]; at.After(e.heardAt) {
-		e.heardAt = at
+	if at := a.steppedAt[sequence%trackedSteps]; at.After(a.ackedAt) {
+		a.ackedAt = at
 	}
 }
--- a/detector/evidence.go
+++ b/detector/evidence.go
@@ -6,66 +6,68 @@
 	"geraniumline/carrier"
 )
 
-// gapPart is the part of SuspectAfter from which a standstill of the own loop is not counted as silence of others.
-const gapPart = 4
+// pauseDivisor sets the shortest pause of the own loop that is not counted as silence of others: SuspectAfter divided
+// by this.
+const pauseDivisor = 4
 
-// maxMembers bounds the memory that a peer's mistake can take. It is above the 2,400 entries that are designed for.
+// maxMembers bounds the memory that a faulty peer can make this entry use. It exceeds the
+// 2,400 entries that the system is designed for.
 const maxMembers = 4096
 
-// step notices a standstill of this entry's own loop.
-// A paused process reads nothing, so after the pause all peers look silent and it would give up all of them at once.
-// The standstill is added to the time that each was last heard, so a peer is judged only by silence that this
-// entry was awake to hear; peers that died meanwhile are found SuspectAfter later.
-func (d *Detector) step(now time.Time) []Transition {
-	last := d.lastStep
+// detectPause detects that this entry's own loop was paused. A paused process reads nothing, so all peers look silent
+// when it resumes and it would consider all of them dead at once. The pause is therefore added to the time at which
+// each peer was last heard, so that only silence while this entry was running counts. Peers that died during the
+// pause are detected SuspectAfter later.
+func (d *Detector) detectPause(now time.Time) []Transition {
+	last := d.lastCall
 	if now.After(last) {
-		d.lastStep = now
+		d.lastCall = now
 	}
 	if last.IsZero() {
-		d.echo.heardAt = now
+		d.acks.ackedAt = now
 		return nil
 	}
-	gap := now.Sub(last)
-	if gap <= d.suspectAfter()/gapPart {
+	pause := now.Sub(last)
+	if pause <= d.suspectAfter()/pauseDivisor {
 		return nil
 	}
-	for _, r := range d.order {
-		r.member.LastHeard = r.member.LastHeard.Add(gap)
+	for _, r := range d.sorted {
+		r.member.LastHeard = r.member.LastHeard.Add(pause)
 	}
-	d.echo.heardAt = d.echo.heardAt.Add(gap)
-	if gap < d.suspectAfter() {
+	d.acks.ackedAt = d.acks.ackedAt.Add(pause)
+	if pause < d.suspectAfter() {
 		return nil
 	}
-	return []Transition{{Member: d.self, From: d.self.State, To: d.self.State, Paused: gap}}
+	return []Transition{{Member: d.self, From: d.self.State, To: d.self.State, Paused: pause}}
 }
 
-// hearDirect takes what the sender of a heartbeat says of itself.
-func (d *Detector) hearDirect(w *carrier.Member, now time.Time, out []Transition) []Transition {
+// mergeSender merges what the sender of a heartbeat reports about itself.
+func (d *Detector) mergeSender(w *carrier.Member, now time.Time, out []Transition) []Transition {
 	if w.Name == d.self.Name {
-		d.hearSelf(w)
+		d.mergeSelf(w)
 		return out
 	}
 	r, known := d.members[w.Name]
-	if !known && !d.admits(w) {
+	if !known && !d.canAdd(w) {
 		return out
 	}
 	if !known || w.Incarnation != r.member.Incarnation {
-		// A newer process knows nobody yet, and an older one must hear that it was replaced.
-		d.newcomer = true
-		d.greet = append(d.greet, w.PeerAddress)
+		// A newer process knows no members yet, and an older one must learn that it was replaced.
+		d.sendFull = true
+		d.newPeers = append(d.newPeers, w.PeerAddress)
 	}
 	if known && !r.newer(w) {
 		return out
 	}
-	out = d.hear(w, now, now, out)
+	out = d.merge(w, now, now, out)
 	d.members[w.Name].member.LastDirectHeartbeat = now
 	return out
 }
 
-// hearIndirect takes what a peer passes on of another member.
-func (d *Detector) hearIndirect(w *carrier.Member, now time.Time, out []Transition) []Transition {
+// mergeMember merges what a peer relays about another member.
+func (d *Detector) mergeMember(w *carrier.Member, now time.Time, out []Transition) []Transition {
 	if w.Name == d.self.Name {
-		d.hearSelf(w)
+		d.mergeSelf(w)
 		return out
 	}
 	r, known := d.members[w.Name]
@@ -73,83 +75,85 @@
 		return out
 	}
 	age := time.Duration(w.AgeMillis) * time.Millisecond
-	if !known && (age > d.deadAfter() || !d.admits(w)) {
+	if !known && (age > d.deadAfter() || !d.canAdd(w)) {
 		return out
 	}
-	return d.hear(w, now.Add(-age), now, out)
+	return d.merge(w, now.Add(-age), now, out)
 }
 
-// admits tells whether a member that is unknown may be taken up.
-func (d *Detector) admits(w *carrier.Member) bool {
-	return w.Name != "" && len(d.order) < maxMembers
+// canAdd reports whether an unknown member may be added.
+func (d *Detector) canAdd(w *carrier.Member) bool {
+	return w.Name != "" && len(d.sorted) < maxMembers
 }
 
-// hear takes a step of a member that is newer than the one known.
-func (d *Detector) hear(w *carrier.Member, heard, now time.Time, out []Transition) []Transition {
+// merge merges a step that is newer than the one known for the member, which may be new.
+func (d *Detector) merge(w *carrier.Member, heard, now time.Time, out []Transition) []Transition {
 	r, known := d.members[w.Name]
 	if !known {
 		r = d.add(w.Name)
 	}
 	if !known || w.Incarnation > r.member.Incarnation {
-		d.renew(r, w.Incarnation)
+		d.startIncarnation(r, w.Incarnation)
 	}
-	r.take(w, heard)
+	r.update(w, heard)
 	if h, hinted := d.hints[w.PeerAddress]; hinted {
 		r.member.Leaving = h.leaving
 	}
-	return d.judge(r, now, out)
+	return d.updateState(r, now, out)
 }
 
-// renew makes r stand for a new process of its name.
-func (d *Detector) renew(r *record, incarnation uint64) {
+// startIncarnation resets r for a new process with the same name.
+func (d *Detector) startIncarnation(r *record, incarnation uint64) {
 	d.index.remove(r)
 	r.member.Incarnation = incarnation
 	r.member.LastDirectHeartbeat = time.Time{}
 	r.id = pulseID(r.member.Name, incarnation)
-	r.introductions = introductions
+	r.fullRemaining = fullRepeats
 	d.index.put(r)
 }
 
-// hearSelf takes what a peer says of this entry: the newest own step that it knows of, or that a newer process has
-// this entry's name. Two processes under one name would answer for each other's requests; the older one gives way,
-// since only it can know that it is older.
-func (d *Detector) hearSelf(w *carrier.Member) {
+// mergeSelf processes what a peer reports about this entry: either the latest own step that the peer knows, or that a
+// newer process uses this entry's name. Two processes with one name would answer each other's requests, so the older
+// one gives way, since it is the only one that can know that it is older.
+func (d *Detector) mergeSelf(w *carrier.Member) {
 	switch {
 	case w.Incarnation > d.self.Incarnation:
 		d.superseded = true
 	case w.Incarnation == d.self.Incarnation:
-		d.echo.heard(w.Sequence)
+		d.acks.recordAck(w.Sequence)
 	}
 }
 
-// judge sets a member's state from what it said and from its silence.
-func (d *Detector) judge(r *record, now time.Time, out []Transition) []Transition {
+// updateState re-evaluates a member's state from what it declared and how long it has been silent.
+func (d *Detector) updateState(r *record, now time.Time, out []Transition) []Transition {
 	from := r.member.State
 	to := d.assess(r, now)
 	if from == to {
 		return out
 	}
 	r.member.State = to
-	return append(out, Transition{Member: r.member, From: from, To: to, ConnectionRefused: to == Dead && d.refused(r, now)})
+	return append(out, Transition{Member: r.member, From: from, To: to, ConnectionRefused: to == Dead && d.processEnded(r, now)})
 }
 
-// ConnectionRefused notes that the network says that no process listens at a peer address.
+// ConnectionRefused records that a connection to a peer address was refused because no process listens there, and
+// returns the resulting state changes.
 func (d *Detector) ConnectionRefused(peerAddress string, now time.Time) []Transition {
 	var out []Transition
-	for _, r := range d.order {
+	for _, r := range d.sorted {
 		if r.member.PeerAddress != peerAddress {
 			continue
 		}
 		r.refusedAt = now
-		out = d.judge(r, now, out)
+		out = d.updateState(r, now, out)
 	}
 	return out
 }
 
-// refused tells whether a member's process has ended, by two signs that no silence alone gives: its address refuses
-// connections, and nobody has heard a step of it since, nor for half of the time that makes it suspect. A firewall
-// between two entries may refuse as well; then a third still hears the member, and what it tells keeps it alive.
-func (d *Detector) refused(r *record, now time.Time) bool {
+// processEnded reports whether a member's process has ended. Silence alone doesn't show that, so two conditions must
+// hold: its address refuses connections, and no step has been heard since the refusal nor for half of the suspect
+// timeout. A firewall between two entries may refuse connections too; then a third entry still hears the member and
+// relays its steps, which keeps it alive.
+func (d *Detector) processEnded(r *record, now time.Time) bool {
 	return r.refusedAt.After(r.member.LastHeard) && now.Sub(r.member.LastHeard) > d.suspectAfter()/2
 }
 
@@ -158,7 +162,7 @@
 	switch {
 	case r.declared == Stopped:
 		return Stopped
-	case silence > d.deadAfter(), d.refused(r, now):
+	case silence > d.deadAfter(), d.processEnded(r, now):
 		return Dead
 	case r.declared == Stopping:
 		return Stopping
@@ -169,7 +173,7 @@
 	}
 }
 
-// updateSelf reports a change of this entry's own state.
+// updateSelf re-evaluates this entry's own state and appends a change to out.
 func (d *Detector) updateSelf(now time.Time, out []Transition) []Transition {
 	from := d.self.State
 	to := d.assessSelf(now)
@@ -180,16 +184,17 @@
 	return append(out, Transition{Member: d.self, From: from, To: to})
 }
 
-// assessSelf judges this entry. If no peer tells of a recent own step, either no peer hears this entry or it
-// hears no peer: it can't take part in limits or learn of configuration, although the other direction may still
-// work. It says Suspect of itself, so that neither peers nor it give it to callers.
+// assessSelf returns this entry's own state. If no peer reports a recent own step, either no peer receives from this
+// entry or it receives from no peer. Either way it can't take part in limits or learn the configuration, although the
+// other direction may still work. It declares itself Suspect, so that neither it nor its peers hand it out to
+// callers.
 func (d *Detector) assessSelf(now time.Time) State {
 	switch {
 	case d.superseded:
 		return Dead
 	case d.declared != Live:
 		return d.declared
-	case d.expectsPeers() && now.Sub(d.echo.heardAt) > d.suspectAfter():
+	case d.expectsPeers() && now.Sub(d.acks.ackedAt) > d.suspectAfter():
 		return Suspect
 	default:
 		return Live
@@ -197,7 +202,7 @@
 }
 
 func (d *Detector) expectsPeers() bool {
-	for _, r := range d.order {
+	for _, r := range d.sorted {
 		if r.declared != Stopped {
 			return true
 		}
--- a/detector/fleet_test.go
+++ b/detector/fleet_test.go
@@ -8,59 +8,61 @@
 )
 
 const (
-	fleetBeat    = 150 * time.Millisecond
-	fleetSuspect = 1200 * time.Millisecond
-	fleetDead    = 2500 * time.Millisecond
+	fleetHeartbeat = 150 * time.Millisecond
+	fleetSuspect   = 1200 * time.Millisecond
+	fleetDead      = 2500 * time.Millisecond
 )
 
-// fleet starts n entries of three zones that hear each other every 150 ms, as those that forward requests do.
-func fleet(n int) *mesh {
+// fleetMesh starts n entries in three zones that exchange heartbeats every 150 ms, like the entries that forward
+// requests.
+func fleetMesh(n int) *mesh {
 	cfg := testConfig()
 	cfg.SuspectAfter, cfg.DeadAfter = 700*time.Millisecond, 2*time.Second
 	cfg.GossipSuspectAfter, cfg.GossipDeadAfter = fleetSuspect, fleetDead
-	cfg.ProbeInterval = 2 * fleetBeat
-	cfg.HeartbeatInterval = fleetBeat
+	cfg.ProbeInterval = 2 * fleetHeartbeat
+	cfg.HeartbeatInterval = fleetHeartbeat
 	cfg.MaxFullMesh = 64
 	m := newMesh(n, 11, cfg)
-	m.every, m.each = fleetBeat, 30*time.Millisecond
+	m.heartbeatInterval, m.stepInterval = fleetHeartbeat, 30*time.Millisecond
 	for _, x := range m.nodes {
-		x.nextBeat = m.now.Add(time.Duration(m.rnd.Int64N(int64(m.every))))
+		x.nextHeartbeat = m.now.Add(time.Duration(m.rnd.Int64N(int64(m.heartbeatInterval))))
 	}
 	return m
 }
 
-// 195 entries all live, and a tenth of what they send is lost. An entry that doubts a live one believes that its duties
-// have fallen to another, and two then do the same: 28 of 44 entries collected for one service, and nine tenths of their
-// calls were turned away. So nobody may be doubted, at a cost in bytes that a VM with 10 Mbit/s can bear.
+// Guards against false suspicion in a fleet of 195 live entries with 10% message loss, at a bandwidth that a VM with
+// 10 Mbit/s can afford. An entry that suspects a live one believes that its duties have moved to another entry, and
+// two then perform the same duty: 28 of 44 entries collected for one service, and nine tenths of their calls were
+// refused.
 func TestALargeFleetDoubtsNobody(t *testing.T) {
-	m := fleet(195)
+	m := fleetMesh(195)
 	m.run(4 * time.Second)
-	require.True(t, m.agreed(), "all have found each other within 4 s of a start at once")
+	require.True(t, m.converged(), "all entries must find each other within 4 s of a simultaneous start")
 	settledAt := m.elapsed()
 	m.loss = 0.1
-	rate, oldest := m.regionCost(10 * time.Second)
-	t.Logf("195 entries: %.0f B/s sent by each, oldest news of a live one %v", rate, oldest)
+	rate, oldest := m.gossipCost(10 * time.Second)
+	t.Logf("195 entries: %.0f B/s sent by each, longest silence of a live entry %v", rate, oldest)
 	require.Zero(t, m.count(Suspect, settledAt))
 	require.Zero(t, m.count(Dead, settledAt))
 	require.Less(t, rate, 62_500.0, "a twentieth of 10 Mbit/s")
 }
 
-// An entry loses power without a word. Callers are given its address until the last entry doubts it: word of it must not
-// go round between entries that all have it from each other.
+// An entry loses power. Callers are given its address until the last entry suspects it, so stale reports of it must
+// not circulate among entries that have them only from each other.
 func TestALargeFleetFindsALoss(t *testing.T) {
-	m := fleet(195)
+	m := fleetMesh(195)
 	m.run(4 * time.Second)
 	m.kill(7)
-	took := m.timeGiven(7, 4*time.Second)
+	took := m.handedOutFor(7, 4*time.Second)
 	t.Logf("195 entries: handed out for %v after the loss", took)
-	require.Less(t, took, fleetSuspect+2*fleetBeat)
-	require.True(t, m.agreed())
+	require.Less(t, took, fleetSuspect+2*fleetHeartbeat)
+	require.True(t, m.converged())
 }
 
-// A switch cuts off an availability zone for six seconds. Both sides serve on; when it is mended all must be found again
-// soon, though each entry tries only a few of those that it takes for dead.
+// A switch failure isolates an availability zone for six seconds. Both sides keep serving. After the repair all
+// entries must be rediscovered quickly, although each probes only a few of those it considers dead.
 func TestALargeFleetFindsAZoneAgain(t *testing.T) {
-	m := fleet(195)
+	m := fleetMesh(195)
 	m.run(4 * time.Second)
 	m.cutZone(2)
 	m.run(6 * time.Second)
@@ -68,5 +70,5 @@
 	require.Equal(t, Live, m.state(5, 2))
 	m.heal()
 	m.run(3 * time.Second)
-	require.True(t, m.agreed())
+	require.True(t, m.converged())
 }
--- a/detector/main_test.go
+++ b/detector/main_test.go
@@ -6,8 +6,8 @@
 	"testing"
 )
 
-// TestMain gives the property tests a fixed seed, so that every run of CI tries the same events.
-// Flags on the command line (-rapid.seed, -rapid.checks) try others.
+// TestMain gives the property tests a fixed seed, so that every CI run tries the same events. Command-line flags
+// (-rapid.seed, -rapid.checks) override it.
 func TestMain(m *testing.M) {
 	_ = flag.Set("rapid.seed", "20261202")
 	_ = flag.Set("rapid.checks", "40")
--- a/detector/member.go
+++ b/detector/member.go
@@ -6,60 +6,60 @@
 	"geraniumline/carrier"
 )
 
-// Member is what this entry knows of one entry.
+// Member is the state of one entry as known to this entry.
 type Member struct {
 	Name          string
 	Zone          string
 	CallerAddress string
 	PeerAddress   string
-	// Incarnation tells the processes that had this name apart; a restart has a higher one.
+	// Incarnation distinguishes processes that used the same name; a restarted one has a higher value.
 	Incarnation  uint64
 	State        State
 	ConfigOffset int64
 	InFlight     int32
-	// Capacity is what the member's VM can carry, in thousandths of a core.
+	// Capacity is the load that the member's VM can carry, in thousandths of a core.
 	Capacity int32
-	// LastHeard is when the newest step of the member's loop is believed to have been heard, here or by a peer.
+	// LastHeard is the estimated time at which the member's latest step was received, here or by a peer.
 	LastHeard time.Time
-	// LastDirectHeartbeat is when its newest heartbeat arrived here; zero if none did.
+	// LastDirectHeartbeat is when the member's latest heartbeat arrived here; zero if none did.
 	LastDirectHeartbeat time.Time
-	// Sequence is the newest step of the member's loop that this entry knows of.
+	// Sequence is the latest known step of the member's loop.
 	Sequence uint64
-	// Leaving is set while the VM list says that the member's VM is leaving. It is a hint.
+	// Leaving is set while the VM list marks the member's VM as leaving. It is only a hint.
 	Leaving bool
 }
 
-// Transition is a change of a member's state, or the return of this entry from a pause.
+// Transition is a change of a member's state, or reports that this entry resumed after a pause.
 type Transition struct {
 	Member Member
 	From   State
 	To     State
-	// Paused is how long this entry's own loop stood still. It is set only on the transition that reports
-	// the pause, whose Member is this entry itself.
+	// Paused is how long this entry's own loop was paused. It is set only on the transition that reports the pause,
+	// whose Member is this entry itself.
 	Paused time.Duration
-	// ConnectionRefused tells that a member is taken for dead since its address refuses connections: its process has ended,
-	// and it can't be on the far side of a cut.
+	// ConnectionRefused is set if a member is considered dead because its address refuses connections. Its process
+	// has then ended, so it can't be on the other side of a network partition.
 	ConnectionRefused bool
 }
 
-// Resumed tells that this entry was paused for so long that its peers may have taken it for dead.
-// What it held by time alone (leases, cached answers) must be checked again before use.
+// Resumed reports whether this entry was paused for so long that its peers may have considered it dead. Anything it
+// held by time alone (leases, cached answers) must be revalidated before use.
 func (t Transition) Resumed() bool {
 	return t.Paused > 0
 }
 
-// record is the detector's own state of one other member.
+// record is the detector's internal state of one other member.
 type record struct {
 	member Member
-	// declared is the state that the member itself gave with its newest sequence.
+	// declared is the state that the member reported about itself with its latest sequence number.
 	declared State
 	probedAt time.Time
 	// refusedAt is when the member's address last refused a connection.
 	refusedAt time.Time
-	// id is the pulse id of the member's present process.
+	// id is the pulse ID of the member's current process.
 	id uint32
-	// introductions is how many more heartbeats name the member in full.
-	introductions int
+	// fullRemaining is the number of further heartbeats that describe the member in full.
+	fullRemaining int
 }
 
 func (r *record) wire(now time.Time) carrier.Member {
@@ -69,7 +69,7 @@
 	return w
 }
 
-// newer tells whether w was said by a later step of the member than the one known.
+// newer reports whether w is from a later step of the member than the known one.
 func (r *record) newer(w *carrier.Member) bool {
 	if w.Incarnation != r.member.Incarnation {
 		return w.Incarnation > r.member.Incarnation
@@ -77,8 +77,8 @@
 	return w.Sequence > r.member.Sequence
 }
 
-// take copies what the member said at its newest step.
-func (r *record) take(w *carrier.Member, heard time.Time) {
+// update copies what the member reported at its latest step.
+func (r *record) update(w *carrier.Member, heard time.Time) {
 	r.member.Zone = w.Zone
 	r.member.CallerAddress = w.CallerAddress
 	r.member.PeerAddress = w.PeerAddress
@@ -88,10 +88,10 @@
 	r.advance(w.Sequence, w.State, heard)
 }
 
-// advance notes a later step of the same process.
+// advance records a later step of the same process.
 func (r *record) advance(sequence uint64, state uint8, heard time.Time) {
 	r.member.Sequence = sequence
-	r.declared = declared(state)
+	r.declared = parseDeclared(state)
 	if heard.After(r.member.LastHeard) {
 		r.member.LastHeard = heard
 	}
--- a/detector/membership_test.go
+++ b/detector/membership_test.go
@@ -11,11 +11,11 @@
 	"geraniumline/carrier"
 )
 
-// settled starts seven entries and lets them find each other.
-func settled(t require.TestingT, seed uint64) *mesh {
+// convergedMesh starts seven entries and runs them until they know each other.
+func convergedMesh(t require.TestingT, seed uint64) *mesh {
 	m := newMesh(7, seed, testConfig())
 	m.run(3 * time.Second)
-	require.True(t, m.agreed())
+	require.True(t, m.converged())
 	return m
 }
 
@@ -26,39 +26,40 @@
 		testName string
 		run      func(t *testing.T, m *mesh)
 	}{
-		// An entry can't reach one peer. That peer hears of its steps from the five others; callers keep both.
+		// An entry can't reach one peer. That peer learns its steps from the five others; both are still handed out.
 		{"one-way cut from one peer", func(t *testing.T, m *mesh) {
 			from := m.elapsed()
 			m.cut[[2]int{0, 1}] = true
 			m.run(time.Minute)
 			require.Zero(t, m.count(Suspect, from))
-			require.True(t, m.agreed())
+			require.True(t, m.converged())
 			member, _ := m.nodes[1].d.Member(name(0))
 			require.Greater(t, m.now.Sub(member.LastDirectHeartbeat), 50*time.Second)
 		}},
-		// Between a kill and its notice callers may be given a dead address; then all peers agree on its death.
+		// Until a kill is detected, callers may be given a dead address; after that all peers agree on the death.
 		{"kill", func(t *testing.T, m *mesh) {
 			from := m.elapsed()
 			m.kill(3)
 			m.run(4 * time.Second)
 			require.Equal(t, 6, m.count(Dead, from))
-			require.True(t, m.agreed())
+			require.True(t, m.converged())
 		}},
-		// A process is paused, its peers give it up, and it wakes believing that no time went by. It must say how
-		// long it was away, must not give up its peers for its own silence, and is live again within a second.
+		// A process is paused, its peers consider it dead, and it resumes unaware that time has passed. It must
+		// report how long it was paused, must not consider its peers dead because of its own pause, and must be live
+		// again within a second.
 		{"freeze and wake", func(t *testing.T, m *mesh) {
 			from := m.elapsed()
 			m.freeze(3, 10*time.Second)
 			m.run(10 * time.Second)
 			require.Equal(t, 6, m.count(Dead, from))
-			woken := m.elapsed()
+			resumedAt := m.elapsed()
 			m.run(time.Second)
-			require.Equal(t, []int{3}, m.woke(from, 9*time.Second))
-			require.Zero(t, m.count(Dead, woken))
-			require.True(t, m.agreed())
+			require.Equal(t, []int{3}, m.resumed(from, 9*time.Second))
+			require.Zero(t, m.count(Dead, resumedAt))
+			require.True(t, m.converged())
 		}},
-		// A switch parts the system. Each half serves on with its own entries and finds the other again, also
-		// after both have forgotten each other, since the settings' seeds are tried for ever.
+		// A switch failure splits the system. Each half keeps serving with its own entries and finds the other again,
+		// even after both have forgotten each other, since the configured seeds are probed indefinitely.
 		{"partition in two halves and heal", func(t *testing.T, m *mesh) {
 			m.partition(3)
 			m.run(10 * time.Second)
@@ -69,31 +70,31 @@
 			require.Equal(t, Unknown, m.state(0, 3))
 			m.heal()
 			m.run(3 * time.Second)
-			require.True(t, m.agreed())
+			require.True(t, m.converged())
 		}},
-		// An entry is cut off alone. It hears nobody, so it can't tell whether it or all others are lost, and
-		// says so: it is the last to be given to callers, but it is given when there is nothing else.
-		{"alone", func(t *testing.T, m *mesh) {
+		// An entry is isolated. It hears nobody, so it can't tell whether it or all others have failed, and declares
+		// itself Suspect: it is handed out only if no other entry is available.
+		{"isolated entry", func(t *testing.T, m *mesh) {
 			m.cutAll(6, true, true)
 			m.run(5 * time.Second)
 			require.Equal(t, Suspect, m.state(6, 6))
 			require.Equal(t, Dead, m.state(0, 6))
 			require.Equal(t, Live, m.state(0, 0))
 		}},
-		// A VM is replaced under its old name. The late words of peers about the old process change nothing.
+		// A VM is replaced under the same name. Late reports by peers about the old process have no effect.
 		{"restart with a higher incarnation", func(t *testing.T, m *mesh) {
 			old := *m.nodes[4].d.Heartbeat(m.now)
 			m.kill(4)
 			m.run(500 * time.Millisecond)
 			m.boot(4, 2)
 			m.run(2 * time.Second)
-			require.True(t, m.agreed())
+			require.True(t, m.converged())
 			require.Empty(t, m.nodes[0].d.Receive(&old, m.now))
 			member, _ := m.nodes[0].d.Member(name(4))
 			require.Equal(t, uint64(2), member.Incarnation)
 		}},
-		// A process was paused so long that its VM was replaced under the same name, and wakes. Two processes would
-		// answer for one name; the older one hears of the newer and says that it is dead.
+		// A process is paused for so long that its VM is replaced under the same name, and then resumes. Two
+		// processes would answer for one name; the older one learns of the newer and declares itself dead.
 		{"superseded while frozen", func(t *testing.T, m *mesh) {
 			old := m.nodes[4].d
 			m.boot(4, 2)
@@ -105,7 +106,7 @@
 			require.Equal(t, Dead, self.State)
 			require.Equal(t, Live, m.state(0, 4))
 		}},
-		// The VM list lags: it names a VM that is gone and lacks one that lives. Neither is believed.
+		// The VM list lags: it lists a VM that is gone and lacks a live one. Neither affects the membership.
 		{"VM list names a gone VM and lacks a live one", func(t *testing.T, m *mesh) {
 			from := m.elapsed()
 			m.kill(5)
@@ -113,9 +114,9 @@
 			require.Equal(t, Dead, m.state(0, 5))
 			require.Equal(t, Live, m.state(0, 6))
 			require.Equal(t, 6, m.count(Dead, from))
-			require.True(t, m.agreed())
+			require.True(t, m.converged())
 		}},
-		// The seeds are gone, and a new VM is known to the VM list only: the hint brings it in.
+		// The seeds are gone, and a new VM appears only in the VM list: the hint lets it join.
 		{"VM list names a new VM", func(t *testing.T, m *mesh) {
 			m.kill(0)
 			m.kill(1)
@@ -126,9 +127,9 @@
 			require.Equal(t, Unknown, m.state(2, 6))
 			m.nodes[2].d.AddHint(address(6), zone(6), false, m.now)
 			m.run(2 * time.Second)
-			require.True(t, m.agreed())
+			require.True(t, m.converged())
 		}},
-		// Planned stops of all entries, one after another: none may ever look lost.
+		// Planned stops of all entries, one after another: none may ever look dead or suspect.
 		{"all seven restarted one after another", func(t *testing.T, m *mesh) {
 			from := m.elapsed()
 			for i := range 7 {
@@ -142,13 +143,13 @@
 				require.Equal(t, Stopped, m.state((i+1)%7, i))
 				m.boot(i, 2)
 				m.run(time.Second)
-				require.True(t, m.agreed())
+				require.True(t, m.converged())
 			}
 			require.Zero(t, m.count(Dead, from))
 			require.Zero(t, m.count(Suspect, from))
 		}},
-		// The seeds' VMs are long gone when a switch parts the rest for a while. The halves still know each other's
-		// addresses and probe them, so they find each other without anybody's help.
+		// The seeds' VMs are long gone when a switch failure splits the rest for a while. The halves still know each
+		// other's addresses and probe them, so they find each other without seeds or hints.
 		{"partition heals without seeds", func(t *testing.T, m *mesh) {
 			m.kill(0)
 			m.kill(1)
@@ -157,10 +158,10 @@
 			require.Equal(t, Dead, m.state(2, 6))
 			m.heal()
 			m.run(3 * time.Second)
-			require.True(t, m.agreed())
+			require.True(t, m.converged())
 		}},
-		// An entry in its planned stop falls silent. It must not turn into a suspect, which callers may still be
-		// given when there is nothing else.
+		// An entry falls silent during its planned stop. It must not become Suspect, since suspects may still be
+		// handed out if no other entry is available.
 		{"stopping entry falls silent", func(t *testing.T, m *mesh) {
 			m.nodes[2].d.SetSelf(Stopping, 0, 0)
 			m.run(time.Second)
@@ -170,8 +171,8 @@
 			require.Equal(t, Dead, m.state(0, 2))
 			require.Zero(t, m.count(Suspect, from))
 		}},
-		// Peers forget a stopped entry at different times. One that has forgotten it must not learn it anew from
-		// one that hasn't, or it would report again and again an entry that has long gone.
+		// Peers forget a stopped entry at different times. One that has forgotten it must not learn it again from one
+		// that hasn't, or it would keep reporting an entry that is long gone.
 		{"stopped entry is forgotten for good", func(t *testing.T, m *mesh) {
 			m.nodes[2].d.SetSelf(Stopped, 0, 0)
 			m.run(meshHeartbeat)
@@ -186,16 +187,16 @@
 	for _, s := range scenarios {
 		t.Run(s.testName, func(t *testing.T) {
 			for seed := range uint64(4) {
-				s.run(t, settled(t, seed))
+				s.run(t, convergedMesh(t, seed))
 			}
 		})
 	}
 }
 
-// woke gives the entries that reported a pause of at least the given length.
-func (m *mesh) woke(after, least time.Duration) []int {
+// resumed returns the entries that reported a pause of at least the given length.
+func (m *mesh) resumed(after, least time.Duration) []int {
 	var out []int
-	for _, s := range m.seen {
+	for _, s := range m.transitions {
 		if s.at > after && s.Resumed() && s.Paused >= least && s.Member.Name == name(s.observer) {
 			out = append(out, s.observer)
 		}
@@ -204,7 +205,7 @@
 }
 
 func TestVMListMarksLeavingMembers(t *testing.T) {
-	m := settled(t, 1)
+	m := convergedMesh(t, 1)
 	d := m.nodes[0].d
 	d.AddHint(address(3), zone(3), true, m.now)
 	d.AddHint(address(0), zone(0), true, m.now)
@@ -215,30 +216,30 @@
 	require.True(t, self.Leaving)
 	m.run(d.cfg.ForgetAfter + time.Second)
 	member, _ = d.Member(name(3))
-	require.False(t, member.Leaving, "a hint that is no longer repeated lapses")
+	require.False(t, member.Leaving, "a hint that is no longer repeated must expire")
 }
 
-// A peer with a fault tells of members without end, or without a name. Memory must stay bounded.
+// A faulty peer reports an unlimited number of members, or members without a name. Memory use must stay bounded.
 func TestMembersAreBounded(t *testing.T) {
-	m := settled(t, 1)
+	m := convergedMesh(t, 1)
 	d := m.nodes[0].d
 	for i := range 2 * maxMembers {
-		told := carrier.Member{Name: "ghost-" + strconv.Itoa(i), State: uint8(Live), Sequence: 1}
-		d.Receive(&carrier.Heartbeat{From: told, Members: []carrier.Member{{State: uint8(Live), Sequence: 1}, told}}, m.now)
+		member := carrier.Member{Name: "unknown-" + strconv.Itoa(i), State: uint8(Live), Sequence: 1}
+		d.Receive(&carrier.Heartbeat{From: member, Members: []carrier.Member{{State: uint8(Live), Sequence: 1}, member}}, m.now)
 	}
 	require.Len(t, d.Members(), maxMembers+1)
 	_, known := d.Member("")
 	require.False(t, known)
 }
 
-// Any faults come in any order; then all are mended. No view may ever go back to an earlier process or step of a
-// member, and all views must agree a few seconds after the last fault.
+// Arbitrary faults occur in any order and are then all repaired. No view may ever go back to an earlier process or
+// step of a member, and all views must agree a few seconds after the last fault.
 func TestViewsConvergeAfterAnyFaults(t *testing.T) {
 	steps, faults := 0, 0
 	rapid.Check(t, func(r *rapid.T) {
-		m := settled(r, rapid.Uint64().Draw(r, "seed"))
+		m := convergedMesh(r, rapid.Uint64().Draw(r, "seed"))
 		incarnations := make([]uint64, 7)
-		watch := newWatch(m)
+		monotonic := newMonotonicCheck(m)
 		for range rapid.IntRange(1, 8).Draw(r, "faults") {
 			faults++
 			i := rapid.IntRange(0, 6).Draw(r, "entry")
@@ -259,38 +260,38 @@
 			case "heal":
 				m.heal()
 			}
-			m.run(time.Duration(rapid.IntRange(0, 5000).Draw(r, "ms"))*time.Millisecond, func() { watch.check(r) })
+			m.run(time.Duration(rapid.IntRange(0, 5000).Draw(r, "ms"))*time.Millisecond, func() { monotonic.check(r) })
 		}
 		m.heal()
 		for i := range m.nodes {
 			m.nodes[i].d.SetSelf(Live, 0, 0)
 		}
-		m.run(12*time.Second, func() { watch.check(r) })
-		require.True(r, m.agreed())
+		m.run(12*time.Second, func() { monotonic.check(r) })
+		require.True(r, m.converged())
 		steps += int(m.elapsed() / meshStep)
 	})
 	t.Logf("%d steps of 7 entries, %d faults", steps, faults)
 }
 
-// watch holds the newest process and step that each entry has seen of each other.
-type watch struct {
-	m    *mesh
-	last [][]Member
-	of   []*Detector
+// monotonicCheck holds the latest process and step that each entry has seen of each other one.
+type monotonicCheck struct {
+	m         *mesh
+	last      [][]Member
+	observers []*Detector
 }
 
-func newWatch(m *mesh) *watch {
-	w := &watch{m: m, of: make([]*Detector, len(m.nodes))}
+func newMonotonicCheck(m *mesh) *monotonicCheck {
+	w := &monotonicCheck{m: m, observers: make([]*Detector, len(m.nodes))}
 	for range m.nodes {
 		w.last = append(w.last, make([]Member, len(m.nodes)))
 	}
 	return w
 }
 
-func (w *watch) check(t require.TestingT) {
+func (w *monotonicCheck) check(t require.TestingT) {
 	for i, n := range w.m.nodes {
-		if w.of[i] != n.d {
-			w.of[i] = n.d
+		if w.observers[i] != n.d {
+			w.observers[i] = n.d
 			clear(w.last[i])
 		}
 		for j := range w.m.nodes {
--- a/detector/mesh_test.go
+++ b/detector/mesh_test.go
@@ -13,7 +13,7 @@
 	meshHeartbeat = 200 * time.Millisecond
 )
 
-// mesh steps the detectors of several entries over links that a test can delay and cut.
+// mesh runs the detectors of several entries over links that a test can delay and cut.
 type mesh struct {
 	now    time.Time
 	start  time.Time
@@ -21,36 +21,37 @@
 	cfg    Config
 	nodes  []*node
 	byAddr map[string]int
-	// cut holds the links (from, to) that lose what is sent.
+	// cut holds the links (from, to) that drop all messages.
 	cut map[[2]int]bool
-	// loss is the part of all messages that is lost.
+	// loss is the fraction of all messages that is lost.
 	loss float64
-	// delay gives the time that a message is under way.
+	// delay returns the transit time of a message.
 	delay func() time.Duration
-	// every is the time between heartbeats, each that between looks at the entries.
-	every, each time.Duration
-	// sent counts the encoded bytes of all heartbeats, if it is set.
-	sent *int
-	seen []sighting
+	// heartbeatInterval is the time between heartbeats; stepInterval is the time by which each simulation step
+	// advances.
+	heartbeatInterval, stepInterval time.Duration
+	// sent counts the encoded bytes of all heartbeats if it isn't nil.
+	sent        *int
+	transitions []observedTransition
 }
 
-// node is one entry's place: its process may be replaced.
+// node is one entry, whose process may be replaced.
 type node struct {
 	d       *Detector
 	running bool
-	// frozenUntil is when a paused process goes on; it reads its mail only then.
-	frozenUntil time.Time
-	nextBeat    time.Time
-	inbox       []mail
+	// frozenUntil is when a paused process resumes; it reads its messages only then.
+	frozenUntil   time.Time
+	nextHeartbeat time.Time
+	inbox         []delivery
 }
 
-type mail struct {
+type delivery struct {
 	at time.Time
 	hb *carrier.Heartbeat
 }
 
-// sighting is a transition with its place and time.
-type sighting struct {
+// observedTransition is a transition with its observer and time.
+type observedTransition struct {
 	at       time.Duration
 	observer int
 	Transition
@@ -58,13 +59,13 @@
 
 func newMesh(n int, seed uint64, cfg Config) *mesh {
 	m := &mesh{
-		now:    time.Unix(1_700_000_000, 0),
-		rnd:    rand.New(rand.NewPCG(seed, 1)),
-		cfg:    cfg,
-		byAddr: make(map[string]int),
-		cut:    make(map[[2]int]bool),
-		every:  meshHeartbeat,
-		each:   meshStep,
+		now:               time.Unix(1_700_000_000, 0),
+		rnd:               rand.New(rand.NewPCG(seed, 1)),
+		cfg:               cfg,
+		byAddr:            make(map[string]int),
+		cut:               make(map[[2]int]bool),
+		heartbeatInterval: meshHeartbeat,
+		stepInterval:      meshStep,
 	}
 	m.start = m.now
 	m.delay = func() time.Duration { return time.Duration(1+m.rnd.IntN(5)) * time.Millisecond }
@@ -76,7 +77,7 @@
 	return m
 }
 
-// testConfig has the times that the settings give by default.
+// testConfig returns the default timeouts of the settings.
 func testConfig() Config {
 	return Config{
 		SuspectAfter: time.Second,
@@ -90,15 +91,15 @@
 func zone(i int) string    { return "zone-" + strconv.Itoa(i%3) }
 func address(i int) string { return "10.0.0." + strconv.Itoa(i) + ":7003" }
 
-// boot starts a new process for entry i, which knows only the seeds.
+// boot starts a new process for entry i that knows only the seeds.
 func (m *mesh) boot(i int, incarnation uint64) {
 	cfg := m.cfg
 	cfg.Self = carrier.Member{Name: name(i), Zone: zone(i), PeerAddress: address(i), Incarnation: incarnation}
-	phase := time.Duration(m.rnd.Int64N(int64(m.every)))
-	*m.nodes[i] = node{d: New(cfg), running: true, nextBeat: m.now.Add(phase)}
+	phase := time.Duration(m.rnd.Int64N(int64(m.heartbeatInterval)))
+	*m.nodes[i] = node{d: New(cfg), running: true, nextHeartbeat: m.now.Add(phase)}
 }
 
-// cutZone cuts one of the three zones off from the others, both ways.
+// cutZone isolates one of the three zones from the others in both directions.
 func (m *mesh) cutZone(zone int) {
 	for i := range m.nodes {
 		for j := range m.nodes {
@@ -111,59 +112,59 @@
 
 func (m *mesh) freeze(i int, d time.Duration) { m.nodes[i].frozenUntil = m.now.Add(d) }
 
-// awake tells whether entry i's process runs now.
-func (m *mesh) awake(i int) bool {
+// running reports whether entry i's process is started and not paused.
+func (m *mesh) running(i int) bool {
 	return m.nodes[i].running && !m.now.Before(m.nodes[i].frozenUntil)
 }
 
-func (m *mesh) run(d time.Duration, each ...func()) {
+func (m *mesh) run(d time.Duration, afterStep ...func()) {
 	for end := m.now.Add(d); m.now.Before(end); {
-		m.now = m.now.Add(m.each)
+		m.now = m.now.Add(m.stepInterval)
 		for _, i := range m.rnd.Perm(len(m.nodes)) {
-			if m.awake(i) {
+			if m.running(i) {
 				m.step(i)
 			}
 		}
-		for _, f := range each {
+		for _, f := range afterStep {
 			f()
 		}
 	}
 }
 
-// step lets one process do its work in either order: a loop that wakes may tick before it reads.
+// step runs one iteration of a process in random order: a loop that resumes may tick before it reads.
 func (m *mesh) step(i int) {
 	if m.rnd.IntN(2) == 0 {
-		m.beat(i)
-		m.read(i)
+		m.sendDue(i)
+		m.receiveDue(i)
 		return
 	}
-	m.read(i)
-	m.beat(i)
+	m.receiveDue(i)
+	m.sendDue(i)
 }
 
-func (m *mesh) read(i int) {
+func (m *mesh) receiveDue(i int) {
 	n := m.nodes[i]
 	if len(n.inbox) == 0 {
 		return
 	}
-	var later []mail
+	var later []delivery
 	for _, x := range n.inbox {
 		if x.at.After(m.now) {
 			later = append(later, x)
 			continue
 		}
-		m.note(i, n.d.Receive(x.hb, m.now))
+		m.recordTransitions(i, n.d.Receive(x.hb, m.now))
 	}
 	n.inbox = later
 }
 
-func (m *mesh) beat(i int) {
+func (m *mesh) sendDue(i int) {
 	n := m.nodes[i]
-	if m.now.Before(n.nextBeat) {
+	if m.now.Before(n.nextHeartbeat) {
 		return
 	}
-	n.nextBeat = m.now.Add(m.every)
-	m.note(i, n.d.Tick(m.now))
+	n.nextHeartbeat = m.now.Add(m.heartbeatInterval)
+	m.recordTransitions(i, n.d.Tick(m.now))
 	hb := n.d.Heartbeat(m.now)
 	size := 0
 	if m.sent != nil {
@@ -178,20 +179,20 @@
 		if !ok || m.cut[[2]int{i, j}] || !m.nodes[j].running || m.loss > 0 && m.rnd.Float64() < m.loss {
 			continue
 		}
-		m.nodes[j].inbox = append(m.nodes[j].inbox, mail{at: m.now.Add(m.delay()), hb: hb})
+		m.nodes[j].inbox = append(m.nodes[j].inbox, delivery{at: m.now.Add(m.delay()), hb: hb})
 	}
 }
 
-func (m *mesh) note(i int, ts []Transition) {
+func (m *mesh) recordTransitions(i int, ts []Transition) {
 	for _, t := range ts {
-		m.seen = append(m.seen, sighting{at: m.now.Sub(m.start), observer: i, Transition: t})
+		m.transitions = append(m.transitions, observedTransition{at: m.now.Sub(m.start), observer: i, Transition: t})
 	}
 }
 
-// gives tells whether any process that runs, the victim's own included, would give the victim to a caller.
-func (m *mesh) gives(victim int) bool {
+// handsOut reports whether any running process, including the victim's own, would hand out the victim to a caller.
+func (m *mesh) handsOut(victim int) bool {
 	for i := range m.nodes {
-		if m.awake(i) && m.state(i, victim) == Live {
+		if m.running(i) && m.state(i, victim) == Live {
 			return true
 		}
 	}
@@ -206,10 +207,10 @@
 	return member.State
 }
 
-// count counts the sightings of a state after the given time.
+// count returns the number of transitions to a state after the given time.
 func (m *mesh) count(to State, after time.Duration) int {
 	n := 0
-	for _, s := range m.seen {
+	for _, s := range m.transitions {
 		if s.To == to && s.From != to && s.at > after {
 			n++
 		}
@@ -217,11 +218,11 @@
 	return n
 }
 
-// agreed tells whether every process that runs sees every one that runs as live, and no other.
-func (m *mesh) agreed() bool {
+// converged reports whether every running process sees all running ones as live, and no others.
+func (m *mesh) converged() bool {
 	for i := range m.nodes {
 		for j := range m.nodes {
-			if m.awake(i) && (m.state(i, j) == Live) != m.awake(j) {
+			if m.running(i) && (m.state(i, j) == Live) != m.running(j) {
 				return false
 			}
 		}
--- a/detector/pulse.go
+++ b/detector/pulse.go
@@ -10,35 +10,35 @@
 )
 
 const (
-	// introducedPerBeat is how many known members each heartbeat names in full, in turn. It lets an entry that
-	// missed an introduction learn of the member in the end.
-	introducedPerBeat = 1
-	// introductions is how many heartbeats name a member in full after it was learned.
-	introductions = 3
+	// fullPerHeartbeat is the number of known members that each heartbeat describes in full, in rotation. An entry
+	// that missed the first full descriptions of a member eventually learns of it this way.
+	fullPerHeartbeat = 1
+	// fullRepeats is the number of heartbeats that describe a member in full after it becomes known.
+	fullRepeats = 3
 )
 
-// pulseID gives the short name of one process of a member. It changes with the incarnation, so an old process's
-// pulses are never taken for its successor's.
+// pulseID returns the short ID of one process of a member. It depends on the incarnation, so pulses of an old process
+// are never attributed to its successor.
 func pulseID(name string, incarnation uint64) uint32 {
 	h := xxhash.Sum64String(name)
 	return uint32(hasher.Mix(h ^ hasher.Mix(incarnation)))
 }
 
-// index finds members by their pulse id.
+// index maps pulse IDs to members.
 type index struct {
 	byID map[uint32]*record
-	// shared holds ids that two known members have. Their pulses are not read and they are named in full, since
-	// the steps of one would make the other look alive.
-	shared map[uint32]bool
+	// collisions holds IDs shared by two known members. Pulses with these IDs are ignored and the members are
+	// described in full, since steps of one would make the other look alive.
+	collisions map[uint32]bool
 }
 
 func newIndex() index {
-	return index{byID: make(map[uint32]*record), shared: make(map[uint32]bool)}
+	return index{byID: make(map[uint32]*record), collisions: make(map[uint32]bool)}
 }
 
 func (x *index) put(r *record) {
 	if other, taken := x.byID[r.id]; taken && other != r {
-		x.shared[r.id] = true
+		x.collisions[r.id] = true
 		return
 	}
 	x.byID[r.id] = r
@@ -50,20 +50,20 @@
 	}
 }
 
-// Heartbeat gives the heartbeat of one round, with the membership filled in; the same one is for all Targets.
-// Members that peers know are told in their short form. All are told in full to somebody who has just come.
+// Heartbeat builds the heartbeat of one round, to be sent to all Targets. Members that peers already know are sent in
+// short form. If a new member has appeared, all members are described in full.
 func (d *Detector) Heartbeat(now time.Time) *carrier.Heartbeat {
 	hb := &carrier.Heartbeat{From: d.Self(), Sequence: d.self.Sequence}
-	if d.newcomer {
-		d.newcomer = false
+	if d.sendFull {
+		d.sendFull = false
 		hb.Members = d.Digest(now)
 		return hb
 	}
-	d.turn++
-	for i, r := range d.order {
+	d.heartbeats++
+	for i, r := range d.sorted {
 		switch {
-		case !d.told(r, now):
-		case d.named(r, i):
+		case !d.inHeartbeat(r, now):
+		case d.describedInFull(r, i):
 			hb.Members = append(hb.Members, r.wire(now))
 		default:
 			hb.Pulses = append(hb.Pulses, r.pulse(now))
@@ -72,14 +72,14 @@
 	return hb
 }
 
-// named tells whether the member at place i is named in full this time.
-func (d *Detector) named(r *record, i int) bool {
-	if r.introductions > 0 {
-		r.introductions--
+// describedInFull reports whether the member at index i is described in full in this heartbeat.
+func (d *Detector) describedInFull(r *record, i int) bool {
+	if r.fullRemaining > 0 {
+		r.fullRemaining--
 		return true
 	}
-	inTurn := (uint64(i)+d.phase+d.turn*introducedPerBeat)%uint64(len(d.order)) < introducedPerBeat
-	return inTurn || d.index.shared[r.id]
+	inTurn := (uint64(i)+d.phase+d.heartbeats*fullPerHeartbeat)%uint64(len(d.sorted)) < fullPerHeartbeat
+	return inTurn || d.index.collisions[r.id]
 }
 
 func (r *record) pulse(now time.Time) carrier.Pulse {
@@ -91,13 +91,13 @@
 	}
 }
 
-// hearPulse takes the short form of what a peer passes on. It says nothing of members that are unknown here.
-func (d *Detector) hearPulse(p *carrier.Pulse, now time.Time, out []Transition) []Transition {
-	if d.index.shared[p.ID] {
+// mergePulse merges the short form of what a peer relays. Pulses of unknown members are ignored.
+func (d *Detector) mergePulse(p *carrier.Pulse, now time.Time, out []Transition) []Transition {
+	if d.index.collisions[p.ID] {
 		return out
 	}
 	if p.ID == d.id {
-		d.echo.heard(p.Sequence)
+		d.acks.recordAck(p.Sequence)
 		return out
 	}
 	r, known := d.index.byID[p.ID]
@@ -105,5 +105,5 @@
 		return out
 	}
 	r.advance(p.Sequence, p.State, now.Add(-time.Duration(p.AgeMillis)*time.Millisecond))
-	return d.judge(r, now, out)
+	return d.updateState(r, now, out)
 }
--- a/detector/pulse_test.go
+++ b/detector/pulse_test.go
@@ -10,8 +10,8 @@
 	"geraniumline/carrier"
 )
 
-// twins gives two names whose first processes have the same pulse id.
-func twins(t *testing.T) (string, string) {
+// collidingNames returns two names whose first processes have the same pulse ID.
+func collidingNames(t *testing.T) (string, string) {
 	names := make(map[uint32]string)
 	for i := range 1_000_000 {
 		name := "entry-" + strconv.Itoa(i)
@@ -25,31 +25,31 @@
 	return "", ""
 }
 
-// Two entries have the same pulse id by chance; one dies. Were the other's pulses taken for both, the dead one would
-// stay in callers' answers for as long as its twin lives.
-func TestTwinsInPulseIDDoNotKeepEachOtherAlive(t *testing.T) {
-	x, y := twins(t)
+// Two entries happen to have the same pulse ID, and one dies. If pulses of the other counted for both, the dead one
+// would be handed out to callers for as long as the other lives.
+func TestPulseIDCollisionDoesNotKeepDeadMemberAlive(t *testing.T) {
+	x, y := collidingNames(t)
 	for _, names := range [][2]string{{x, y}, {y, x}} {
 		lives, dies := names[0], names[1]
 		now := time.Unix(1_700_000_000, 0)
-		teller, listener := New(testConfig()), New(testConfig())
-		teller.self.Name = "teller"
+		sender, receiver := New(testConfig()), New(testConfig())
+		sender.self.Name = "sender"
 		beat := func(name string, sequence uint64) *carrier.Heartbeat {
 			return &carrier.Heartbeat{From: carrier.Member{Name: name, Incarnation: 1, Sequence: sequence, State: uint8(Live)}}
 		}
 		for step := range uint64(50) {
 			now = now.Add(meshHeartbeat)
 			if step < 10 {
-				teller.Receive(beat(dies, step+1), now)
+				sender.Receive(beat(dies, step+1), now)
 			}
-			teller.Receive(beat(lives, step+1), now)
-			teller.Tick(now)
-			listener.Tick(now)
-			listener.Receive(teller.Heartbeat(now), now)
+			sender.Receive(beat(lives, step+1), now)
+			sender.Tick(now)
+			receiver.Tick(now)
+			receiver.Receive(sender.Heartbeat(now), now)
 		}
-		member, _ := listener.Member(lives)
+		member, _ := receiver.Member(lives)
 		require.Equal(t, Live, member.State)
-		member, _ = listener.Member(dies)
+		member, _ = receiver.Member(dies)
 		require.Equal(t, Dead, member.State)
 	}
 }
--- a/detector/refusal_test.go
+++ b/detector/refusal_test.go
@@ -9,13 +9,14 @@
 	"geraniumline/carrier"
 )
 
-// An entry is killed. Its address refuses the next connection, which a cut or a freeze does not do, so its peers
-// need not wait for DeadAfter: callers that wait for its requests are told, and its part of the limits is free.
-// A refusal alone is not enough: a firewall between two entries may give it while all others hear the entry.
+// An entry is killed. Its address then refuses connections, which doesn't happen in a network partition or a freeze,
+// so its peers need not wait for DeadAfter to inform callers that wait for its requests and to release its share of
+// the limits. A refusal alone is not enough: a firewall between two entries may cause it while all others still hear
+// the entry.
 func TestRefusedConnection(t *testing.T) {
 	start := time.Unix(1_800_000_000, 0)
 	const address = "10.0.0.2:1"
-	said := func(incarnation, sequence uint64) carrier.Member {
+	report := func(incarnation, sequence uint64) carrier.Member {
 		return carrier.Member{Name: "b", PeerAddress: address, Incarnation: incarnation, Sequence: sequence, State: uint8(Live)}
 	}
 	third := func(sequence uint64, members ...carrier.Member) *carrier.Heartbeat {
@@ -39,13 +40,13 @@
 		{"refused and silent", steps{early: refuse(address)}, Dead, true},
 		{"silent for as long, not refused", steps{}, Live, false},
 		{"another address refuses", steps{early: refuse("10.0.0.3:1")}, Live, false},
-		{"refused, but a third entry hears it", steps{early: refuse(address), late: hear(third(2, said(1, 2)))}, Live, false},
-		{"refused, and back as a new process", steps{early: refuse(address), late: hear(&carrier.Heartbeat{From: said(2, 1), Sequence: 1})}, Live, false},
+		{"refused, but a third entry hears it", steps{early: refuse(address), late: hear(third(2, report(1, 2)))}, Live, false},
+		{"refused, and back as a new process", steps{early: refuse(address), late: hear(&carrier.Heartbeat{From: report(2, 1), Sequence: 1})}, Live, false},
 	} {
 		t.Run(s.testName, func(t *testing.T) {
 			d := New(Config{Self: carrier.Member{Name: "a", PeerAddress: "10.0.0.1:1", Incarnation: 1}, SuspectAfter: time.Second, DeadAfter: 3 * time.Second, ForgetAfter: time.Hour})
 			d.Receive(third(1), start)
-			d.Receive(&carrier.Heartbeat{From: said(1, 1), Sequence: 1}, start)
+			d.Receive(&carrier.Heartbeat{From: report(1, 1), Sequence: 1}, start)
 			refused := false
 			for t := tick; t <= end; t += tick {
 				if step, due := s.steps[t]; due {
--- a/detector/silence_test.go
+++ b/detector/silence_test.go
@@ -8,16 +8,16 @@
 	"github.com/stretchr/testify/require"
 )
 
-// The bounds on the time until an entry is no longer given to callers are set from the run of this test:
-// SuspectAfter of 1 s, up to one heartbeat until the next judgement, and a hop.
+// Bounds on the time until a lost entry is no longer handed out to callers: SuspectAfter of 1 s, up to one heartbeat
+// until the next evaluation, and one hop.
 const (
 	handedOutP50   = 1100 * time.Millisecond
 	handedOutWorst = 1300 * time.Millisecond
 )
 
-// A caller asks for addresses just after an entry was lost, and gets the lost one among them. Its peers hear no
-// further step of it, by no path; each ends handing it out once the silence reaches SuspectAfter. Where only one
-// direction is lost, the entry itself must end it too: it hears nobody, or no peer says that it was heard.
+// A caller asks for addresses just after an entry was lost and is given the lost one among them. Its peers receive no
+// further step of it on any path, and each stops handing it out once the silence reaches SuspectAfter. If only one
+// direction is lost, the entry itself must stop too: it hears nobody, or no peer reports having heard it.
 func TestLostEntryIsNoLongerHandedOut(t *testing.T) {
 	scenarios := []struct {
 		testName string
@@ -47,18 +47,18 @@
 func timeHandedOut(t *testing.T, seed uint64, lose func(m *mesh, victim int)) time.Duration {
 	m := newMesh(7, seed, testConfig())
 	m.run(3*time.Second + time.Duration(m.rnd.IntN(20))*meshStep)
-	require.True(t, m.agreed())
+	require.True(t, m.converged())
 	victim := int(seed % 7)
 	lose(m, victim)
-	return m.timeGiven(victim, 6*time.Second)
+	return m.handedOutFor(victim, 6*time.Second)
 }
 
-// The network delays heartbeats, one direction between two entries is always cut, and each process pauses now and then,
-// always for less than SuspectAfter less a heartbeat. Every entry is alive all the time and heard by some peer, so no
-// caller may lose one from its answer.
+// The network delays heartbeats, one direction between two entries is always cut, and processes are paused now and
+// then for less than SuspectAfter minus one heartbeat. Every entry is alive all the time and heard by some peer, so
+// none may disappear from the answers to callers.
 func TestNoFalseDeathOverALongRun(t *testing.T) {
 	m := newMesh(7, 42, testConfig())
-	pause := m.cfg.SuspectAfter - m.every
+	pause := m.cfg.SuspectAfter - m.heartbeatInterval
 	m.delay = func() time.Duration { return time.Duration(1+m.rnd.ExpFloat64()*20) * time.Millisecond }
 	m.run(2 * time.Second)
 	pauses := 0
--- a/detector/state.go
+++ b/detector/state.go
@@ -1,24 +1,24 @@
 package detector
 
-// State is how far a member can be relied on.
+// State is the availability of a member.
 type State uint8
 
-// The states of a member. The zero State belongs to a member that nobody has heard of.
+// The states of a member. The zero State is that of an unknown member.
 const (
 	Unknown State = iota
-	// Live members are heard and may be given to callers.
+	// Live members are heard from and may be handed out to callers.
 	Live
-	// Suspect members have been silent for Config.SuspectAfter, or say themselves that they hear nobody.
+	// Suspect members have been silent for Config.SuspectAfter, or report that they receive from nobody.
 	Suspect
-	// Dead members have been silent for Config.DeadAfter, or a newer process has taken their name.
+	// Dead members have been silent for Config.DeadAfter, or a newer process uses their name.
 	Dead
-	// Stopping members are in a planned stop: they take no new callers but still answer.
+	// Stopping members are in a planned stop: they accept no new callers but still answer.
 	Stopping
-	// Stopped members have ended a planned stop.
+	// Stopped members have completed a planned stop.
 	Stopped
 )
 
-// String gives the state's name as logs and the status page print it.
+// String returns the name of the state as shown in logs and on the status page.
 func (s State) String() string {
 	switch s {
 	case Live:
@@ -36,9 +36,9 @@
 	}
 }
 
-// declared maps a state from the wire to one that a member may say of itself.
-// Anything else is read as Suspect: the member is alive, but is not given to callers.
-func declared(value uint8) State {
+// parseDeclared converts a state from the wire to one that a member may report about itself. Any other value is read
+// as Suspect: the member is alive, but isn't handed out to callers.
+func parseDeclared(value uint8) State {
 	switch s := State(value); s {
 	case Live, Stopping, Stopped:
 		return s
--- a/detector/target.go
+++ b/detector/target.go
@@ -6,17 +6,17 @@
 	"time"
 )
 
-// hint is a peer address that was named by the VM list or by the settings.
+// hint is a peer address from the VM list or from the settings.
 type hint struct {
 	zone     string
 	leaving  bool
 	seed     bool
-	namedAt  time.Time
+	listedAt time.Time
 	probedAt time.Time
 }
 
-// AddHint takes a line of the VM list. The list lags, so it never makes a member live or dead:
-// it only names an address to send heartbeats to, and marks a member whose VM is leaving.
+// AddHint records one row of the VM list. The list lags, so it never makes a member live or dead: it only supplies an
+// address to send heartbeats to, and marks members whose VM is leaving.
 func (d *Detector) AddHint(peerAddress, zone string, leaving bool, now time.Time) {
 	h, ok := d.hints[peerAddress]
 	if !ok {
@@ -25,23 +25,23 @@
 	}
 	h.zone = zone
 	h.leaving = leaving
-	h.namedAt = now
+	h.listedAt = now
 	d.markLeaving(peerAddress, leaving)
 }
 
-// Targets gives the peer addresses to send the next heartbeat to: members that are not dead, and now and then
-// the dead ones, the hints and the seeds, so that a healed partition and a new VM are found.
+// Targets returns the peer addresses to send the next heartbeat to: members that aren't dead, and at intervals dead
+// members, hints and seeds, so that healed partitions and new VMs are discovered.
 func (d *Detector) Targets(now time.Time) []string {
-	t := targets{taken: make(map[string]bool, len(d.order)+1)}
-	t.taken[d.self.PeerAddress] = true
-	for _, address := range d.greet {
+	t := targets{seen: make(map[string]bool, len(d.sorted)+1)}
+	t.seen[d.self.PeerAddress] = true
+	for _, address := range d.newPeers {
 		t.add(address)
 	}
-	d.greet = nil
-	if d.fullMesh() {
+	d.newPeers = nil
+	if d.usesFullMesh() {
 		t.addAll(d.reachable())
 	} else {
-		t.addAll(d.gossip(now))
+		t.addAll(d.gossipTargets(now))
 	}
 	for _, p := range d.probes(now) {
 		t.add(p.address)
@@ -51,17 +51,17 @@
 	return t.addresses
 }
 
-// targets is a list of addresses without doubles.
+// targets is a list of addresses without duplicates.
 type targets struct {
 	addresses []string
-	taken     map[string]bool
+	seen      map[string]bool
 }
 
 func (t *targets) add(address string) {
-	if t.taken[address] {
+	if t.seen[address] {
 		return
 	}
-	t.taken[address] = true
+	t.seen[address] = true
 	t.addresses = append(t.addresses, address)
 }
 
@@ -71,10 +71,10 @@
 	}
 }
 
-// reachable gives the members that heartbeats are sent to.
+// reachable returns the members that receive heartbeats.
 func (d *Detector) reachable() []*record {
-	out := make([]*record, 0, len(d.order))
-	for _, r := range d.order {
+	out := make([]*record, 0, len(d.sorted))
+	for _, r := range d.sorted {
 		if r.member.State != Dead && r.member.State != Stopped {
 			out = append(out, r)
 		}
@@ -82,17 +82,17 @@
 	return out
 }
 
-// probe is an address that may or may not be an entry's.
+// probe is an address at which an entry may or may not run.
 type probe struct {
 	address  string
 	probedAt *time.Time
 }
 
-// probes gives the addresses that are due to be tried, those that have waited longest first. When the system is too
-// large for a full mesh their number is bounded, or the loss of an availability zone would raise the traffic.
+// probes returns the addresses that are due for a probe, least recently probed first. Above MaxFullMesh their number
+// is limited; otherwise the loss of an availability zone would increase the traffic.
 func (d *Detector) probes(now time.Time) []probe {
 	due := append(d.deadProbes(now), d.hintProbes(now)...)
-	if d.fullMesh() || len(due) <= d.cfg.Fanout {
+	if d.usesFullMesh() || len(due) <= d.cfg.Fanout {
 		return due
 	}
 	slices.SortFunc(due, func(x, y probe) int {
@@ -106,7 +106,7 @@
 
 func (d *Detector) deadProbes(now time.Time) []probe {
 	var due []probe
-	for _, r := range d.order {
+	for _, r := range d.sorted {
 		if r.member.State == Dead && now.Sub(r.probedAt) >= d.cfg.ProbeInterval {
 			due = append(due, probe{address: r.member.PeerAddress, probedAt: &r.probedAt})
 		}
@@ -114,7 +114,8 @@
 	return due
 }
 
-// hintProbes gives the hints that are due and at whose address no member is known that gets heartbeats anyway.
+// hintProbes returns the hints that are due for a probe, except those at whose address a known member already
+// receives heartbeats.
 func (d *Detector) hintProbes(now time.Time) []probe {
 	var due []probe
 	for address, h := range d.hints {
@@ -129,7 +130,7 @@
 	return slices.DeleteFunc(due, func(p probe) bool { return known[p.address] })
 }
 
-// knownAddresses gives the peer addresses of this entry and of the members that heartbeats are sent to.
+// knownAddresses returns the peer addresses of this entry and of the members that receive heartbeats.
 func (d *Detector) knownAddresses() map[string]bool {
 	out := map[string]bool{d.self.PeerAddress: true}
 	for _, r := range d.reachable() {
@@ -143,17 +144,17 @@
 		d.self.Leaving = leaving
 		return
 	}
-	for _, r := range d.order {
+	for _, r := range d.sorted {
 		if r.member.PeerAddress == peerAddress {
 			r.member.Leaving = leaving
 		}
 	}
 }
 
-// dropHints forgets addresses that the VM list has not named for ForgetAfter. Seeds stay.
+// dropHints removes addresses that the VM list hasn't contained for ForgetAfter. Seeds are kept.
 func (d *Detector) dropHints(now time.Time) {
 	for address, h := range d.hints {
-		if h.seed || now.Sub(h.namedAt) <= d.cfg.ForgetAfter {
+		if h.seed || now.Sub(h.listedAt) <= d.cfg.ForgetAfter {
 			continue
 		}
 		delete(d.hints, address)
