--- a/detector/fleet_test.go
+++ b/detector/fleet_test.go
@@ -30,7 +30,7 @@
 	return m
 }
 
-// Guards against false suspicion in a fleet of 195 live entries with 10% message loss, at a bandwidth that a VM with
+// Guards against false suspicion in a fleet of 195 live entries in which a tenth of all messages is lost, at a bandwidth that a VM with
 // 10 Mbit/s can afford. An entry that suspects a live one believes that its duties have moved to another entry, and
 // two then perform the same duty: 28 of 44 entries collected for one service, and nine tenths of their calls were
 // refused.
--- a/detector/membership_test.go
+++ b/detector/membership_test.go
@@ -74,7 +74,7 @@
 		}},
 		// An entry is isolated. It hears nobody, so it can't tell whether it or all others have failed, and declares
 		// itself Suspect: it is handed out only if no other entry is available.
-		{"isolated entry", func(t *testing.T, m *mesh) {
+		{"alone", func(t *testing.T, m *mesh) {
 			m.cutAll(6, true, true)
 			m.run(5 * time.Second)
 			require.Equal(t, Suspect, m.state(6, 6))
@@ -224,7 +224,7 @@
 	m := convergedMesh(t, 1)
 	d := m.nodes[0].d
 	for i := range 2 * maxMembers {
-		member := carrier.Member{Name: "unknown-" + strconv.Itoa(i), State: uint8(Live), Sequence: 1}
+		member := carrier.Member{Name: "ghost-" + strconv.Itoa(i), State: uint8(Live), Sequence: 1}
 		d.Receive(&carrier.Heartbeat{From: member, Members: []carrier.Member{{State: uint8(Live), Sequence: 1}, member}}, m.now)
 	}
 	require.Len(t, d.Members(), maxMembers+1)
--- a/detector/pulse_test.go
+++ b/detector/pulse_test.go
@@ -33,7 +33,7 @@
 		lives, dies := names[0], names[1]
 		now := time.Unix(1_700_000_000, 0)
 		sender, receiver := New(testConfig()), New(testConfig())
-		sender.self.Name = "sender"
+		sender.self.Name = "teller"
 		beat := func(name string, sequence uint64) *carrier.Heartbeat {
 			return &carrier.Heartbeat{From: carrier.Member{Name: name, Incarnation: 1, Sequence: sequence, State: uint8(Live)}}
 		}
--- a/drainer/drainer.go
+++ b/drainer/drainer.go
@@ -1,26 +1,26 @@
-// Package drainer decides the steps of a planned stop, so that it cuts no request.
+// Package drainer implements the phases of a planned stop, so that the stop interrupts no request.
 package drainer
 
 import "time"
 
-// Phase is a step of a planned stop. Phases only go forward.
+// Phase is a phase of a planned stop. Phases only advance.
 type Phase uint8
 
 // The phases of a planned stop.
 const (
 	// Serving entries have not been asked to stop.
 	Serving Phase = iota
-	// Withdrawing entries are no longer given to callers, but callers with an old answer are served.
+	// Withdrawing entries are no longer handed out to callers, but still serve callers with an older address answer.
 	Withdrawing
-	// Draining entries take no new work and end what is in flight.
+	// Draining entries accept no new work and finish requests in flight.
 	Draining
-	// HandingOver entries have nothing in flight and give their results to peers.
+	// HandingOver entries have nothing in flight and transfer their results to peers.
 	HandingOver
 	// Done entries may exit.
 	Done
 )
 
-// String gives the phase's name as logs and the status page print it.
+// String returns the name of the phase as shown in logs and on the status page.
 func (p Phase) String() string {
 	switch p {
 	case Serving:
@@ -38,83 +38,85 @@
 	}
 }
 
-// Config holds the times of a planned stop.
+// Config holds the time limits of a planned stop.
 type Config struct {
-	// AddressTTL is how long callers may keep an address answer.
+	// AddressTTL is how long callers may cache an address answer.
 	AddressTTL time.Duration
-	// Grace is added to AddressTTL: peers give this entry's address out until they hear of the stop (up to the
+	// Grace is added to AddressTTL: peers hand out this entry's address until they learn of the stop (up to the
 	// detector's SuspectAfter if this entry's heartbeats don't reach them), and a caller's last request takes time.
 	Grace time.Duration
-	// HandoverTimeout is how long results may wait for a peer that takes them. Zero waits without limit.
+	// HandoverTimeout is how long to wait for peers to accept the results. Zero means no limit.
 	HandoverTimeout time.Duration
 }
 
-// Drainer holds how far a planned stop has come.
+// Drainer tracks the progress of a planned stop.
 type Drainer struct {
 	cfg       Config
 	phase     Phase
-	begunAt   time.Time
+	startedAt time.Time
 	drainedAt time.Time
 }
 
-// New makes a Drainer that serves.
+// New returns a Drainer in phase Serving.
 func New(cfg Config) *Drainer {
 	return &Drainer{cfg: cfg}
 }
 
-// Begin starts the planned stop. A second signal changes nothing: shortening the stop would cut requests
-// whose callers rely on their address answers.
+// Begin starts the planned stop. Further calls have no effect: shortening the stop would interrupt requests of
+// callers that rely on their address answers.
 func (d *Drainer) Begin(now time.Time) {
 	if d.phase != Serving {
 		return
 	}
 	d.phase = Withdrawing
-	d.begunAt = now
+	d.startedAt = now
 }
 
-// Step moves the stop on. inFlight counts requests and open streams, unhanded the results that callers may
-// still ask for and no peer has taken.
-func (d *Drainer) Step(inFlight, unhanded int, now time.Time) Phase {
-	if d.phase == Withdrawing && !now.Before(d.lapse()) {
+// Step advances the stop and returns the current phase. inFlight is the number of requests and open streams,
+// pendingResults the number of results that callers may still request and no peer has accepted.
+func (d *Drainer) Step(inFlight, pendingResults int, now time.Time) Phase {
+	if d.phase == Withdrawing && !now.Before(d.acceptUntil()) {
 		d.phase = Draining
 	}
 	if d.phase == Draining && inFlight == 0 {
 		d.phase = HandingOver
 		d.drainedAt = now
 	}
-	if d.phase == HandingOver && inFlight == 0 && (unhanded == 0 || d.handoverExpired(now)) {
+	if d.phase == HandingOver && inFlight == 0 && (pendingResults == 0 || d.handoverExpired(now)) {
 		d.phase = Done
 	}
 	return d.phase
 }
 
-// Phase gives the present phase.
+// Phase returns the current phase.
 func (d *Drainer) Phase() Phase {
 	return d.phase
 }
 
-// AcceptsWork tells whether new requests are taken: until the last address answer given out has lapsed.
+// AcceptsWork reports whether new requests are accepted, which ends when the last address answer handed out has
+// expired.
 func (d *Drainer) AcceptsWork(now time.Time) bool {
 	switch d.phase {
 	case Serving:
 		return true
 	case Withdrawing:
-		return now.Before(d.lapse())
+		return now.Before(d.acceptUntil())
 	default:
 		return false
 	}
 }
 
-// AcceptTimeLeft gives how long new requests are still taken; zero once they aren't, and while serving.
+// AcceptTimeLeft returns for how much longer new requests are accepted. It is zero while serving and after the last
+// address answer has expired.
 func (d *Drainer) AcceptTimeLeft(now time.Time) time.Duration {
 	if d.phase != Withdrawing {
 		return 0
 	}
-	return max(d.lapse().Sub(now), 0)
+	return max(d.acceptUntil().Sub(now), 0)
 }
 
-func (d *Drainer) lapse() time.Time {
-	return d.begunAt.Add(d.cfg.AddressTTL + d.cfg.Grace)
+func (d *Drainer) acceptUntil() time.Time {
+	return d.startedAt.Add(d.cfg.AddressTTL + d.cfg.Grace)
 }
 
 func (d *Drainer) handoverExpired(now time.Time) bool {
--- a/drainer/drainer_test.go
+++ b/drainer/drainer_test.go
@@ -10,49 +10,52 @@
 func TestPlannedStop(t *testing.T) {
 	start := time.Unix(1_700_000_000, 0)
 	type step struct {
-		at                 time.Duration
-		begin              bool
-		inFlight, unhanded int
-		want               Phase
-		accepts            bool
-		left               time.Duration
+		at                       time.Duration
+		begin                    bool
+		inFlight, pendingResults int
+		want                     Phase
+		accepts                  bool
+		left                     time.Duration
 	}
 	scenarios := []struct {
 		testName string
 		steps    []step
 	}{
-		{"no stop was asked for", []step{
+		{"no stop requested", []step{
 			{at: time.Hour, want: Serving, accepts: true},
 		}},
-		// A caller got its address just before the stop and uses it up to 32 s later; its stream goes on for a minute.
-		{"caller with an old answer is served whole", []step{
+		// A caller received the address just before the stop and uses it up to 32 s later; its stream lasts another
+		// minute.
+		{"caller with an old answer is served completely", []step{
 			{at: 0, begin: true, inFlight: 0, want: Withdrawing, accepts: true, left: 32 * time.Second},
 			{at: 31 * time.Second, inFlight: 1, want: Withdrawing, accepts: true, left: time.Second},
 			{at: 32 * time.Second, inFlight: 1, want: Draining},
-			{at: 90 * time.Second, inFlight: 1, unhanded: 1, want: Draining},
-			{at: 91 * time.Second, unhanded: 1, want: HandingOver},
+			{at: 90 * time.Second, inFlight: 1, pendingResults: 1, want: Draining},
+			{at: 91 * time.Second, pendingResults: 1, want: HandingOver},
 			{at: 92 * time.Second, want: Done},
 		}},
-		// An impatient operator signals again. Were the stop shortened, callers with an old answer would be cut.
+		// The operator signals a second time. If that shortened the stop, callers with an older answer would be
+		// interrupted.
 		{"second signal changes nothing", []step{
 			{at: 0, begin: true, want: Withdrawing, accepts: true, left: 32 * time.Second},
 			{at: 10 * time.Second, begin: true, want: Withdrawing, accepts: true, left: 22 * time.Second},
 			{at: 32 * time.Second, begin: true, want: Done},
 			{at: 33 * time.Second, begin: true, want: Done},
 		}},
-		// A poll for an outcome comes while results are handed over: the entry answers it before it exits.
+		// A poll for an outcome arrives during the handover: the entry answers it before it exits.
 		{"request while handing over", []step{
 			{at: 0, begin: true, want: Withdrawing, accepts: true, left: 32 * time.Second},
-			{at: 32 * time.Second, unhanded: 2, want: HandingOver},
+			{at: 32 * time.Second, pendingResults: 2, want: HandingOver},
 			{at: 33 * time.Second, inFlight: 1, want: HandingOver},
 			{at: 34 * time.Second, want: Done},
 		}},
-		// No peer takes the results, as when all are dead. The entry waits for HandoverTimeout and then exits.
-		{"nobody takes the results", []step{
+		// No peer accepts the results, for example because all are dead. The entry waits for HandoverTimeout and then
+		// exits.
+		{"no peer accepts the results", []step{
 			{at: 0, begin: true, want: Withdrawing, accepts: true, left: 32 * time.Second},
-			{at: 40 * time.Second, unhanded: 2, want: HandingOver},
-			{at: 49 * time.Second, unhanded: 2, want: HandingOver},
-			{at: 50 * time.Second, unhanded: 2, want: Done},
+			{at: 40 * time.Second, pendingResults: 2, want: HandingOver},
+			{at: 49 * time.Second, pendingResults: 2, want: HandingOver},
+			{at: 50 * time.Second, pendingResults: 2, want: Done},
 		}},
 	}
 	for _, s := range scenarios {
@@ -63,7 +66,7 @@
 				if x.begin {
 					d.Begin(now)
 				}
-				require.Equal(t, x.want, d.Step(x.inFlight, x.unhanded, now), "at %v", x.at)
+				require.Equal(t, x.want, d.Step(x.inFlight, x.pendingResults, now), "at %v", x.at)
 				require.Equal(t, x.want, d.Phase())
 				require.Equal(t, x.accepts, d.AcceptsWork(now), "at %v", x.at)
 				require.Equal(t, x.left, d.AcceptTimeLeft(now), "at %v", x.at)
--- a/evacuator/evacuator.go
+++ b/evacuator/evacuator.go
@@ -1,5 +1,5 @@
-// Package evacuator keeps which availability zones the operator has evacuated: their endpoints get no new work until the
-// operator takes that back. It is pure: the present time is given to it.
+// Package evacuator tracks which availability zones the operator has evacuated: their endpoints receive no new work
+// until the operator ends the evacuation. It is pure: callers pass in the current time.
 package evacuator
 
 import (
@@ -10,41 +10,41 @@
 	"geraniumline/locator"
 )
 
-// HoldTime is how long an evacuation that an older copy of the store lacks stays in force. The operator writes it again within
-// about two seconds of the store's return.
+// HoldTime is how long an evacuation that is missing from an older copy of the store stays in force. The operator
+// writes it again within about two seconds of the store's recovery.
 const HoldTime = 5 * time.Second
 
-// Change is one of the operator's records on an availability zone.
+// Change is one record by the operator about an availability zone.
 type Change struct {
 	Zone string
-	// Position orders the records.
+	// Position is the position of the record in the store, which orders the changes.
 	Position locator.Position
-	// Evacuated is false where the evacuation was taken back.
+	// Evacuated is false if the record ends the evacuation.
 	Evacuated bool
 }
 
-// State is all that the operator's records say up to a position. Entries tell it to each other.
+// State is the combined effect of the operator's records up to a position. Entries exchange it.
 type State struct {
-	// Next is the position after the newest record that was taken in; zero where none was.
+	// Next is the position after the newest applied record; zero if there is none.
 	Next locator.Position
-	// Zones are the evacuated ones in the order of their names.
+	// Zones are the evacuated zones, sorted by name.
 	Zones []string
-	// Held are further zones, evacuated in the era before, of which the store says nothing in this one.
+	// Held are further zones that were evacuated in the previous era and that the store doesn't mention in this one.
 	Held []string
 }
 
-// Evacuator folds the operator's records. What the store and what peers tell go by one position, so that a stale read or
-// a peer that has not heard yet never brings back a state that the operator has ended.
+// Evacuator applies the operator's records. Updates from the store and from peers are ordered by the same position,
+// so a stale read or a peer that lags behind never restores a state that the operator has ended.
 type Evacuator struct {
 	next  locator.Position
 	zones map[string]bool
-	// held gives until when zones are held that an older copy of the store lacks.
+	// held maps zones whose evacuation is missing from an older copy of the store to when their hold ends.
 	held map[string]time.Time
-	// endedAt is when the evacuation of a zone was seen to be taken back.
+	// endedAt is when the end of a zone's evacuation was observed.
 	endedAt map[string]time.Time
 }
 
-// New makes an evacuator that knows no record.
+// New returns an Evacuator without any records.
 func New() *Evacuator {
 	return &Evacuator{
 		zones:   make(map[string]bool),
@@ -53,36 +53,38 @@
 	}
 }
 
-// State gives what is known.
+// State returns the current state.
 func (e *Evacuator) State() State {
 	return State{Next: e.next, Zones: slices.Sorted(maps.Keys(e.zones)), Held: slices.Sorted(maps.Keys(e.held))}
 }
 
-// Evacuated tells whether the endpoints of a zone get no new work.
+// Evacuated reports whether the endpoints of a zone receive no new work.
 func (e *Evacuator) Evacuated(zone string) bool {
 	_, held := e.held[zone]
 	return held || e.zones[zone]
 }
 
-// all gives the zones whose endpoints get no new work.
-func (e *Evacuator) all() map[string]bool {
-	all := maps.Clone(e.zones)
+// evacuatedZones returns the zones whose endpoints receive no new work.
+func (e *Evacuator) evacuatedZones() map[string]bool {
+	zones := maps.Clone(e.zones)
 	for zone := range e.held {
-		all[zone] = true
+		zones[zone] = true
 	}
-	return all
+	return zones
 }
 
-// EndedAt is when the newest evacuation of a zone was seen to be taken back, zero if none was.
+// EndedAt returns when the end of a zone's latest evacuation was observed. It is zero if none has ended or the zone
+// is evacuated.
 func (e *Evacuator) EndedAt(zone string) time.Time { return e.endedAt[zone] }
 
-// Apply takes the records that follow those known, up to the position next, and tells whether any zone's state changed. Those
-// that a peer has told already are passed over, and so are those of another era: they leave a gap.
+// Apply applies the records that follow the known ones, up to position next, and reports whether any zone's state
+// changed. Records that were already received through a peer are skipped. Records of another era are ignored, since
+// they leave a gap.
 func (e *Evacuator) Apply(changes []Change, next locator.Position, now time.Time) bool {
 	if !e.next.Before(next) || next.Era() != e.next.Era() {
 		return false
 	}
-	before := e.all()
+	before := e.evacuatedZones()
 	for _, c := range changes {
 		if c.Position.Before(e.next) {
 			continue
@@ -95,17 +97,18 @@
 		}
 	}
 	e.next = next
-	return e.changed(before, now)
+	return e.recordChanges(before, now)
 }
 
-// Replace takes a whole state, from the store's newest records or from a peer, and tells whether any zone's state changed. An
-// older one than that known is dropped. Of a new era, what was evacuated in the era before is held: the store may have
-// returned from a copy that is older than the operator's record.
+// Replace replaces the state by one built from the newest records in the store or received from a peer, and reports
+// whether any zone's state changed. A state older than the current one is ignored. If a new era has begun, zones
+// evacuated in the previous era are held, since the store may have been restored from a copy older than the
+// operator's record.
 func (e *Evacuator) Replace(s State, now time.Time) bool {
 	if !e.next.Before(s.Next) {
 		return false
 	}
-	before := e.all()
+	before := e.evacuatedZones()
 	if s.Next.Era() > e.next.Era() {
 		e.hold(slices.Collect(maps.Keys(e.zones)), now)
 	}
@@ -116,7 +119,7 @@
 		delete(e.held, zone)
 	}
 	e.next = s.Next
-	return e.changed(before, now)
+	return e.recordChanges(before, now)
 }
 
 func (e *Evacuator) hold(zones []string, now time.Time) {
@@ -127,19 +130,19 @@
 	}
 }
 
-// Tick ends the holding of zones that the operator has not named again, and tells whether there were any.
+// Tick releases held zones whose hold has expired, and reports whether any zone's state changed.
 func (e *Evacuator) Tick(now time.Time) bool {
 	if len(e.held) == 0 {
 		return false
 	}
-	before := e.all()
+	before := e.evacuatedZones()
 	maps.DeleteFunc(e.held, func(_ string, until time.Time) bool { return !now.Before(until) })
-	return e.changed(before, now)
+	return e.recordChanges(before, now)
 }
 
-// changed notes which zones' evacuation has ended, and tells whether any zone's state is another than before.
-func (e *Evacuator) changed(before map[string]bool, now time.Time) bool {
-	after := e.all()
+// recordChanges records which zones' evacuation has ended since before, and reports whether any zone's state changed.
+func (e *Evacuator) recordChanges(before map[string]bool, now time.Time) bool {
+	after := e.evacuatedZones()
 	for zone := range before {
 		if !after[zone] {
 			e.endedAt[zone] = now
--- a/evacuator/evacuator_test.go
+++ b/evacuator/evacuator_test.go
@@ -10,10 +10,10 @@
 	"geraniumline/locator"
 )
 
-// at is a position in a store that tells no era.
+// at returns a position in a store that reports no era.
 func at(offset int64) locator.Position { return locator.At(0, offset) }
 
-func TestZonesAreEvacuatedAndTakenBack(t *testing.T) {
+func TestEvacuateAndRestoreZones(t *testing.T) {
 	e := New()
 	now := time.Unix(1000, 0)
 	require.True(t, e.Apply([]Change{{Zone: "a", Position: at(3), Evacuated: true}}, at(4), now))
@@ -27,9 +27,10 @@
 	require.Zero(t, e.EndedAt("a"))
 }
 
-// The operator ends an evacuation and begins another. A stale read of the store, a reader that follows from far behind and
-// a peer that has not heard yet bring the first one again: endpoints that are to get nothing would get requests.
-func TestAnOlderStateNeverComesBack(t *testing.T) {
+// The operator ends an evacuation and begins another. A stale read of the store, a reader that is far behind and a
+// peer that lags deliver the first one again. If they were applied, endpoints that must receive no work would receive
+// requests.
+func TestOlderStateIsIgnored(t *testing.T) {
 	e := New()
 	now := time.Unix(1000, 0)
 	records := []Change{{Zone: "a", Position: at(1), Evacuated: true}, {Zone: "a", Position: at(2)}, {Zone: "b", Position: at(3), Evacuated: true}}
@@ -43,9 +44,9 @@
 	require.Equal(t, State{Next: at(10), Zones: []string{"b"}}, e.State())
 }
 
-// The history was forgotten while an evacuation was taken back: only the newest records are left, and the one that was
-// deleted is not among them.
-func TestADeletedRecordIsATakenBackOne(t *testing.T) {
+// The store has compacted its history since an evacuation was ended: only the newest records are left, and the
+// deleted one is not among them.
+func TestDeletedRecordEndsEvacuation(t *testing.T) {
 	e := New()
 	now := time.Unix(1000, 0)
 	require.True(t, e.Replace(State{Next: at(4), Zones: []string{"a", "b"}}, now))
@@ -54,8 +55,8 @@
 	require.Equal(t, now, e.EndedAt("a"))
 }
 
-// Entries that heard any words in any order agree as soon as they have heard the newest.
-func TestEntriesAgreeOnTheNewestWord(t *testing.T) {
+// Entries that received any updates in any order agree as soon as they have received the newest one.
+func TestEntriesAgreeOnTheNewestState(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		now := time.Unix(1000, 0)
 		n := rapid.IntRange(1, 20).Draw(t, "records")
--- a/quarantiner/quarantiner.go
+++ b/quarantiner/quarantiner.go
@@ -1,8 +1,8 @@
-// Package quarantiner counts the endpoints that were lost while they ran a request's content, and
-// tells which content may still be run, and how. It is pure: the present time is given to it.
+// Package quarantiner counts the endpoints that were lost while running a request's content, and decides whether and
+// how that content may still be run. It is pure: callers pass in the current time.
 //
-// Content is known by the digest of its pipeline and input, without key or account: the same content
-// comes again under other keys and from other callers, and crashes endpoints just the same.
+// Content is identified by the digest of its pipeline and input, without key or account: the same content returns
+// under other keys and from other callers, and crashes endpoints just the same.
 package quarantiner
 
 import (
@@ -20,68 +20,68 @@
 )
 
 const (
-	// finalCrashes is the count from which content is not run any more.
-	finalCrashes = 2
-	// sameLoss is the time within which one endpoint is lost but once. It is longer than a peer's news
-	// may be held up on its way; Lost keeps the content from the endpoint meanwhile.
-	sameLoss = 10 * time.Second
-	// maxLosses bounds the losses that one mark names.
+	// quarantineCrashes is the number of crashes after which content is no longer run.
+	quarantineCrashes = 2
+	// sameLossWindow is the time within which repeated losses of one endpoint count once. It is longer than a peer's
+	// report may be delayed; until it has passed, CrashedEndpoints keeps the content away from that endpoint.
+	sameLossWindow = 10 * time.Second
+	// maxLosses bounds the losses kept in one mark.
 	maxLosses = 16
-	// maxTold bounds the marks of one heartbeat.
-	maxTold = 64
+	// maxSentMarks bounds the marks sent in one heartbeat.
+	maxSentMarks = 64
 )
 
-// Config sets a Quarantiner up. Zero fields take the defaults above.
+// Config configures a Quarantiner. Zero fields use the defaults above.
 type Config struct {
-	// SuspectFor is how long content with one crash runs alone, QuarantineFor how long content with
-	// two is refused.
+	// SuspectFor is how long content with one crash is run in isolation. QuarantineFor is how long content with two
+	// crashes is refused.
 	SuspectFor    time.Duration
 	QuarantineFor time.Duration
-	// MaxMarks bounds the contents that are remembered; the oldest go first.
+	// MaxMarks bounds the number of marked contents; the oldest are dropped first.
 	MaxMarks int
 }
 
-// Digest names content.
+// Digest identifies content.
 type Digest = [32]byte
 
-// Verdict tells how content may be run.
+// Verdict is how content may be run.
 type Verdict uint8
 
 // The verdicts.
 const (
-	// Clear content runs like any other.
+	// Clear content runs without restriction.
 	Clear Verdict = iota
-	// Suspect content runs alone: if it is innocent that clears it, and if not, nothing is lost beside.
+	// Suspect content runs in isolation: success clears it, and a crash affects no other request.
 	Suspect
-	// Quarantined content is not run any more.
+	// Quarantined content is no longer run.
 	Quarantined
 )
 
-// Quarantiner holds the marks.
+// Quarantiner holds the crash marks.
 type Quarantiner struct {
 	cfg   Config
 	marks map[Digest]*mark
-	// order is the marked digests, the oldest first.
+	// order holds the marked digests, oldest first.
 	order []Digest
 }
 
 type mark struct {
 	losses  []loss
 	expires time.Time
-	// cleared tells that the content ran here to its end, and no endpoint was lost.
+	// cleared is set once the content has run to completion here without the loss of an endpoint.
 	cleared bool
 }
 
-// loss is one endpoint's.
+// loss is the loss of one endpoint.
 type loss struct {
 	address string
 	at      time.Time
 }
 
-// add notes a loss, and tells whether it is a new one.
+// add records a loss and reports whether it is new.
 func (m *mark) add(address string, at time.Time) bool {
 	for _, l := range m.losses {
-		if l.address == address && l.at.Sub(at).Abs() < sameLoss {
+		if l.address == address && l.at.Sub(at).Abs() < sameLossWindow {
 			return false
 		}
 	}
@@ -92,7 +92,7 @@
 	return true
 }
 
-// New makes a quarantiner without marks.
+// New returns a Quarantiner without marks.
 func New(cfg Config) *Quarantiner {
 	if cfg.SuspectFor == 0 {
 		cfg.SuspectFor = defaultSuspectFor
@@ -106,7 +106,7 @@
 	return &Quarantiner{cfg: cfg, marks: map[Digest]*mark{}}
 }
 
-// Verdict tells how content may be run now.
+// Verdict returns how content may be run now.
 func (q *Quarantiner) Verdict(digest Digest, now time.Time) Verdict {
 	if len(q.marks) == 0 {
 		return Clear
@@ -115,26 +115,27 @@
 	if !marked || m.cleared || !now.Before(m.expires) {
 		return Clear
 	}
-	if len(m.losses) >= finalCrashes {
+	if len(m.losses) >= quarantineCrashes {
 		return Quarantined
 	}
 	return Suspect
 }
 
-// RecordCrash notes the loss of an endpoint while it ran the content, and gives the verdict from then on.
-// Two calls with the same content that were lost with one endpoint count once.
+// RecordCrash records the loss of an endpoint that was running the content and returns the resulting verdict. Two
+// calls with the same content that were lost with one endpoint count once.
 func (q *Quarantiner) RecordCrash(digest Digest, address string, now time.Time) Verdict {
 	m := q.mark(digest, now)
 	if !now.Before(m.expires) {
 		m.losses = m.losses[:0]
 	}
 	if m.add(address, now) {
-		q.renew(m, now)
+		q.extend(m, now)
 	}
 	return q.Verdict(digest, now)
 }
 
-// CrashedEndpoints gives the endpoints that were lost with the content, which must not run it again.
+// CrashedEndpoints returns the addresses of the endpoints that were lost with the content. They must not run it
+// again.
 func (q *Quarantiner) CrashedEndpoints(digest Digest) []string {
 	m, marked := q.marks[digest]
 	if !marked {
@@ -147,18 +148,18 @@
 	return addresses
 }
 
-func (q *Quarantiner) renew(m *mark, now time.Time) {
+func (q *Quarantiner) extend(m *mark, now time.Time) {
 	m.cleared = false
 	m.expires = now.Add(q.cfg.SuspectFor)
-	if len(m.losses) >= finalCrashes {
+	if len(m.losses) >= quarantineCrashes {
 		m.expires = now.Add(q.cfg.QuarantineFor)
 	}
 }
 
-// RecordSuccess clears content that ran to its end without the loss of an endpoint.
+// RecordSuccess clears content that ran to completion without the loss of an endpoint.
 func (q *Quarantiner) RecordSuccess(digest Digest, now time.Time) {
 	m, marked := q.marks[digest]
-	if marked && now.Before(m.expires) && len(m.losses) < finalCrashes {
+	if marked && now.Before(m.expires) && len(m.losses) < quarantineCrashes {
 		m.cleared = true
 	}
 }
@@ -175,8 +176,8 @@
 	return m
 }
 
-// expire drops the marks that are too many, and those that have been dead for as long as they lived.
-// Until then they are kept, so that the news of slower peers do not bring them back for ever.
+// expire drops marks above MaxMarks and marks that expired at least QuarantineFor ago. Until then expired marks are
+// kept, so that late reports from peers don't renew them indefinitely.
 func (q *Quarantiner) expire(now time.Time) {
 	for len(q.order) > 0 {
 		m := q.marks[q.order[0]]
@@ -188,8 +189,8 @@
 	}
 }
 
-// Marks is what this entry tells its peers: what it saw and what it heard, so that the knowledge
-// outlives the entry that had it first.
+// Marks returns the marks to send to peers: both own and received ones, so that they survive the loss of the entry
+// that recorded them first.
 func (q *Quarantiner) Marks(now time.Time) []carrier.CrashMark {
 	var marks []carrier.CrashMark
 	for _, digest := range slices.Backward(q.order) {
@@ -197,20 +198,20 @@
 		if m.cleared || !now.Before(m.expires) {
 			continue
 		}
-		told := carrier.CrashMark{Digest: digest[:]}
+		sent := carrier.CrashMark{Digest: digest[:]}
 		for _, l := range m.losses {
-			told.Losses = append(told.Losses, carrier.CrashLoss{Address: l.address, AgeMillis: now.Sub(l.at).Milliseconds()})
+			sent.Losses = append(sent.Losses, carrier.CrashLoss{Address: l.address, AgeMillis: now.Sub(l.at).Milliseconds()})
 		}
-		marks = append(marks, told)
-		if len(marks) == maxTold {
+		marks = append(marks, sent)
+		if len(marks) == maxSentMarks {
 			break
 		}
 	}
 	return marks
 }
 
-// Merge takes a peer's marks and gives the digests whose verdict has become Quarantined by them.
-// A loss that is as old as its mark would have lived is not brought back.
+// Merge merges a peer's marks and returns the digests that became Quarantined as a result. A loss that is as old as
+// the lifetime of its mark is ignored.
 func (q *Quarantiner) Merge(marks []carrier.CrashMark, now time.Time) []Digest {
 	var quarantined []Digest
 	for i := range marks {
@@ -223,7 +224,7 @@
 		for _, l := range marks[i].Losses {
 			age := time.Duration(l.AgeMillis) * time.Millisecond
 			if age >= 0 && age < q.cfg.QuarantineFor && m.add(l.Address, now.Add(-age)) {
-				q.renew(m, now.Add(-age))
+				q.extend(m, now.Add(-age))
 			}
 		}
 		if before != Quarantined && q.Verdict(digest, now) == Quarantined {
--- a/quarantiner/quarantiner_test.go
+++ b/quarantiner/quarantiner_test.go
@@ -16,11 +16,12 @@
 
 func at(d time.Duration) time.Time { return start.Add(d) }
 
-// Content ends endpoints at several entries, some of which are replaced. What each entry believes after
-// their words must be the count of endpoints lost, each once, however often and by whom it is told.
+// Content crashes endpoints at several entries, some of which are replaced. The verdict of each entry after
+// exchanging marks must reflect the number of endpoints lost, each counted once no matter how often and by which
+// entry it is reported.
 func TestVerdicts(t *testing.T) {
 	type entries [3]*quarantiner.Quarantiner
-	tell := func(from, to *quarantiner.Quarantiner, now time.Time) { to.Merge(from.Marks(now), now) }
+	send := func(from, to *quarantiner.Quarantiner, now time.Time) { to.Merge(from.Marks(now), now) }
 	tests := []struct {
 		testName string
 		steps    func(q entries)
@@ -32,41 +33,41 @@
 			q[0].RecordCrash(content, "a", at(0))
 			q[0].RecordCrash(content, "a", at(time.Millisecond))
 		}, time.Second, quarantiner.Suspect},
-		{"one loss seen by two and told round", func(q entries) {
+		{"one loss seen by two entries and sent back and forth", func(q entries) {
 			q[0].RecordCrash(content, "a", at(0))
 			q[1].RecordCrash(content, "a", at(2*time.Millisecond))
-			tell(q[1], q[0], at(200*time.Millisecond))
-			tell(q[0], q[1], at(400*time.Millisecond))
-			tell(q[1], q[0], at(600*time.Millisecond))
+			send(q[1], q[0], at(200*time.Millisecond))
+			send(q[0], q[1], at(400*time.Millisecond))
+			send(q[1], q[0], at(600*time.Millisecond))
 		}, time.Second, quarantiner.Suspect},
 		{"two losses at the same moment at two entries", func(q entries) {
 			q[0].RecordCrash(content, "a", at(0))
 			q[1].RecordCrash(content, "b", at(0))
-			tell(q[1], q[0], at(time.Millisecond))
+			send(q[1], q[0], at(time.Millisecond))
 		}, time.Second, quarantiner.Quarantined},
-		{"told on by a third after the first has gone", func(q entries) {
+		{"relayed by a third entry after the first is gone", func(q entries) {
 			q[1].RecordCrash(content, "a", at(0))
 			q[1].RecordCrash(content, "b", at(time.Second))
-			tell(q[1], q[2], at(2*time.Second))
-			tell(q[2], q[0], at(3*time.Second))
+			send(q[1], q[2], at(2*time.Second))
+			send(q[2], q[0], at(3*time.Second))
 		}, time.Minute, quarantiner.Quarantined},
-		{"answered alone, though a peer still tells", func(q entries) {
+		{"answered in isolation, though a peer still reports it", func(q entries) {
 			q[0].RecordCrash(content, "a", at(0))
-			tell(q[0], q[1], at(time.Second))
+			send(q[0], q[1], at(time.Second))
 			q[0].RecordSuccess(content, at(2*time.Second))
-			tell(q[1], q[0], at(3*time.Second))
+			send(q[1], q[0], at(3*time.Second))
 		}, 4 * time.Second, quarantiner.Clear},
 		{"cleared, then another endpoint is lost", func(q entries) {
 			q[0].RecordCrash(content, "a", at(0))
 			q[0].RecordSuccess(content, at(time.Second))
 			q[0].RecordCrash(content, "b", at(2*time.Second))
 		}, 3 * time.Second, quarantiner.Quarantined},
-		{"expired, though peers keep telling each other", func(q entries) {
+		{"expired, though peers keep sending it to each other", func(q entries) {
 			q[0].RecordCrash(content, "a", at(0))
 			for i := range 1200 {
 				now := at(time.Duration(i) * time.Second)
-				tell(q[0], q[1], now)
-				tell(q[1], q[0], now)
+				send(q[0], q[1], now)
+				send(q[1], q[0], now)
 			}
 		}, 20 * time.Minute, quarantiner.Clear},
 	}
@@ -82,7 +83,7 @@
 	}
 }
 
-// A caller can make as much content that ends endpoints as it likes: the marks stay bounded.
+// A caller can send any amount of content that crashes endpoints; the number of marks must stay bounded.
 func TestMarksAreBounded(t *testing.T) {
 	q := quarantiner.New(quarantiner.Config{MaxMarks: 10})
 	for i := range 100 {
--- a/switcher/switcher.go
+++ b/switcher/switcher.go
@@ -1,5 +1,5 @@
-// Package switcher names the mechanisms of policy that can be switched off one by one, to measure what each is worth. All
-// are on by default. None guards a promise to callers: those have no switch.
+// Package switcher names the policy mechanisms that can be disabled one by one to measure their effect. All are
+// enabled by default. Mechanisms that guard a promise to callers can't be disabled and are not listed.
 package switcher
 
 import (
@@ -8,52 +8,55 @@
 	"strings"
 )
 
-// Mechanism is one mechanism of policy.
+// Mechanism is the name of a policy mechanism.
 type Mechanism string
 
-// The mechanisms.
+// The policy mechanisms.
 const (
-	// StartedFirst has pieces of groups of which a part is made go first.
+	// StartedFirst schedules pieces of partly completed groups first.
 	StartedFirst Mechanism = "startedFirst"
-	// LateLast puts groups last that can no longer be on time.
+	// LateLast schedules groups last that can no longer finish on time.
 	LateLast Mechanism = "lateLast"
-	// LatePatience lets others pass a late group that holds space for half of the time that its inputs live.
+	// LatePatience lets other groups overtake a late group that holds space, for half of the lifetime of its inputs.
 	LatePatience Mechanism = "latePatience"
-	// LateGivenUp tells late groups by half of their time that they will most likely not be made.
+	// LateGivenUp reports to late groups, once half of their time is over, that they will most likely not be
+	// completed.
 	LateGivenUp Mechanism = "lateGivenUp"
-	// FairShare has client accounts yield that had more than their share lately.
+	// FairShare delays client accounts that recently used more than their share.
 	FairShare Mechanism = "fairShare"
-	// RoomWait has a free endpoint wait for space for half a call.
+	// RoomWait makes a free endpoint wait until there is space for half a call.
 	RoomWait Mechanism = "roomWait"
-	// NearFirst has an endpoint take groups of its own availability zone first.
+	// NearFirst makes an endpoint prefer groups of its own availability zone.
 	NearFirst Mechanism = "nearFirst"
-	// ZoneWait has groups wait for an endpoint of their availability zone.
+	// ZoneWait makes groups wait for an endpoint of their availability zone.
 	ZoneWait Mechanism = "zoneWait"
-	// FetchedFreed frees a stage's inputs once they are fetched, while space is short.
+	// FetchedFreed frees a stage's inputs as soon as they are fetched while space is short.
 	FetchedFreed Mechanism = "fetchedFreed"
-	// PassageLeft has due times leave what groups take at the later stages at present.
+	// PassageLeft reserves the current turnaround of the later stages in due times.
 	PassageLeft Mechanism = "passageLeft"
-	// LargeLate makes large results that no stage takes when the other stages are nearly done.
+	// LargeLate delays large results that no stage consumes until the other stages are nearly done.
 	LargeLate Mechanism = "largeLate"
-	// OverloadRefused refuses at once what can't be served before its caller leaves, by what waits at the stages.
+	// OverloadRefused refuses requests immediately if, given the queues at the stages, they can't be served before
+	// their callers leave.
 	OverloadRefused Mechanism = "overloadRefused"
-	// OneCollector has one entry collect for each stage's service.
+	// OneCollector makes one entry collect the pieces for each stage's service.
 	OneCollector Mechanism = "oneCollector"
-	// SettledDuty has a new entry hear its peers before it gives duties to anybody.
+	// SettledDuty makes a new entry wait until it has heard its peers before it assigns duties.
 	SettledDuty Mechanism = "settledDuty"
-	// DutyFollowed gives waiting pieces back once another entry has the duty.
+	// DutyFollowed returns waiting pieces once another entry has taken over the duty.
 	DutyFollowed Mechanism = "dutyFollowed"
-	// PromptHomes keeps a prompt's shared parts at one or two model engines.
+	// PromptHomes keeps the shared parts of a prompt at one or two model engines.
 	PromptHomes Mechanism = "promptHomes"
-	// NearResults weighs results that must cross availability zones when a model engine is chosen.
+	// NearResults considers results that must cross availability zones when choosing a model engine.
 	NearResults Mechanism = "nearResults"
-	// Ejection takes endpoints out of use that fail or are slow.
+	// Ejection stops using endpoints that fail or are slow.
 	Ejection Mechanism = "ejection"
-	// Hedging sends a silent request that may run twice to another endpoint before its objective is over.
+	// Hedging sends a request that is still unanswered, and that may run twice, to another endpoint before its
+	// objective has passed.
 	Hedging Mechanism = "hedging"
 )
 
-// All lists the mechanisms in the order in which a request meets them.
+// All returns the mechanisms in the order in which a request encounters them.
 func All() []Mechanism {
 	return []Mechanism{
 		OverloadRefused, OneCollector, SettledDuty, DutyFollowed, PassageLeft, LargeLate, StartedFirst, LateLast,
@@ -62,7 +65,7 @@
 	}
 }
 
-// UnknownMechanismError tells of a name that is no mechanism's.
+// UnknownMechanismError reports a name that doesn't belong to any mechanism.
 type UnknownMechanismError struct{ Name string }
 
 func (e *UnknownMechanismError) Error() string {
@@ -70,32 +73,32 @@
 	for _, m := range All() {
 		names = append(names, string(m))
 	}
-	return fmt.Sprintf("no mechanism is named %q; there are %s", e.Name, strings.Join(names, ", "))
+	return fmt.Sprintf("unknown mechanism %q; known mechanisms: %s", e.Name, strings.Join(names, ", "))
 }
 
-// Disabled holds the mechanisms that are switched off. The zero value has all on.
+// Disabled is a set of disabled mechanisms. The zero value disables none.
 type Disabled struct{ names map[Mechanism]bool }
 
-// Disable switches the named mechanisms off. It fails with an *UnknownError.
+// Disable returns the set of the named mechanisms. It returns an *UnknownMechanismError if a name is unknown.
 func Disable(names ...string) (Disabled, error) {
-	off := Disabled{names: make(map[Mechanism]bool, len(names))}
+	disabled := Disabled{names: make(map[Mechanism]bool, len(names))}
 	for _, name := range names {
 		if !slices.Contains(All(), Mechanism(name)) {
 			return Disabled{}, &UnknownMechanismError{Name: name}
 		}
-		off.names[Mechanism(name)] = true
+		disabled.names[Mechanism(name)] = true
 	}
-	return off, nil
+	return disabled, nil
 }
 
-// Has tells whether a mechanism is switched off.
-func (o Disabled) Has(m Mechanism) bool { return o.names[m] }
+// Has reports whether a mechanism is disabled.
+func (d Disabled) Has(m Mechanism) bool { return d.names[m] }
 
-// Names lists what is switched off.
-func (o Disabled) Names() []string {
-	names := make([]string, 0, len(o.names))
+// Names returns the names of the disabled mechanisms, in the order of All.
+func (d Disabled) Names() []string {
+	names := make([]string, 0, len(d.names))
 	for _, m := range All() {
-		if o.Has(m) {
+		if d.Has(m) {
 			names = append(names, string(m))
 		}
 	}
--- a/switcher/switcher_test.go
+++ b/switcher/switcher_test.go
@@ -6,12 +6,12 @@
 	"github.com/stretchr/testify/require"
 )
 
-func TestWithout(t *testing.T) {
-	off, err := Disable("zoneWait", "startedFirst")
+func TestDisable(t *testing.T) {
+	disabled, err := Disable("zoneWait", "startedFirst")
 	require.NoError(t, err)
-	require.True(t, off.Has(ZoneWait))
-	require.False(t, off.Has(NearFirst))
-	require.Equal(t, []string{"startedFirst", "zoneWait"}, off.Names())
+	require.True(t, disabled.Has(ZoneWait))
+	require.False(t, disabled.Has(NearFirst))
+	require.Equal(t, []string{"startedFirst", "zoneWait"}, disabled.Names())
 	require.Empty(t, Disabled{}.Names())
 	_, err = Disable("zoneWait", "magic")
 	var unknown *UnknownMechanismError
