--- a/registrar/bench_test.go
+++ b/registrar/bench_test.go
@@ -5,7 +5,8 @@
 	"testing"
 )
 
-// BenchmarkTick is one look for endpoints whose removal is no longer in doubt, a hundred times a second.
+// BenchmarkTick measures one search for endpoints whose removal is no longer uncertain, which runs a hundred times a
+// second.
 func BenchmarkTick(b *testing.B) {
 	for _, n := range []int{100, 3000} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
@@ -21,7 +22,7 @@
 	}
 }
 
-// BenchmarkRenewals is one reading in which every endpoint of a large deployment has written its entry again.
+// BenchmarkRenewals measures one read in which every endpoint of a large deployment has renewed its registration.
 func BenchmarkRenewals(b *testing.B) {
 	for _, n := range []int{100, 3000} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
--- a/registrar/era_test.go
+++ b/registrar/era_test.go
@@ -13,12 +13,12 @@
 	"geraniumline/locator"
 )
 
-// storeModel is a store that may return from an older copy, and the endpoints that write there.
+// storeModel models a store that may be restored from an older copy, and the endpoints that register there.
 type storeModel struct {
 	era     int64
 	records []Change
 	copied  []Change
-	// written counts each endpoint's records; draining and left are what is true of it now.
+	// written counts each endpoint's records. draining and left are its actual current state.
 	written  map[string]int64
 	draining map[string]bool
 	left     map[string]bool
@@ -30,7 +30,7 @@
 
 func (s *storeModel) end() locator.Position { return locator.At(s.era, int64(len(s.records))) }
 
-// write has an endpoint write its entry, or the store remove it.
+// write makes an endpoint write its registration, or the store remove it.
 func (s *storeModel) write(id string, removed bool) {
 	c := Change{ID: id}
 	if !removed {
@@ -47,7 +47,7 @@
 	return c
 }
 
-// newest gives the newest record of each endpoint that was not removed.
+// newest returns the newest record of each endpoint that wasn't removed.
 func (s *storeModel) newest() []Change {
 	last := make(map[string]Change)
 	for i := range s.records {
@@ -61,7 +61,7 @@
 	return slices.SortedFunc(maps.Values(last), func(a, b Change) int { return a.Position.Compare(b.Position) })
 }
 
-// read lets a registry read on, or the whole list in a new era.
+// read makes a registry read the new records, or the complete list in a new era.
 func (s *storeModel) read(r *Registry, now time.Time) {
 	r.StoreAvailable(now)
 	next := r.Next()
@@ -87,10 +87,10 @@
 	return list
 }
 
-// Endpoints write, drain and leave while the store returns from older copies again and again. What an entry has seen leave
-// must not take work again, what it has seen serve must not be dropped before it can have written again, and with all
-// written again the list is right.
-func TestAListOutlivesOlderCopies(t *testing.T) {
+// Endpoints register, drain and leave while the store is repeatedly restored from older copies. An endpoint that was
+// seen to leave must not receive work again, one that was seen serving must not be removed before it had time to
+// register again, and once all have registered again the list must be correct.
+func TestRegistrySurvivesOlderCopies(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		s, r, now := newStoreModel(), New(Config{}), start
 		for i := range 4 {
@@ -98,7 +98,7 @@
 		}
 		s.copied = slices.Clone(s.records)
 		s.read(r, now)
-		seenServing, seenOut := make(map[string]bool), make(map[string]bool)
+		seenUsable, seenUnusable := make(map[string]bool), make(map[string]bool)
 		for range rapid.IntRange(1, 40).Draw(t, "steps") {
 			id := rapid.SampledFrom([]string{"e0", "e1", "e2", "e3"}).Draw(t, "endpoint")
 			switch step := rapid.SampledFrom([]string{"write", "drain", "leave", "copy", "return", "read", "read"}).Draw(t, "step"); {
@@ -110,10 +110,10 @@
 			case step == "read":
 				s.read(r, now)
 				for _, id := range ids(r) {
-					seenServing[id] = true
+					seenUsable[id] = true
 				}
 				for id := range s.written {
-					seenOut[id] = seenOut[id] || !slices.Contains(ids(r), id)
+					seenUnusable[id] = seenUnusable[id] || !slices.Contains(ids(r), id)
 				}
 			case s.left[id]:
 			case step == "write":
@@ -128,10 +128,10 @@
 			now = now.Add(10 * time.Millisecond)
 			r.Tick(now)
 			for _, id := range ids(r) {
-				require.False(t, seenOut[id], "%s was seen to leave and takes work", id)
+				require.False(t, seenUnusable[id], "%s has left but is usable", id)
 			}
 			for _, id := range s.serving() {
-				require.True(t, !seenServing[id] || slices.Contains(ids(r), id), "%s serves and was dropped", id)
+				require.True(t, !seenUsable[id] || slices.Contains(ids(r), id), "%s is serving but was removed", id)
 			}
 		}
 		for id := range s.written {
@@ -144,8 +144,9 @@
 	})
 }
 
-// Guards against an address that goes back to its former endpoint, which has ended, with an older copy of the store.
-func TestAnAddressStaysWithItsNewestEndpointThroughAnOlderCopy(t *testing.T) {
+// Guards against assigning an address back to its former endpoint, which has ended, because of an older copy of the
+// store.
+func TestAddressStaysWithNewestEndpointDespiteOlderCopy(t *testing.T) {
 	same := func(e *Endpoint) { e.Address = "shared" }
 	r := New(Config{})
 	r.Replace([]Change{put("old", 0, same)}, pos(1), start)
--- a/registrar/registrar.go
+++ b/registrar/registrar.go
@@ -1,5 +1,5 @@
-// Package registrar folds the endpoints' own entries in the platform's store into the list of those that may take
-// work. It is pure: the present time is given to it.
+// Package registrar builds the list of endpoints that may receive work from the registrations that endpoints write to
+// the platform's store. It is pure: callers pass in the current time.
 package registrar
 
 import (
@@ -12,51 +12,54 @@
 	"geraniumline/locator"
 )
 
-// DefaultRecoveryGrace is how long after the store's return an endpoint's missing entry is not yet believed.
-// Entries lapse while the store is away although their endpoints live, and living endpoints write theirs again within
-// about two seconds of its return. Without the wait an outage would empty the pools of a healthy system.
+// DefaultRecoveryGrace is how long after the store recovers a missing registration is still kept. Registrations
+// expire while the store is unavailable although their endpoints are alive, and live endpoints write theirs again
+// within about two seconds of the recovery. Without this grace period an outage would empty the pools of a healthy
+// system.
 const DefaultRecoveryGrace = 2200 * time.Millisecond
 
 const (
-	// goneTime is how long an endpoint that has left is remembered: an older copy of the store may bring its entry back.
-	// Copies are some seconds old.
-	goneTime = time.Minute
-	// pruneEvery is how often those that left longer ago are forgotten. All endpoints may leave at once.
-	pruneEvery = 10 * time.Second
+	// departureMemory is how long a departed endpoint is remembered, since an older copy of the store may restore its
+	// registration. Copies are a few seconds old.
+	departureMemory = time.Minute
+	// pruneInterval is the time between removals of departures older than departureMemory. All endpoints may depart
+	// at once.
+	pruneInterval = 10 * time.Second
 )
 
-// Endpoint is one process that takes calls.
+// Endpoint is a process that accepts calls.
 type Endpoint struct {
-	// ID names the endpoint. It may start again under the same one.
+	// ID identifies the endpoint. A restarted endpoint may reuse it.
 	ID string
-	// Started is when this start of it began, as its entry says; zero where it does not.
+	// Started is when this incarnation of the endpoint started, as stated in its registration; zero if not stated.
 	Started time.Time
 	Service string
 	Address string
 	Zone    string
 	Slots   int
-	// Draining endpoints take no new work.
+	// Draining endpoints accept no new work.
 	Draining bool
-	// Region is that of the zone; empty where it is not known.
+	// Region is the region of the zone; empty if unknown.
 	Region string
-	// ColdUntil is when the endpoint's slow start ends, zero where its entry says that it is over.
+	// ColdUntil is when the endpoint's slow start ends; zero if its registration says that it is over.
 	ColdUntil time.Time
 }
 
-// Cold tells whether the endpoint is in its slow start: it bears few calls, and holds no prompt parts.
+// Cold reports whether the endpoint is in its slow start: it can handle only a few calls and holds no prompt parts.
 func (e *Endpoint) Cold(now time.Time) bool { return now.Before(e.ColdUntil) }
 
-// coldAgain is how much later than known the end of a slow start must be for the endpoint to have become cold anew. It is
-// worked out anew from each entry, and differs by the time that the entry was on its way.
-const coldAgain = 500 * time.Millisecond
+// coldTolerance is how much later than known a slow start must end for the endpoint to count as cold again. The end
+// is recomputed from each registration and varies with its transit time.
+const coldTolerance = 500 * time.Millisecond
 
-// BecameColdSince tells whether the endpoint has become cold since its earlier entry.
+// BecameColdSince reports whether the endpoint has become cold since its earlier registration.
 func (e *Endpoint) BecameColdSince(earlier *Endpoint) bool {
-	return e.ColdUntil.Sub(earlier.ColdUntil) > coldAgain
+	return e.ColdUntil.Sub(earlier.ColdUntil) > coldTolerance
 }
 
-// SameIncarnation tells whether both are one start of one endpoint. A later start holds nothing that an earlier one held: prompt
-// parts, stage results, calls. Work placed by what the earlier one held would wait for what is not there.
+// SameIncarnation reports whether both are the same incarnation of one endpoint. A later incarnation holds none of
+// the prompt parts, stage results and calls of an earlier one, so work placed according to those would wait for data
+// that no longer exists.
 func (e *Endpoint) SameIncarnation(other *Endpoint) bool {
 	if e.ID != other.ID {
 		return false
@@ -64,113 +67,114 @@
 	return e.Started.IsZero() || other.Started.IsZero() || e.Started.Equal(other.Started)
 }
 
-// Change is one record of an endpoint's entry.
+// Change is one record of an endpoint's registration.
 type Change struct {
 	ID string
-	// Position orders the changes.
+	// Position is the position of the record in the store, which orders the changes.
 	Position locator.Position
-	// Sequence counts the records of one start of the endpoint; 0 where it is not known.
+	// Sequence counts the records of one incarnation of the endpoint; 0 if unknown.
 	Sequence int64
-	// Endpoint is nil where the entry was removed or can't be used.
+	// Endpoint is nil if the registration was removed or is unusable.
 	Endpoint *Endpoint
-	// Unusable entries can't be read as an endpoint's: another writer wrote them.
+	// Unusable is set if the record can't be read as a registration because another writer wrote it.
 	Unusable bool
 }
 
-// Config sets a Registry up.
+// Config configures a Registry.
 type Config struct {
-	// RecoveryGrace is how long after the store's return missing entries are not believed; 0 takes DefaultRecoveryGrace.
+	// RecoveryGrace is how long after the store recovers missing registrations are kept; 0 means
+	// DefaultRecoveryGrace.
 	RecoveryGrace time.Duration
 }
 
-// entry is what is known of one endpoint.
-type entry struct {
+// registration is the known state of one endpoint's registration.
+type registration struct {
 	endpoint Endpoint
 	position locator.Position
 	sequence int64
-	// removedAt is set while the entry is missing but not yet believed to be gone.
+	// removedAt is when the registration was first found missing; zero unless its removal is uncertain.
 	removedAt time.Time
-	// unusable entries name no endpoint until a newer record does.
+	// unusable registrations describe no endpoint until a newer record arrives.
 	unusable bool
 }
 
-// gone is what is remembered of an endpoint that has left.
-type gone struct {
+// departure is what is remembered of a departed endpoint.
+type departure struct {
 	started  time.Time
 	position locator.Position
 	sequence int64
 	at       time.Time
 }
 
-// Registry is the list of endpoints as the store's records tell it.
+// Registry is the list of endpoints according to the store's records.
 type Registry struct {
-	returnTime time.Duration
-	entries    map[string]*entry
-	// atAddress are the ids of the entries at each address; usually one.
+	recoveryGrace time.Duration
+	registrations map[string]*registration
+	// atAddress maps each address to the IDs registered there; usually one.
 	atAddress map[string][]string
-	// missing are the ids of entries that lack in the store and are not yet believed to be gone.
+	// missing holds the IDs of registrations that are missing from the store but whose removal is still uncertain.
 	missing map[string]bool
-	// gone are the endpoints that have left lately, pruned at prunedAt.
-	gone     map[string]gone
+	// departed holds recently departed endpoints, last pruned at prunedAt.
+	departed map[string]departure
 	prunedAt time.Time
-	// next is the position after the newest change, renewed when a list of its era was first read.
-	next    locator.Position
-	renewed time.Time
-	// away is set while the store does not answer; returned is when it last began to answer again.
-	away     bool
-	returned time.Time
-	// heard is when the store was last read, here or by the peer that passed it on.
-	heard time.Time
-	known bool
-	// services are those that the configuration names; nil before it is known.
+	// next is the position after the newest change. eraChangedAt is when a list of the current era was first read.
+	next         locator.Position
+	eraChangedAt time.Time
+	// unavailable is set while the store doesn't answer. recoveredAt is when it last began to answer again.
+	unavailable bool
+	recoveredAt time.Time
+	// lastRead is when the store was last read, by this entry or by the peer that relayed the data.
+	lastRead time.Time
+	loaded   bool
+	// services holds the configured services; nil until the configuration is known.
 	services map[string]bool
 }
 
-// New makes a registry that knows no endpoint.
+// New returns a Registry without endpoints.
 func New(cfg Config) *Registry {
 	if cfg.RecoveryGrace == 0 {
 		cfg.RecoveryGrace = DefaultRecoveryGrace
 	}
 	return &Registry{
-		returnTime: cfg.RecoveryGrace,
-		entries:    make(map[string]*entry),
-		atAddress:  make(map[string][]string),
-		missing:    make(map[string]bool),
-		gone:       make(map[string]gone),
+		recoveryGrace: cfg.RecoveryGrace,
+		registrations: make(map[string]*registration),
+		atAddress:     make(map[string][]string),
+		missing:       make(map[string]bool),
+		departed:      make(map[string]departure),
 	}
 }
 
-// Next is the position from which changes are not yet known.
+// Next returns the position up to which changes are known.
 func (r *Registry) Next() locator.Position { return r.next }
 
-// Loaded tells whether a whole list was ever read.
-func (r *Registry) Loaded() bool { return r.known }
+// Loaded reports whether a complete list has been read.
+func (r *Registry) Loaded() bool { return r.loaded }
 
-// Age is how long ago the store was read.
-func (r *Registry) Age(now time.Time) time.Duration { return now.Sub(r.heard) }
+// Age returns the time since the store was last read.
+func (r *Registry) Age(now time.Time) time.Duration { return now.Sub(r.lastRead) }
 
-// StoreUnavailable notes that the store does not answer.
-func (r *Registry) StoreUnavailable() { r.away = true }
+// StoreUnavailable records that the store doesn't answer.
+func (r *Registry) StoreUnavailable() { r.unavailable = true }
 
-// StoreAvailable notes that the store has answered.
+// StoreAvailable records that the store has answered.
 func (r *Registry) StoreAvailable(now time.Time) {
-	if r.away {
-		r.returned = now
+	if r.unavailable {
+		r.recoveredAt = now
 	}
-	r.away = false
-	r.heard = now
+	r.unavailable = false
+	r.lastRead = now
 }
 
-// StoreReadAt notes that a peer passed on what the store had as of a time. It says nothing of the store's return: that the
-// entry sees for itself.
+// StoreReadAt records that a peer relayed data read from the store at the given time. It doesn't affect the detection
+// of the store's recovery, which relies on this entry's own reads.
 func (r *Registry) StoreReadAt(at time.Time) {
-	if at.After(r.heard) {
-		r.heard = at
+	if at.After(r.lastRead) {
+		r.lastRead = at
 	}
 }
 
-// Apply takes changes that follow the ones before, up to the position next. Those of another era than the list's are passed
-// over: they leave a gap, and only a whole list closes it.
+// Apply applies changes that follow the known ones, up to position next. Changes of another era are ignored: they
+// leave a gap that only a complete list can close.
 func (r *Registry) Apply(changes []Change, next locator.Position, now time.Time) {
 	if next.Era() != r.next.Era() {
 		return
@@ -181,100 +185,101 @@
 	r.next = locator.Later(r.next, next)
 }
 
-// SignificantChanges gives those of the changes that say more than that an endpoint is still there, in their order. Endpoints write their
-// entries every second or so with nothing new but a count: told of all endpoints to all peers, those would fill the reading
-// entry's link.
+// SignificantChanges returns, in order, the changes that do more than confirm that an endpoint still exists.
+// Endpoints write their registrations every second or so with only a new count. Relaying those of all endpoints to
+// all peers would saturate the link of the reading entry.
 func (r *Registry) SignificantChanges(changes []Change) []Change {
-	named := make(map[string]bool)
+	changed := make(map[string]bool)
 	for _, c := range changes {
-		if !r.says(&c) {
-			named[c.ID] = true
+		if !r.matches(&c) {
+			changed[c.ID] = true
 		}
 	}
-	var news []Change
+	var significant []Change
 	for _, c := range changes {
-		if named[c.ID] {
-			news = append(news, r.withSequence(c))
+		if changed[c.ID] {
+			significant = append(significant, r.withSequence(c))
 		}
 	}
-	return news
+	return significant
 }
 
-// withSequence completes the change of an entry that was removed. The last record that the endpoint wrote itself is known to
-// the entry that reads for all only, and tells it from what an older copy of the store brings back.
+// withSequence adds the sequence number to the change of a removed registration. Only the entry that reads the store
+// for all others knows the last record written by the endpoint itself, which distinguishes the removal from records
+// restored by an older copy of the store.
 func (r *Registry) withSequence(c Change) Change {
-	if e, known := r.entries[c.ID]; known && c.Endpoint == nil && !c.Unusable {
+	if e, known := r.registrations[c.ID]; known && c.Endpoint == nil && !c.Unusable {
 		c.Sequence = e.sequence
 	}
 	return c
 }
 
-// says tells whether this list says the same as a change, but for its position.
-func (r *Registry) says(c *Change) bool {
-	e, known := r.entries[c.ID]
+// matches reports whether the registry already holds the contents of a change, regardless of its position.
+func (r *Registry) matches(c *Change) bool {
+	e, known := r.registrations[c.ID]
 	if !known || e.unusable || !e.removedAt.IsZero() || c.Unusable || c.Endpoint == nil {
 		return false
 	}
-	told := *c.Endpoint
-	if told.BecameColdSince(&e.endpoint) {
+	updated := *c.Endpoint
+	if updated.BecameColdSince(&e.endpoint) {
 		return false
 	}
-	told.ColdUntil = e.endpoint.ColdUntil
-	if !told.Started.Equal(e.endpoint.Started) {
+	updated.ColdUntil = e.endpoint.ColdUntil
+	if !updated.Started.Equal(e.endpoint.Started) {
 		return false
 	}
-	// Equal times may be of different forms.
-	told.Started = e.endpoint.Started
-	return told == e.endpoint
+	// Equal times may have different representations.
+	updated.Started = e.endpoint.Started
+	return updated == e.endpoint
 }
 
-// Replace takes the newest change of every endpoint. One that it lacks has been removed, unless its change is
-// newer than the list's end.
+// Replace applies a complete list with the newest change of every endpoint. Endpoints missing from it have been
+// removed, unless their known change is newer than the end of the list.
 func (r *Registry) Replace(all []Change, next locator.Position, now time.Time) {
-	if r.known && next.Before(r.next) {
-		// The answer is older than what is known: a stale read would bring removed endpoints back.
+	if r.loaded && next.Before(r.next) {
+		// The list is older than the known state: a stale read would restore removed endpoints.
 		return
 	}
-	newEra := r.known && next.Era() > r.next.Era()
-	if newEra {
-		r.renewed = now
+	eraChanged := r.loaded && next.Era() > r.next.Era()
+	if eraChanged {
+		r.eraChangedAt = now
 	}
-	named := make(map[string]bool, len(all))
+	listed := make(map[string]bool, len(all))
 	for _, c := range all {
-		named[c.ID] = true
-		if newEra && r.outdated(&c) {
+		listed[c.ID] = true
+		if eraChanged && r.outdated(&c) {
 			continue
 		}
 		r.apply(c, now)
 	}
-	for id, e := range r.entries {
-		if !named[id] && e.position.Before(next) {
+	for id, e := range r.registrations {
+		if !listed[id] && e.position.Before(next) {
 			r.remove(Change{ID: id, Position: locator.At(next.Era(), next.Offset()-1)}, now)
 		}
 	}
 	r.next = next
-	r.known = true
+	r.loaded = true
 }
 
-// outdated tells whether a change of a new era is one that was known in the era before, or an older one. The first list of an
-// era is that of an older copy of the store, but for what was written again so far: taken as it is, it brings back endpoints
-// that have left.
+// outdated reports whether a change of a new era was already known in the previous era, or is older. The first list
+// of an era comes from an older copy of the store plus what has been written again so far. Applying it unfiltered
+// would restore endpoints that have departed.
 func (r *Registry) outdated(c *Change) bool {
 	if c.Endpoint == nil {
 		return false
 	}
-	if e, known := r.entries[c.ID]; known && !e.unusable {
-		return c.follows(e.endpoint.Started, e.sequence) < 0
+	if e, known := r.registrations[c.ID]; known && !e.unusable {
+		return c.compareTo(e.endpoint.Started, e.sequence) < 0
 	}
-	if g, known := r.gone[c.ID]; known {
-		return c.follows(g.started, g.sequence) <= 0
+	if g, known := r.departed[c.ID]; known {
+		return c.compareTo(g.started, g.sequence) <= 0
 	}
 	return false
 }
 
-// follows compares a change with a record that the endpoint wrote before: below 0 where it is older, 0 where it is the same
-// one.
-func (c *Change) follows(started time.Time, sequence int64) int {
+// compareTo compares a change with an earlier record by the same endpoint. It returns a negative number if the change
+// is older and 0 if both are the same record.
+func (c *Change) compareTo(started time.Time, sequence int64) int {
 	own := c.Endpoint.Started
 	if !own.IsZero() && !started.IsZero() && !own.Equal(started) {
 		return own.Compare(started)
@@ -282,57 +287,57 @@
 	return cmp.Compare(c.Sequence, sequence)
 }
 
-// SetServices takes the names of the services that the configuration has.
+// SetServices sets the names of the configured services.
 func (r *Registry) SetServices(names []string, now time.Time) {
 	r.services = make(map[string]bool, len(names))
 	for _, name := range names {
 		r.services[name] = true
 	}
-	for _, id := range slices.Collect(maps.Keys(r.entries)) {
-		if e, known := r.entries[id]; known {
+	for _, id := range slices.Collect(maps.Keys(r.registrations)) {
+		if e, known := r.registrations[id]; known {
 			r.evict(id, e, now)
 		}
 	}
 }
 
 func (r *Registry) apply(c Change, now time.Time) {
-	e, known := r.entries[c.ID]
-	g, hasLeft := r.gone[c.ID]
+	e, known := r.registrations[c.ID]
+	g, left := r.departed[c.ID]
 	switch {
-	case known && c.Position.Before(e.position), hasLeft && c.Position.Before(g.position):
+	case known && c.Position.Before(e.position), left && c.Position.Before(g.position):
 		return
 	case c.Unusable:
-		r.set(c.ID, &entry{position: c.Position, unusable: true})
+		r.set(c.ID, &registration{position: c.Position, unusable: true})
 		return
 	case c.Endpoint == nil:
 		r.remove(c, now)
 		return
 	case known && c.Endpoint.Started.Before(e.endpoint.Started) && !c.Endpoint.Started.IsZero():
-		// A late record of an earlier start under the same id, which says nothing of the present one.
+		// A late record of an earlier incarnation with the same ID doesn't describe the current one.
 		return
 	}
-	taken := &entry{endpoint: *c.Endpoint, position: c.Position, sequence: c.Sequence}
-	r.set(c.ID, taken)
-	r.evict(c.ID, taken, now)
-	delete(r.gone, c.ID)
+	added := &registration{endpoint: *c.Endpoint, position: c.Position, sequence: c.Sequence}
+	r.set(c.ID, added)
+	r.evict(c.ID, added, now)
+	delete(r.departed, c.ID)
 }
 
-// set takes an entry in the place of an earlier one of the id.
-func (r *Registry) set(id string, e *entry) {
+// set stores a registration, replacing any earlier one with this ID.
+func (r *Registry) set(id string, e *registration) {
 	r.unset(id)
-	r.entries[id] = e
+	r.registrations[id] = e
 	if !e.unusable {
 		r.atAddress[e.endpoint.Address] = append(r.atAddress[e.endpoint.Address], id)
 	}
 }
 
-// unset takes the entry of an id away, if there is one.
+// unset deletes the registration with this ID, if any.
 func (r *Registry) unset(id string) {
-	e, known := r.entries[id]
+	e, known := r.registrations[id]
 	if !known {
 		return
 	}
-	delete(r.entries, id)
+	delete(r.registrations, id)
 	if e.unusable {
 		return
 	}
@@ -345,10 +350,11 @@
 	r.atAddress[address] = others
 }
 
-// evict drops older endpoints at an entry's address. Addresses are used again after an endpoint has ended, also by other
-// services; its old entry may stay until it lapses, and calls would go to the wrong process. An entry of a service that
-// the configuration does not name evicts none: anybody may have written it, and sound endpoints would be lost to it.
-func (r *Registry) evict(newerID string, newer *entry, now time.Time) {
+// evict drops older endpoints at a registration's address. Addresses are reused after an endpoint has ended, also by
+// other services. The old registration may remain until it expires, and calls would go to the wrong process. A
+// registration of a service that isn't configured evicts none: anyone may have written it, and healthy endpoints
+// would be lost.
+func (r *Registry) evict(newerID string, newer *registration, now time.Time) {
 	if newer.unusable || r.services != nil && !r.services[newer.endpoint.Service] {
 		return
 	}
@@ -357,20 +363,20 @@
 		return
 	}
 	for _, id := range slices.Clone(ids) {
-		if e := r.entries[id]; id != newerID && e.position.Before(newer.position) {
+		if e := r.registrations[id]; id != newerID && e.position.Before(newer.position) {
 			r.drop(id, e, now)
 		}
 	}
 }
 
 func (r *Registry) remove(c Change, now time.Time) {
-	e, known := r.entries[c.ID]
+	e, known := r.registrations[c.ID]
 	if !known || c.Position.Before(e.position) {
 		return
 	}
 	e.position = c.Position
 	e.sequence = max(e.sequence, c.Sequence)
-	if e.unusable || !r.doubtful(now) {
+	if e.unusable || !r.removalUncertain(now) {
 		r.drop(c.ID, e, now)
 		return
 	}
@@ -380,37 +386,38 @@
 	}
 }
 
-// drop forgets an endpoint but for what tells its records from later ones.
-func (r *Registry) drop(id string, e *entry, now time.Time) {
+// drop removes an endpoint and remembers only what distinguishes its records from later ones.
+func (r *Registry) drop(id string, e *registration, now time.Time) {
 	r.unset(id)
-	if now.Sub(r.prunedAt) >= pruneEvery {
-		maps.DeleteFunc(r.gone, func(_ string, g gone) bool { return now.Sub(g.at) >= goneTime })
+	if now.Sub(r.prunedAt) >= pruneInterval {
+		maps.DeleteFunc(r.departed, func(_ string, g departure) bool { return now.Sub(g.at) >= departureMemory })
 		r.prunedAt = now
 	}
 	if !e.unusable {
-		r.gone[id] = gone{started: e.endpoint.Started, position: e.position, sequence: e.sequence, at: now}
+		r.departed[id] = departure{started: e.endpoint.Started, position: e.position, sequence: e.sequence, at: now}
 	}
 }
 
-// doubtful tells that a missing entry may belong to an endpoint that lives.
-func (r *Registry) doubtful(now time.Time) bool {
-	return r.away || r.lately(r.returned, now) || r.lately(r.renewed, now)
+// removalUncertain reports whether a missing registration may belong to a live endpoint.
+func (r *Registry) removalUncertain(now time.Time) bool {
+	return r.unavailable || r.inRecoveryGrace(r.recoveredAt, now) || r.inRecoveryGrace(r.eraChangedAt, now)
 }
 
-// lately tells whether a return of the store is so short ago that endpoints may not have written their entries again.
-func (r *Registry) lately(at, now time.Time) bool {
-	return !at.IsZero() && now.Sub(at) < r.returnTime
+// inRecoveryGrace reports whether the store recovered so recently that endpoints may not have registered again.
+func (r *Registry) inRecoveryGrace(at, now time.Time) bool {
+	return !at.IsZero() && now.Sub(at) < r.recoveryGrace
 }
 
-// Tick drops the endpoints whose removal is no longer in doubt, and tells whether there were any. It looks at the missing ones
-// only: it is called a hundred times a second, and with thousands of endpoints a walk over all is half of an entry's work.
+// Tick drops endpoints whose removal is no longer uncertain and reports whether there were any. It is called a
+// hundred times a second, so it visits only missing registrations: with thousands of endpoints, visiting all would
+// take half of an entry's work.
 func (r *Registry) Tick(now time.Time) bool {
-	if len(r.missing) == 0 || r.doubtful(now) {
+	if len(r.missing) == 0 || r.removalUncertain(now) {
 		return false
 	}
 	dropped := false
 	for id := range r.missing {
-		if e, known := r.entries[id]; known && !e.removedAt.IsZero() {
+		if e, known := r.registrations[id]; known && !e.removedAt.IsZero() {
 			r.drop(id, e, now)
 			dropped = true
 		}
@@ -419,27 +426,28 @@
 	return dropped
 }
 
-// Contains tells whether an endpoint is known, in the start that began at a time; a zero one is that of any start.
+// Contains reports whether the registry contains an endpoint in the incarnation that began at started. A zero time
+// matches any incarnation.
 func (r *Registry) Contains(id string, started time.Time) bool {
-	e, known := r.entries[id]
+	e, known := r.registrations[id]
 	return known && !e.unusable && e.endpoint.SameIncarnation(&Endpoint{ID: id, Started: started})
 }
 
-// ServiceOf gives the service of an endpoint, empty where it is not known.
+// ServiceOf returns the service of an endpoint, or "" if unknown.
 func (r *Registry) ServiceOf(id string) string {
-	if e, known := r.entries[id]; known {
+	if e, known := r.registrations[id]; known {
 		return e.endpoint.Service
 	}
 	return ""
 }
 
-// IDsAt gives the ids of the endpoints at an address; usually one.
+// IDsAt returns the IDs of the endpoints at an address; usually one.
 func (r *Registry) IDsAt(address string) []string { return r.atAddress[address] }
 
-// Usable lists the endpoints that may take work, in the order of their ids.
+// Usable returns the endpoints that may receive work, sorted by ID.
 func (r *Registry) Usable() []Endpoint {
-	usable := make([]Endpoint, 0, len(r.entries))
-	for _, e := range r.entries {
+	usable := make([]Endpoint, 0, len(r.registrations))
+	for _, e := range r.registrations {
 		if !e.unusable && !e.endpoint.Draining {
 			usable = append(usable, e.endpoint)
 		}
@@ -448,11 +456,11 @@
 	return usable
 }
 
-// Changes lists the newest change of every endpoint, for a peer that can't reach the store. Endpoints whose removal
-// is in doubt are among them; the peer judges that by its own sight of the store.
+// Changes returns the newest change of every endpoint, sorted by ID, for a peer that can't reach the store. It
+// includes endpoints whose removal is uncertain; the peer decides about them from its own view of the store.
 func (r *Registry) Changes() []Change {
-	all := make([]Change, 0, len(r.entries))
-	for id, e := range r.entries {
+	all := make([]Change, 0, len(r.registrations))
+	for id, e := range r.registrations {
 		c := Change{ID: id, Position: e.position, Sequence: e.sequence, Unusable: e.unusable}
 		if !e.unusable {
 			endpoint := e.endpoint
--- a/registrar/registrar_test.go
+++ b/registrar/registrar_test.go
@@ -13,7 +13,7 @@
 
 func at(d time.Duration) time.Time { return start.Add(d) }
 
-// pos is a position in a store that tells no era.
+// pos returns a position in a store that reports no era.
 func pos(offset int64) locator.Position { return locator.At(0, offset) }
 
 func put(id string, offset int64, change func(e *Endpoint)) Change {
@@ -32,7 +32,7 @@
 	return list
 }
 
-func TestDrainingAndRemovedEndpointsTakeNoWork(t *testing.T) {
+func TestDrainingAndRemovedEndpointsGetNoWork(t *testing.T) {
 	r := New(Config{})
 	r.StoreAvailable(start)
 	r.Replace([]Change{put("a", 0, nil), put("b", 1, nil), put("c", 2, nil)}, pos(3), start)
@@ -42,53 +42,56 @@
 	require.Equal(t, pos(5), r.Next())
 }
 
-// The store goes away, and all entries lapse in it meanwhile. It comes back without them, and the endpoints, which
-// lived all along, write theirs again within two seconds. Requests that come in between must still find endpoints.
-func TestEntriesThatLapsedDuringAnOutageAreKeptUntilTheyAreBack(t *testing.T) {
+// The store is unavailable, and all registrations expire in it meanwhile. It recovers without them, and the
+// endpoints, which were alive all the time, register again within two seconds. Requests that arrive in between must
+// still find endpoints.
+func TestRegistrationsExpiredDuringOutageAreKeptUntilRenewed(t *testing.T) {
 	r := New(Config{})
 	r.StoreAvailable(start)
 	r.Replace([]Change{put("a", 0, nil), put("b", 1, nil)}, pos(2), start)
 	r.StoreUnavailable()
 	r.StoreAvailable(at(8 * time.Second))
 	r.Apply([]Change{{ID: "a", Position: pos(2)}, {ID: "b", Position: pos(3)}}, pos(4), at(8*time.Second))
-	require.Equal(t, []string{"a", "b"}, ids(r), "they may live")
+	require.Equal(t, []string{"a", "b"}, ids(r), "they may still be running")
 	r.Apply([]Change{put("a", 4, nil)}, pos(5), at(9*time.Second))
-	require.False(t, r.Tick(at(10*time.Second)), "two seconds are not over")
+	require.False(t, r.Tick(at(10*time.Second)), "two seconds have not passed")
 	require.True(t, r.Tick(at(8*time.Second+DefaultRecoveryGrace)))
-	require.Equal(t, []string{"a"}, ids(r), "the one that did not come back is gone")
+	require.Equal(t, []string{"a"}, ids(r), "the one that did not register again must be removed")
 }
 
-// 216 endpoints write their entries every 1.2 s, nearly always with nothing new. The entry that reads for all tells only
-// what is new; a list that misses any of that would send work to an endpoint that leaves, or lack one that came back.
+// 216 endpoints write their registrations every 1.2 s, nearly always without news. The entry that reads the store for
+// all others relays only significant changes. If it missed one, peers would send work to an endpoint that is leaving,
+// or lack one that has returned.
 func TestOnlyNewsIsTold(t *testing.T) {
 	r := New(Config{})
 	draining := func(e *Endpoint) { e.Draining = true }
 	cold := func(e *Endpoint) { e.ColdUntil = at(time.Hour) }
-	coldStill := func(e *Endpoint) { e.ColdUntil = at(time.Hour + coldAgain) }
+	coldStill := func(e *Endpoint) { e.ColdUntil = at(time.Hour + coldTolerance) }
 	later := func(e *Endpoint) { e.Started = at(time.Second) }
 	r.StoreAvailable(start)
 	r.Replace([]Change{put("a", 0, nil), put("b", 1, nil), put("c", 2, cold), {ID: "odd", Position: pos(3), Unusable: true}}, pos(4), start)
 	none := []Change(nil)
-	for name, c := range map[string]struct{ read, news []Change }{
-		"a count":                {[]Change{put("a", 5, nil), put("c", 6, coldStill)}, none},
-		"warm":                   {[]Change{put("c", 5, nil)}, none},
-		"cold":                   {[]Change{put("b", 6, cold)}, []Change{put("b", 6, cold)}},
-		"leaving":                {[]Change{put("a", 5, draining)}, []Change{put("a", 5, draining)}},
-		"removed":                {[]Change{{ID: "b", Position: pos(5)}}, []Change{{ID: "b", Position: pos(5)}}},
-		"new":                    {[]Change{put("d", 5, nil)}, []Change{put("d", 5, nil)}},
-		"started again":          {[]Change{put("a", 5, later)}, []Change{put("a", 5, later)}},
-		"unusable":               {[]Change{{ID: "a", Position: pos(5), Unusable: true}}, []Change{{ID: "a", Position: pos(5), Unusable: true}}},
-		"usable again":           {[]Change{put("odd", 5, nil)}, []Change{put("odd", 5, nil)}},
-		"away and back, a count": {[]Change{{ID: "a", Position: pos(5)}, put("b", 6, nil), put("a", 7, nil)}, []Change{{ID: "a", Position: pos(5)}, put("a", 7, nil)}},
+	for name, c := range map[string]struct{ read, significant []Change }{
+		"only a count":                       {[]Change{put("a", 5, nil), put("c", 6, coldStill)}, none},
+		"warm":                               {[]Change{put("c", 5, nil)}, none},
+		"cold":                               {[]Change{put("b", 6, cold)}, []Change{put("b", 6, cold)}},
+		"leaving":                            {[]Change{put("a", 5, draining)}, []Change{put("a", 5, draining)}},
+		"removed":                            {[]Change{{ID: "b", Position: pos(5)}}, []Change{{ID: "b", Position: pos(5)}}},
+		"new":                                {[]Change{put("d", 5, nil)}, []Change{put("d", 5, nil)}},
+		"started again":                      {[]Change{put("a", 5, later)}, []Change{put("a", 5, later)}},
+		"unusable":                           {[]Change{{ID: "a", Position: pos(5), Unusable: true}}, []Change{{ID: "a", Position: pos(5), Unusable: true}}},
+		"usable again":                       {[]Change{put("odd", 5, nil)}, []Change{put("odd", 5, nil)}},
+		"removed and restored, only a count": {[]Change{{ID: "a", Position: pos(5)}, put("b", 6, nil), put("a", 7, nil)}, []Change{{ID: "a", Position: pos(5)}, put("a", 7, nil)}},
 	} {
-		require.Equal(t, c.news, r.SignificantChanges(c.read), name)
+		require.Equal(t, c.significant, r.SignificantChanges(c.read), name)
 	}
 	r.StoreUnavailable()
 	r.Apply([]Change{{ID: "c", Position: pos(8)}}, pos(9), start)
-	require.Equal(t, []Change{put("c", 10, nil)}, r.SignificantChanges([]Change{put("c", 10, nil)}), "its removal was in doubt")
+	require.Equal(t, []Change{put("c", 10, nil)}, r.SignificantChanges([]Change{put("c", 10, nil)}), "its removal was uncertain")
 }
 
-// An endpoint crashes, and its address is given to a process of another service while the old entry still stands.
+// An endpoint crashes, and its address is assigned to a process of another service while the old registration still
+// exists.
 func TestAnAddressBelongsToItsNewestEndpoint(t *testing.T) {
 	r := New(Config{})
 	r.StoreAvailable(start)
@@ -97,8 +100,8 @@
 	require.Equal(t, []string{"new"}, ids(r))
 }
 
-// A stale read tells an older state: it must not bring a removed endpoint back, nor un-drain one.
-func TestOlderWordIsDropped(t *testing.T) {
+// A stale read returns an older state: it must neither restore a removed endpoint nor cancel its draining.
+func TestOlderChangesAreIgnored(t *testing.T) {
 	r := New(Config{})
 	r.StoreAvailable(start)
 	r.Replace([]Change{put("a", 7, func(e *Endpoint) { e.Draining = true })}, pos(8), start)
@@ -109,7 +112,7 @@
 	require.Equal(t, pos(8), r.Next())
 }
 
-func TestAListWithoutAnEndpointRemovesIt(t *testing.T) {
+func TestListWithoutEndpointRemovesIt(t *testing.T) {
 	r := New(Config{})
 	r.StoreAvailable(start)
 	r.Replace([]Change{put("a", 0, nil), put("b", 1, nil)}, pos(2), start)
@@ -117,7 +120,7 @@
 	require.Equal(t, []string{"b"}, ids(r))
 }
 
-func TestChangesCanBeHandedToAPeer(t *testing.T) {
+func TestChangesCanBeSentToPeer(t *testing.T) {
 	r := New(Config{})
 	r.StoreAvailable(start)
 	r.Replace([]Change{put("a", 0, nil), put("b", 1, func(e *Endpoint) { e.Draining = true })}, pos(2), start)
@@ -127,39 +130,39 @@
 	require.True(t, other.Loaded())
 }
 
-// Another writer puts something under an endpoint's key that can't be read. The endpoint gets no calls until its own next
-// word, whether the record came in a tail or in a whole list, and also while the store is away, when entries that are
-// merely missing are kept. All other endpoints go on.
-func TestAnUnusableEntryNamesNoEndpointAndTheOthersHold(t *testing.T) {
+// Another writer stores an unreadable record under an endpoint's key. The endpoint must receive no calls until it
+// writes its next record, whether the bad one arrived in a tail or in a complete list, and also while the store is
+// unavailable, when merely missing registrations are kept. All other endpoints are unaffected.
+func TestUnusableRegistrationAffectsOnlyItsEndpoint(t *testing.T) {
 	bad := Change{ID: "a", Position: pos(2), Unusable: true}
 	for _, tc := range []struct {
-		name string
-		take func(r *Registry)
+		name  string
+		apply func(r *Registry)
 	}{
 		{"tail", func(r *Registry) { r.Apply([]Change{bad}, pos(3), start) }},
 		{"whole list", func(r *Registry) { r.Replace([]Change{bad, put("b", 1, nil)}, pos(3), start) }},
-		{"tail while the store is away", func(r *Registry) { r.StoreUnavailable(); r.Apply([]Change{bad}, pos(3), start) }},
+		{"tail while the store is unavailable", func(r *Registry) { r.StoreUnavailable(); r.Apply([]Change{bad}, pos(3), start) }},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			r := New(Config{})
 			r.StoreAvailable(start)
 			r.Replace([]Change{put("a", 0, nil), put("b", 1, nil)}, pos(2), start)
-			tc.take(r)
+			tc.apply(r)
 			require.Equal(t, []string{"b"}, ids(r))
 			other := New(Config{})
 			other.Replace(r.Changes(), r.Next(), start)
-			require.Equal(t, []string{"b"}, ids(other), "a peer is told so too")
+			require.Equal(t, []string{"b"}, ids(other), "a peer must learn this too")
 			r.Apply([]Change{put("a", 1, nil)}, pos(3), start)
-			require.Equal(t, []string{"b"}, ids(r), "an older word does not bring it back")
+			require.Equal(t, []string{"b"}, ids(r), "an older record must not restore it")
 			r.Apply([]Change{put("a", 3, nil)}, pos(4), start)
 			require.Equal(t, []string{"a", "b"}, ids(r))
 		})
 	}
 }
 
-// Another writer's entry gives a sound endpoint's address and a service that nobody configured. Taken for a new owner of
-// the address, it would put the sound endpoint out of use.
-func TestAnEntryOfAnUnknownServiceTakesNoAddress(t *testing.T) {
+// Another writer registers a healthy endpoint's address under a service that isn't configured. If that counted as the
+// new owner of the address, the healthy endpoint would become unusable.
+func TestRegistrationOfUnknownServiceEvictsNoEndpoint(t *testing.T) {
 	r := New(Config{})
 	r.StoreAvailable(start)
 	r.SetServices([]string{"s"}, start)
@@ -168,12 +171,12 @@
 	r.Apply([]Change{put("sound", 0, same), put("foreign", 1, foreign)}, pos(2), start)
 	require.Contains(t, ids(r), "sound")
 	r.SetServices([]string{"s", "nowhere"}, start)
-	require.Equal(t, []string{"foreign"}, ids(r), "a service that is configured later is one")
+	require.Equal(t, []string{"foreign"}, ids(r), "a service that is configured later is accepted")
 }
 
-// An endpoint starts again under its id, and a word of its earlier start, that it was leaving, arrives after the first one
-// of the new start. The new one must go on getting calls.
-func TestTheLateWordOfAnEarlierStartIsDropped(t *testing.T) {
+// An endpoint restarts under the same ID, and a record of its earlier incarnation, which was leaving, arrives after
+// the first record of the new one. The new incarnation must keep receiving calls.
+func TestLateRecordOfEarlierIncarnationIsIgnored(t *testing.T) {
 	r := New(Config{})
 	r.StoreAvailable(start)
 	first := func(e *Endpoint) { e.Started = start; e.Draining = true }
