--- a/detector/evidence.go
+++ b/detector/evidence.go
@@ -10,8 +10,8 @@
 // by this.
 const pauseDivisor = 4
 
-// maxMembers bounds the memory that a faulty peer can make this entry use. It exceeds the
-// 2,400 entries that the system is designed for.
+// maxMembers bounds the memory that a faulty peer can make this entry use. It exceeds the 2,400
+// entries that the system is designed for.
 const maxMembers = 4096
 
 // detectPause detects that this entry's own loop was paused. A paused process reads nothing, so all peers look silent
--- a/detector/fleet_test.go
+++ b/detector/fleet_test.go
@@ -30,20 +30,20 @@
 	return m
 }
 
-// Guards against false suspicion in a fleet of 195 live entries in which a tenth of all messages is lost, at a bandwidth that a VM with
-// 10 Mbit/s can afford. An entry that suspects a live one believes that its duties have moved to another entry, and
-// two then perform the same duty: 28 of 44 entries collected for one service, and nine tenths of their calls were
-// refused.
+// Guards against false suspicion in a fleet of 195 live entries in which a tenth of all messages is lost, at a
+// bandwidth that a VM with 10 Mbit/s can afford. An entry that suspects a live one believes that its duties have
+// moved to another entry, and two then perform the same duty: 28 of 44 entries collected for one service, and nine
+// tenths of their calls were refused.
 func TestALargeFleetDoubtsNobody(t *testing.T) {
 	m := fleetMesh(195)
 	m.run(4 * time.Second)
 	require.True(t, m.converged(), "all entries must find each other within 4 s of a simultaneous start")
-	settledAt := m.elapsed()
+	convergedAt := m.elapsed()
 	m.loss = 0.1
-	rate, oldest := m.gossipCost(10 * time.Second)
-	t.Logf("195 entries: %.0f B/s sent by each, longest silence of a live entry %v", rate, oldest)
-	require.Zero(t, m.count(Suspect, settledAt))
-	require.Zero(t, m.count(Dead, settledAt))
+	rate, longest := m.gossipCost(10 * time.Second)
+	t.Logf("195 entries: %.0f B/s sent by each, longest silence of a live entry %v", rate, longest)
+	require.Zero(t, m.count(Suspect, convergedAt))
+	require.Zero(t, m.count(Dead, convergedAt))
 	require.Less(t, rate, 62_500.0, "a twentieth of 10 Mbit/s")
 }
 
--- a/detector/gossip.go
+++ b/detector/gossip.go
@@ -9,8 +9,8 @@
 
 const (
 	// defaultFanout is the number of entries in the own availability zone that receive each heartbeat above
-	// MaxFullMesh. Each round multiplies the number of entries that know a step by up to five, so a zone of 65 takes
-	// about three rounds.
+	// MaxFullMesh. After each round up to five times as many entries know a step, so a zone of 65 takes about three
+	// rounds.
 	defaultFanout = 4
 	// maxForeignZones is the number of other zones that an entry sends to in one round. If there are more, it rotates
 	// through them.
--- a/detector/gossip_test.go
+++ b/detector/gossip_test.go
@@ -25,12 +25,12 @@
 
 // gossipCost runs the mesh for d and returns the bytes per second sent by each entry and the longest silence that any
 // entry saw of another.
-func (m *mesh) gossipCost(d time.Duration) (rate float64, oldest time.Duration) {
+func (m *mesh) gossipCost(d time.Duration) (rate float64, longest time.Duration) {
 	sent := 0
 	m.sent = &sent
-	m.run(d, func() { oldest = max(oldest, m.oldest()) })
+	m.run(d, func() { longest = max(longest, m.longestSilence()) })
 	m.sent = nil
-	return float64(sent) / float64(len(m.nodes)) / d.Seconds(), oldest
+	return float64(sent) / float64(len(m.nodes)) / d.Seconds(), longest
 }
 
 // A region has far more entries than one entry can send heartbeats to, so steps spread by gossip. No live entry may
@@ -40,10 +40,10 @@
 	m := regionMesh(90)
 	m.run(time.Minute)
 	require.True(t, m.converged(), "all entries must find each other through two seeds")
-	settledAt := m.elapsed()
-	rate, oldest := m.gossipCost(time.Minute)
-	require.Zero(t, m.count(Suspect, settledAt))
-	require.Zero(t, m.count(Dead, settledAt))
+	convergedAt := m.elapsed()
+	rate, longest := m.gossipCost(time.Minute)
+	require.Zero(t, m.count(Suspect, convergedAt))
+	require.Zero(t, m.count(Dead, convergedAt))
 
 	var took []time.Duration
 	for _, victim := range []int{0, 3, 10, 17, 24, 31} {
@@ -53,7 +53,7 @@
 	slices.Sort(took)
 	m.run(30 * time.Second)
 	t.Logf("90 entries, 3 zones: %.0f B/s sent by each, longest silence of a live entry %v, lost entries handed out for p50 %v, worst %v",
-		rate, oldest, took[3], took[5])
+		rate, longest, took[3], took[5])
 	require.True(t, m.converged())
 	require.Less(t, rate, 4000.0)
 	require.LessOrEqual(t, took[5], 17*time.Second)
@@ -78,16 +78,16 @@
 			for b.Loop() {
 				m := regionMesh(n)
 				m.run(time.Minute)
-				rate, oldest := m.gossipCost(time.Minute)
+				rate, longest := m.gossipCost(time.Minute)
 				b.ReportMetric(rate, "B/s")
-				b.ReportMetric(oldest.Seconds(), "oldest-s")
+				b.ReportMetric(longest.Seconds(), "oldest-s")
 			}
 		})
 	}
 }
 
-// oldest returns the longest silence that any entry currently sees of another.
-func (m *mesh) oldest() time.Duration {
+// longestSilence returns the longest silence that any entry currently sees of another.
+func (m *mesh) longestSilence() time.Duration {
 	var out time.Duration
 	for _, x := range m.nodes {
 		for _, r := range x.d.sorted {
--- a/detector/membership_test.go
+++ b/detector/membership_test.go
@@ -277,35 +277,35 @@
 type monotonicCheck struct {
 	m         *mesh
 	last      [][]Member
-	observers []*Detector
+	detectors []*Detector
 }
 
 func newMonotonicCheck(m *mesh) *monotonicCheck {
-	w := &monotonicCheck{m: m, observers: make([]*Detector, len(m.nodes))}
+	c := &monotonicCheck{m: m, detectors: make([]*Detector, len(m.nodes))}
 	for range m.nodes {
-		w.last = append(w.last, make([]Member, len(m.nodes)))
+		c.last = append(c.last, make([]Member, len(m.nodes)))
 	}
-	return w
+	return c
 }
 
-func (w *monotonicCheck) check(t require.TestingT) {
-	for i, n := range w.m.nodes {
-		if w.observers[i] != n.d {
-			w.observers[i] = n.d
-			clear(w.last[i])
+func (c *monotonicCheck) check(t require.TestingT) {
+	for i, n := range c.m.nodes {
+		if c.detectors[i] != n.d {
+			c.detectors[i] = n.d
+			clear(c.last[i])
 		}
-		for j := range w.m.nodes {
+		for j := range c.m.nodes {
 			now, ok := n.d.Member(name(j))
 			if !ok {
 				continue
 			}
-			before := w.last[i][j]
+			before := c.last[i][j]
 			back := now.Incarnation < before.Incarnation ||
 				now.Incarnation == before.Incarnation && now.Sequence < before.Sequence
 			if back {
 				require.Fail(t, "a view went back", "entry %d saw %v after %v", i, now, before)
 			}
-			w.last[i][j] = now
+			c.last[i][j] = now
 		}
 	}
 }
--- a/detector/mesh_test.go
+++ b/detector/mesh_test.go
@@ -112,8 +112,8 @@
 
 func (m *mesh) freeze(i int, d time.Duration) { m.nodes[i].frozenUntil = m.now.Add(d) }
 
-// running reports whether entry i's process is started and not paused.
-func (m *mesh) running(i int) bool {
+// isRunning reports whether entry i's process is started and not paused.
+func (m *mesh) isRunning(i int) bool {
 	return m.nodes[i].running && !m.now.Before(m.nodes[i].frozenUntil)
 }
 
@@ -121,7 +121,7 @@
 	for end := m.now.Add(d); m.now.Before(end); {
 		m.now = m.now.Add(m.stepInterval)
 		for _, i := range m.rnd.Perm(len(m.nodes)) {
-			if m.running(i) {
+			if m.isRunning(i) {
 				m.step(i)
 			}
 		}
@@ -192,7 +192,7 @@
 // handsOut reports whether any running process, including the victim's own, would hand out the victim to a caller.
 func (m *mesh) handsOut(victim int) bool {
 	for i := range m.nodes {
-		if m.running(i) && m.state(i, victim) == Live {
+		if m.isRunning(i) && m.state(i, victim) == Live {
 			return true
 		}
 	}
@@ -222,7 +222,7 @@
 func (m *mesh) converged() bool {
 	for i := range m.nodes {
 		for j := range m.nodes {
-			if m.running(i) && (m.state(i, j) == Live) != m.running(j) {
+			if m.isRunning(i) && (m.state(i, j) == Live) != m.isRunning(j) {
 				return false
 			}
 		}
--- a/detector/pulse_test.go
+++ b/detector/pulse_test.go
@@ -21,7 +21,7 @@
 		}
 		names[id] = name
 	}
-	require.FailNow(t, "no two names with the same pulse id")
+	require.FailNow(t, "no two names with the same pulse ID")
 	return "", ""
 }
 
@@ -30,26 +30,26 @@
 func TestPulseIDCollisionDoesNotKeepDeadMemberAlive(t *testing.T) {
 	x, y := collidingNames(t)
 	for _, names := range [][2]string{{x, y}, {y, x}} {
-		lives, dies := names[0], names[1]
+		live, dead := names[0], names[1]
 		now := time.Unix(1_700_000_000, 0)
 		sender, receiver := New(testConfig()), New(testConfig())
 		sender.self.Name = "teller"
-		beat := func(name string, sequence uint64) *carrier.Heartbeat {
+		heartbeat := func(name string, sequence uint64) *carrier.Heartbeat {
 			return &carrier.Heartbeat{From: carrier.Member{Name: name, Incarnation: 1, Sequence: sequence, State: uint8(Live)}}
 		}
 		for step := range uint64(50) {
 			now = now.Add(meshHeartbeat)
 			if step < 10 {
-				sender.Receive(beat(dies, step+1), now)
+				sender.Receive(heartbeat(dead, step+1), now)
 			}
-			sender.Receive(beat(lives, step+1), now)
+			sender.Receive(heartbeat(live, step+1), now)
 			sender.Tick(now)
 			receiver.Tick(now)
 			receiver.Receive(sender.Heartbeat(now), now)
 		}
-		member, _ := receiver.Member(lives)
+		member, _ := receiver.Member(live)
 		require.Equal(t, Live, member.State)
-		member, _ = receiver.Member(dies)
+		member, _ = receiver.Member(dead)
 		require.Equal(t, Dead, member.State)
 	}
 }
--- a/locator/position.go
+++ b/locator/position.go
@@ -26,7 +26,8 @@
 // Offset returns the offset within the era.
 func (p Position) Offset() int64 { return p.offset }
 
-// Compare returns a negative number if p is older than q, 0 if they are equal, and a positive number if p is newer.
+// Compare orders positions: the result is below 0 if p is older than q, 0 if they are equal, and above 0 if p is
+// newer.
 func (p Position) Compare(q Position) int {
 	return cmp.Or(cmp.Compare(p.era, q.era), cmp.Compare(p.offset, q.offset))
 }
--- a/registrar/era_test.go
+++ b/registrar/era_test.go
@@ -128,7 +128,7 @@
 			now = now.Add(10 * time.Millisecond)
 			r.Tick(now)
 			for _, id := range ids(r) {
-				require.False(t, seenUnusable[id], "%s has left but is usable", id)
+				require.False(t, seenUnusable[id], "%s is usable again after leaving", id)
 			}
 			for _, id := range s.serving() {
 				require.True(t, !seenUsable[id] || slices.Contains(ids(r), id), "%s is serving but was removed", id)
--- a/registrar/registrar.go
+++ b/registrar/registrar.go
@@ -110,8 +110,8 @@
 type Registry struct {
 	recoveryGrace time.Duration
 	registrations map[string]*registration
-	// atAddress maps each address to the IDs registered there; usually one.
-	atAddress map[string][]string
+	// idsByAddress maps each address to the IDs registered there; usually one.
+	idsByAddress map[string][]string
 	// missing holds the IDs of registrations that are missing from the store but whose removal is still uncertain.
 	missing map[string]bool
 	// departed holds recently departed endpoints, last pruned at prunedAt.
@@ -138,7 +138,7 @@
 	return &Registry{
 		recoveryGrace: cfg.RecoveryGrace,
 		registrations: make(map[string]*registration),
-		atAddress:     make(map[string][]string),
+		idsByAddress:  make(map[string][]string),
 		missing:       make(map[string]bool),
 		departed:      make(map[string]departure),
 	}
@@ -208,29 +208,29 @@
 // for all others knows the last record written by the endpoint itself, which distinguishes the removal from records
 // restored by an older copy of the store.
 func (r *Registry) withSequence(c Change) Change {
-	if e, known := r.registrations[c.ID]; known && c.Endpoint == nil && !c.Unusable {
-		c.Sequence = e.sequence
+	if reg, known := r.registrations[c.ID]; known && c.Endpoint == nil && !c.Unusable {
+		c.Sequence = reg.sequence
 	}
 	return c
 }
 
 // matches reports whether the registry already holds the contents of a change, regardless of its position.
 func (r *Registry) matches(c *Change) bool {
-	e, known := r.registrations[c.ID]
-	if !known || e.unusable || !e.removedAt.IsZero() || c.Unusable || c.Endpoint == nil {
+	reg, known := r.registrations[c.ID]
+	if !known || reg.unusable || !reg.removedAt.IsZero() || c.Unusable || c.Endpoint == nil {
 		return false
 	}
 	updated := *c.Endpoint
-	if updated.BecameColdSince(&e.endpoint) {
+	if updated.BecameColdSince(&reg.endpoint) {
 		return false
 	}
-	updated.ColdUntil = e.endpoint.ColdUntil
-	if !updated.Started.Equal(e.endpoint.Started) {
+	updated.ColdUntil = reg.endpoint.ColdUntil
+	if !updated.Started.Equal(reg.endpoint.Started) {
 		return false
 	}
 	// Equal times may have different representations.
-	updated.Started = e.endpoint.Started
-	return updated == e.endpoint
+	updated.Started = reg.endpoint.Started
+	return updated == reg.endpoint
 }
 
 // Replace applies a complete list with the newest change of every endpoint. Endpoints missing from it have been
@@ -252,8 +252,8 @@
 		}
 		r.apply(c, now)
 	}
-	for id, e := range r.registrations {
-		if !listed[id] && e.position.Before(next) {
+	for id, reg := range r.registrations {
+		if !listed[id] && reg.position.Before(next) {
 			r.remove(Change{ID: id, Position: locator.At(next.Era(), next.Offset()-1)}, now)
 		}
 	}
@@ -268,11 +268,11 @@
 	if c.Endpoint == nil {
 		return false
 	}
-	if e, known := r.registrations[c.ID]; known && !e.unusable {
-		return c.compareTo(e.endpoint.Started, e.sequence) < 0
+	if reg, known := r.registrations[c.ID]; known && !reg.unusable {
+		return c.compareTo(reg.endpoint.Started, reg.sequence) < 0
 	}
-	if g, known := r.departed[c.ID]; known {
-		return c.compareTo(g.started, g.sequence) <= 0
+	if d, known := r.departed[c.ID]; known {
+		return c.compareTo(d.started, d.sequence) <= 0
 	}
 	return false
 }
@@ -294,17 +294,17 @@
 		r.services[name] = true
 	}
 	for _, id := range slices.Collect(maps.Keys(r.registrations)) {
-		if e, known := r.registrations[id]; known {
-			r.evict(id, e, now)
+		if reg, known := r.registrations[id]; known {
+			r.evict(id, reg, now)
 		}
 	}
 }
 
 func (r *Registry) apply(c Change, now time.Time) {
-	e, known := r.registrations[c.ID]
-	g, left := r.departed[c.ID]
+	reg, known := r.registrations[c.ID]
+	d, left := r.departed[c.ID]
 	switch {
-	case known && c.Position.Before(e.position), left && c.Position.Before(g.position):
+	case known && c.Position.Before(reg.position), left && c.Position.Before(d.position):
 		return
 	case c.Unusable:
 		r.set(c.ID, &registration{position: c.Position, unusable: true})
@@ -312,7 +312,7 @@
 	case c.Endpoint == nil:
 		r.remove(c, now)
 		return
-	case known && c.Endpoint.Started.Before(e.endpoint.Started) && !c.Endpoint.Started.IsZero():
+	case known && c.Endpoint.Started.Before(reg.endpoint.Started) && !c.Endpoint.Started.IsZero():
 		// A late record of an earlier incarnation with the same ID doesn't describe the current one.
 		return
 	}
@@ -323,31 +323,31 @@
 }
 
 // set stores a registration, replacing any earlier one with this ID.
-func (r *Registry) set(id string, e *registration) {
+func (r *Registry) set(id string, reg *registration) {
 	r.unset(id)
-	r.registrations[id] = e
-	if !e.unusable {
-		r.atAddress[e.endpoint.Address] = append(r.atAddress[e.endpoint.Address], id)
+	r.registrations[id] = reg
+	if !reg.unusable {
+		r.idsByAddress[reg.endpoint.Address] = append(r.idsByAddress[reg.endpoint.Address], id)
 	}
 }
 
 // unset deletes the registration with this ID, if any.
 func (r *Registry) unset(id string) {
-	e, known := r.registrations[id]
+	reg, known := r.registrations[id]
 	if !known {
 		return
 	}
 	delete(r.registrations, id)
-	if e.unusable {
+	if reg.unusable {
 		return
 	}
-	address := e.endpoint.Address
-	others := slices.DeleteFunc(r.atAddress[address], func(other string) bool { return other == id })
+	address := reg.endpoint.Address
+	others := slices.DeleteFunc(r.idsByAddress[address], func(other string) bool { return other == id })
 	if len(others) == 0 {
-		delete(r.atAddress, address)
+		delete(r.idsByAddress, address)
 		return
 	}
-	r.atAddress[address] = others
+	r.idsByAddress[address] = others
 }
 
 // evict drops older endpoints at a registration's address. Addresses are reused after an endpoint has ended, also by
@@ -358,43 +358,43 @@
 	if newer.unusable || r.services != nil && !r.services[newer.endpoint.Service] {
 		return
 	}
-	ids := r.atAddress[newer.endpoint.Address]
+	ids := r.idsByAddress[newer.endpoint.Address]
 	if len(ids) < 2 {
 		return
 	}
 	for _, id := range slices.Clone(ids) {
-		if e := r.registrations[id]; id != newerID && e.position.Before(newer.position) {
-			r.drop(id, e, now)
+		if reg := r.registrations[id]; id != newerID && reg.position.Before(newer.position) {
+			r.drop(id, reg, now)
 		}
 	}
 }
 
 func (r *Registry) remove(c Change, now time.Time) {
-	e, known := r.registrations[c.ID]
-	if !known || c.Position.Before(e.position) {
+	reg, known := r.registrations[c.ID]
+	if !known || c.Position.Before(reg.position) {
 		return
 	}
-	e.position = c.Position
-	e.sequence = max(e.sequence, c.Sequence)
-	if e.unusable || !r.removalUncertain(now) {
-		r.drop(c.ID, e, now)
+	reg.position = c.Position
+	reg.sequence = max(reg.sequence, c.Sequence)
+	if reg.unusable || !r.removalUncertain(now) {
+		r.drop(c.ID, reg, now)
 		return
 	}
-	if e.removedAt.IsZero() {
-		e.removedAt = now
+	if reg.removedAt.IsZero() {
+		reg.removedAt = now
 		r.missing[c.ID] = true
 	}
 }
 
 // drop removes an endpoint and remembers only what distinguishes its records from later ones.
-func (r *Registry) drop(id string, e *registration, now time.Time) {
+func (r *Registry) drop(id string, reg *registration, now time.Time) {
 	r.unset(id)
 	if now.Sub(r.prunedAt) >= pruneInterval {
-		maps.DeleteFunc(r.departed, func(_ string, g departure) bool { return now.Sub(g.at) >= departureMemory })
+		maps.DeleteFunc(r.departed, func(_ string, d departure) bool { return now.Sub(d.at) >= departureMemory })
 		r.prunedAt = now
 	}
-	if !e.unusable {
-		r.departed[id] = departure{started: e.endpoint.Started, position: e.position, sequence: e.sequence, at: now}
+	if !reg.unusable {
+		r.departed[id] = departure{started: reg.endpoint.Started, position: reg.position, sequence: reg.sequence, at: now}
 	}
 }
 
@@ -417,8 +417,8 @@
 	}
 	dropped := false
 	for id := range r.missing {
-		if e, known := r.registrations[id]; known && !e.removedAt.IsZero() {
-			r.drop(id, e, now)
+		if reg, known := r.registrations[id]; known && !reg.removedAt.IsZero() {
+			r.drop(id, reg, now)
 			dropped = true
 		}
 	}
@@ -429,27 +429,27 @@
 // Contains reports whether the registry contains an endpoint in the incarnation that began at started. A zero time
 // matches any incarnation.
 func (r *Registry) Contains(id string, started time.Time) bool {
-	e, known := r.registrations[id]
-	return known && !e.unusable && e.endpoint.SameIncarnation(&Endpoint{ID: id, Started: started})
+	reg, known := r.registrations[id]
+	return known && !reg.unusable && reg.endpoint.SameIncarnation(&Endpoint{ID: id, Started: started})
 }
 
 // ServiceOf returns the service of an endpoint, or "" if unknown.
 func (r *Registry) ServiceOf(id string) string {
-	if e, known := r.registrations[id]; known {
-		return e.endpoint.Service
+	if reg, known := r.registrations[id]; known {
+		return reg.endpoint.Service
 	}
 	return ""
 }
 
 // IDsAt returns the IDs of the endpoints at an address; usually one.
-func (r *Registry) IDsAt(address string) []string { return r.atAddress[address] }
+func (r *Registry) IDsAt(address string) []string { return r.idsByAddress[address] }
 
 // Usable returns the endpoints that may receive work, sorted by ID.
 func (r *Registry) Usable() []Endpoint {
 	usable := make([]Endpoint, 0, len(r.registrations))
-	for _, e := range r.registrations {
-		if !e.unusable && !e.endpoint.Draining {
-			usable = append(usable, e.endpoint)
+	for _, reg := range r.registrations {
+		if !reg.unusable && !reg.endpoint.Draining {
+			usable = append(usable, reg.endpoint)
 		}
 	}
 	slices.SortFunc(usable, func(a, b Endpoint) int { return strings.Compare(a.ID, b.ID) })
@@ -460,10 +460,10 @@
 // includes endpoints whose removal is uncertain; the peer decides about them from its own view of the store.
 func (r *Registry) Changes() []Change {
 	all := make([]Change, 0, len(r.registrations))
-	for id, e := range r.registrations {
-		c := Change{ID: id, Position: e.position, Sequence: e.sequence, Unusable: e.unusable}
-		if !e.unusable {
-			endpoint := e.endpoint
+	for id, reg := range r.registrations {
+		c := Change{ID: id, Position: reg.position, Sequence: reg.sequence, Unusable: reg.unusable}
+		if !reg.unusable {
+			endpoint := reg.endpoint
 			c.Endpoint = &endpoint
 		}
 		all = append(all, c)
--- a/registrar/registrar_test.go
+++ b/registrar/registrar_test.go
@@ -72,16 +72,16 @@
 	r.Replace([]Change{put("a", 0, nil), put("b", 1, nil), put("c", 2, cold), {ID: "odd", Position: pos(3), Unusable: true}}, pos(4), start)
 	none := []Change(nil)
 	for name, c := range map[string]struct{ read, significant []Change }{
-		"only a count":                       {[]Change{put("a", 5, nil), put("c", 6, coldStill)}, none},
-		"warm":                               {[]Change{put("c", 5, nil)}, none},
-		"cold":                               {[]Change{put("b", 6, cold)}, []Change{put("b", 6, cold)}},
-		"leaving":                            {[]Change{put("a", 5, draining)}, []Change{put("a", 5, draining)}},
-		"removed":                            {[]Change{{ID: "b", Position: pos(5)}}, []Change{{ID: "b", Position: pos(5)}}},
-		"new":                                {[]Change{put("d", 5, nil)}, []Change{put("d", 5, nil)}},
-		"started again":                      {[]Change{put("a", 5, later)}, []Change{put("a", 5, later)}},
-		"unusable":                           {[]Change{{ID: "a", Position: pos(5), Unusable: true}}, []Change{{ID: "a", Position: pos(5), Unusable: true}}},
-		"usable again":                       {[]Change{put("odd", 5, nil)}, []Change{put("odd", 5, nil)}},
-		"removed and restored, only a count": {[]Change{{ID: "a", Position: pos(5)}, put("b", 6, nil), put("a", 7, nil)}, []Change{{ID: "a", Position: pos(5)}, put("a", 7, nil)}},
+		"only a new count":                       {[]Change{put("a", 5, nil), put("c", 6, coldStill)}, none},
+		"warm":                                   {[]Change{put("c", 5, nil)}, none},
+		"cold":                                   {[]Change{put("b", 6, cold)}, []Change{put("b", 6, cold)}},
+		"leaving":                                {[]Change{put("a", 5, draining)}, []Change{put("a", 5, draining)}},
+		"removed":                                {[]Change{{ID: "b", Position: pos(5)}}, []Change{{ID: "b", Position: pos(5)}}},
+		"new":                                    {[]Change{put("d", 5, nil)}, []Change{put("d", 5, nil)}},
+		"started again":                          {[]Change{put("a", 5, later)}, []Change{put("a", 5, later)}},
+		"unusable":                               {[]Change{{ID: "a", Position: pos(5), Unusable: true}}, []Change{{ID: "a", Position: pos(5), Unusable: true}}},
+		"usable again":                           {[]Change{put("odd", 5, nil)}, []Change{put("odd", 5, nil)}},
+		"removed and restored, only a new count": {[]Change{{ID: "a", Position: pos(5)}, put("b", 6, nil), put("a", 7, nil)}, []Change{{ID: "a", Position: pos(5)}, put("a", 7, nil)}},
 	} {
 		require.Equal(t, c.significant, r.SignificantChanges(c.read), name)
 	}
