--- a/detector/detector.go
+++ b/detector/detector.go
@@ -65,7 +65,7 @@
 	hints  map[string]*hint
 	// id is the pulse ID of this entry.
 	id uint32
-	// sendFull is set when a heartbeat arrives from an unknown member: the next heartbeat describes all members in
+	// sendFull is set when a heartbeat arrives from an unknown process: the next heartbeat describes all members in
 	// full.
 	sendFull bool
 	// newPeers holds the addresses of new members, which always receive the next heartbeat.
--- a/quarantiner/quarantiner.go
+++ b/quarantiner/quarantiner.go
@@ -129,7 +129,7 @@
 		m.losses = m.losses[:0]
 	}
 	if m.add(address, now) {
-		q.extend(m, now)
+		q.refresh(m, now)
 	}
 	return q.Verdict(digest, now)
 }
@@ -148,11 +148,11 @@
 	return addresses
 }
 
-func (q *Quarantiner) extend(m *mark, now time.Time) {
+func (q *Quarantiner) refresh(m *mark, lostAt time.Time) {
 	m.cleared = false
-	m.expires = now.Add(q.cfg.SuspectFor)
+	m.expires = lostAt.Add(q.cfg.SuspectFor)
 	if len(m.losses) >= quarantineCrashes {
-		m.expires = now.Add(q.cfg.QuarantineFor)
+		m.expires = lostAt.Add(q.cfg.QuarantineFor)
 	}
 }
 
@@ -224,7 +224,7 @@
 		for _, l := range marks[i].Losses {
 			age := time.Duration(l.AgeMillis) * time.Millisecond
 			if age >= 0 && age < q.cfg.QuarantineFor && m.add(l.Address, now.Add(-age)) {
-				q.extend(m, now.Add(-age))
+				q.refresh(m, now.Add(-age))
 			}
 		}
 		if before != Quarantined && q.Verdict(digest, now) == Quarantined {
--- a/registrar/registrar.go
+++ b/registrar/registrar.go
@@ -277,8 +277,8 @@
 	return false
 }
 
-// compareTo compares a change with an earlier record by the same endpoint. It returns a negative number if the change
-// is older and 0 if both are the same record.
+// compareTo compares a change with an earlier record by the same endpoint: the result is below 0 if the change is
+// older, and 0 if both are the same record.
 func (c *Change) compareTo(started time.Time, sequence int64) int {
 	own := c.Endpoint.Started
 	if !own.IsZero() && !started.IsZero() && !own.Equal(started) {
