--- a/router/call.go
+++ b/router/call.go
@@ -6,73 +6,74 @@
 	"geraniumline/ejector"
 )
 
-// Result tells how a call to an endpoint ended.
+// Result is the outcome of a call to an endpoint.
 type Result uint8
 
-// The ways in which a call ends.
+// The possible outcomes of a call.
 const (
 	Succeeded Result = iota
 	Failed
-	// Unreachable means that nothing took the connection.
+	// Unreachable means that the connection to the endpoint was refused.
 	Unreachable
 	Cancelled
 	RefusedBusy
 	RefusedLeaving
 )
 
-// CallEnd is a call's end.
+// CallEnd describes a finished call.
 type CallEnd struct {
 	Result Result
-	// Duration is the call's time, Expected the usual time of its stage; both are used when it succeeded.
+	// Duration is how long the call took and Expected how long its stage usually takes. Both are
+	// used only if the call succeeded.
 	Duration time.Duration
 	Expected time.Duration
 }
 
-// CallStarted counts a call as in flight.
+// CallStarted counts a new call to the endpoint as in flight. prefix may be nil.
 func (r *Router) CallStarted(address string, prefix *Prefix, now time.Time) {
 	e, known := r.endpoints[address]
 	if !known {
 		return
 	}
-	e.settle(now)
+	e.smoothPeerCalls(now)
 	e.inFlight++
 	e.pool.calls++
-	e.past.note(e.calls(), now)
+	e.history.record(e.calls(), now)
 	r.refresh(e)
 	if prefix != nil {
-		r.predict(e, prefix)
+		r.predictCache(e, prefix)
 	}
 }
 
-// CallEnded takes a call's end, and tells whether the endpoint was ejected by it.
+// CallEnded records the end of a call. It reports whether this ejected the endpoint.
 func (r *Router) CallEnded(address string, end CallEnd, now time.Time) bool {
 	e, known := r.endpoints[address]
 	if !known {
 		return false
 	}
-	e.settle(now)
+	e.smoothPeerCalls(now)
 	if e.inFlight > 0 {
 		e.inFlight--
 		e.pool.calls--
 	}
-	e.past.note(e.calls(), now)
-	ejected := r.judge(e, end, now)
+	e.history.record(e.calls(), now)
+	ejected := r.recordHealth(e, end, now)
 	r.refresh(e)
 	return ejected
 }
 
-func (r *Router) judge(e *endpoint, end CallEnd, now time.Time) bool {
-	doubted := e.peerEjected > 0
-	var verdict ejector.End
+func (r *Router) recordHealth(e *endpoint, end CallEnd, now time.Time) bool {
+	ejectedByPeer := e.peerEjected > 0
+	var healthEnd ejector.End
 	switch end.Result {
 	case Succeeded:
-		e.succeeded = now
-		e.pool.observe(end.Duration)
-		verdict = e.pool.health.Took(&e.health, end.Duration, end.Expected)
+		e.succeededAt = now
+		e.pool.observeCallTime(end.Duration)
+		healthEnd = e.pool.health.Took(&e.health, end.Duration, end.Expected)
 	case Failed:
-		verdict = ejector.Bad
+		healthEnd = ejector.Bad
 	case Unreachable:
-		verdict = ejector.Down
+		healthEnd = ejector.Down
 	case RefusedLeaving:
 		e.selfLeaving = true
 		e.selfLeavingAt = now
@@ -80,23 +81,23 @@
 	default:
 		return false
 	}
-	changed := e.pool.health.Ended(&e.health, verdict, doubted, now)
+	changed := e.pool.health.Ended(&e.health, healthEnd, ejectedByPeer, now)
 	return changed && e.health.State() == ejector.Ejected
 }
 
-// callTimeWeight is the weight of the newest call in the mean time of a pool's calls.
+// callTimeWeight is the weight of the newest call in a pool's moving average of call times.
 const callTimeWeight = 0.02
 
-func (p *pool) observe(took time.Duration) {
+func (p *pool) observeCallTime(duration time.Duration) {
 	if p.callTime == 0 {
-		p.callTime = float64(took)
+		p.callTime = float64(duration)
 	}
-	p.callTime += callTimeWeight * (float64(took) - p.callTime)
+	p.callTime += callTimeWeight * (float64(duration) - p.callTime)
 }
 
-// CallOverdue notes that a call is silent for longer than the pool's patience, and tells whether its
-// endpoint was ejected by it. Waiting for the call's end would give an endpoint that takes calls and
-// never answers all the time until the first deadline.
+// CallOverdue records that a call has been silent for longer than OverdueAfter. It reports whether
+// this ejected the endpoint. Without it, an endpoint that accepts calls and never answers would
+// stay in use until the first deadline passes.
 func (r *Router) CallOverdue(address string, now time.Time) bool {
 	e, known := r.endpoints[address]
 	if !known {
--- a/router/choose.go
+++ b/router/choose.go
@@ -8,60 +8,63 @@
 )
 
 const (
-	// homes is how many endpoints on the ring a prompt's prefix may be at home at.
-	homes = 2
-	// probeCandidates bounds the endpoints that are looked at for one that waits for its probe.
+	// homesPerPrefix is the number of endpoints on the hash ring that are preferred for a prompt
+	// prefix.
+	homesPerPrefix = 2
+	// probeCandidates limits how many unhealthy endpoints are checked when looking for one to
+	// probe.
 	probeCandidates = 4
-	// homeReuse is the reuse that is assumed at a home whose cache is not known to hold the prefix:
-	// enough that entries which know nothing send the same prefix to the same endpoint.
-	homeReuse = 0.5
+	// assumedHomeReuse is the cached fraction that is assumed at a home endpoint whose cache is not
+	// known to hold the prefix. It is high enough that entries without cache information send the
+	// same prefix to the same endpoint.
+	assumedHomeReuse = 0.5
 )
 
-// Query says what a stage call needs of an endpoint.
+// Query describes what a stage call requires of an endpoint.
 type Query struct {
 	Pool string
-	// Prefix is of the prompt, for pools that cache prompts.
+	// Prefix identifies the prompt, for pools that cache prompts.
 	Prefix Prefix
-	// Avoid holds the addresses that were tried already.
+	// Avoid lists the addresses that were already tried.
 	Avoid []string
-	// NoProbe keeps the call from an endpoint that is on probe: for a stage that must not be repeated
-	// a failed probe would leave the outcome unknown.
+	// NoProbe excludes endpoints that are being probed. A stage that must not be repeated sets it,
+	// since a failed probe would leave its outcome unknown.
 	NoProbe bool
-	// Model is what the endpoint must hold. Lacks tells that an endpoint surely does not: it would refuse the
-	// call. Nil for pools whose endpoints' models are not known.
+	// Model is the model that the endpoint must hold. LacksModel reports whether an endpoint is
+	// known not to hold it and would refuse the call; it is nil for pools whose models are unknown.
 	Model      string
 	LacksModel func(address, model string, now time.Time) bool
 }
 
-// lacks tells that the endpoint surely can't serve the call's model.
-func (a *Query) lacks(e *endpoint, now time.Time) bool {
-	return a.LacksModel != nil && a.Model != "" && a.LacksModel(e.address, a.Model, now)
+// lacksModel reports whether the endpoint is known not to hold the model of the call.
+func (q *Query) lacksModel(e *endpoint, now time.Time) bool {
+	return q.LacksModel != nil && q.Model != "" && q.LacksModel(e.address, q.Model, now)
 }
 
-// candidate is the best endpoint seen so far.
+// candidate is the best endpoint found so far.
 type candidate struct {
 	endpoint *endpoint
 	score    float64
 }
 
-// Choose names a free endpoint of the pool, or none if all are full, leaving or ejected.
-// An address to avoid is named only when no other is free.
+// Choose returns the address of a free endpoint of the pool, or false if all are full, leaving or
+// ejected. An address in Avoid is returned only if no other endpoint is free.
 //
-// It looks at a few free endpoints at random and at the homes of the prompt's prefix, and takes the
-// one with the least load less what its cache is worth. A few at random is what keeps entries that
-// all see the same lagging loads from choosing the same endpoint.
-func (r *Router) Choose(ask Query, now time.Time) (string, bool) {
-	p, known := r.pools[ask.Pool]
+// It scores a few random free endpoints and the home endpoints of the prompt's prefix, and returns
+// the one with the lowest load minus the value of its cache. Random sampling keeps entries that all
+// see the same outdated loads from choosing the same endpoint.
+func (r *Router) Choose(query Query, now time.Time) (string, bool) {
+	p, known := r.pools[query.Pool]
 	if !known {
 		return "", false
 	}
-	r.advance(p, now)
-	if e := r.probe(p, &ask, now); e != nil {
+	r.advanceEjections(p, now)
+	if e := r.endpointToProbe(p, &query, now); e != nil {
 		return e.address, true
 	}
-	best := r.sample(p, &ask, now)
+	best := r.bestOfSample(p, &query, now)
 	if best.endpoint == nil {
-		best = r.any(p, &ask, now)
+		best = r.anyFree(p, &query, now)
 	}
 	if best.endpoint == nil {
 		return "", false
@@ -69,61 +72,62 @@
 	return best.endpoint.address, true
 }
 
-// probe gives an endpoint that waits for its probe. It goes before better ones, since otherwise a
-// quiet pool would never try it again.
-func (r *Router) probe(p *pool, ask *Query, now time.Time) *endpoint {
-	if ask.NoProbe || len(p.out) == 0 || len(ask.Avoid) > 0 {
+// endpointToProbe returns an endpoint that is due for a probe, or nil. It takes precedence over
+// healthy endpoints, because a pool with little traffic would otherwise never retry it.
+func (r *Router) endpointToProbe(p *pool, query *Query, now time.Time) *endpoint {
+	if query.NoProbe || len(p.unhealthy) == 0 || len(query.Avoid) > 0 {
 		return nil
 	}
-	n := len(p.out)
+	n := len(p.unhealthy)
 	start := r.cfg.Rand.IntN(n)
 	for i := range min(n, probeCandidates) {
-		e := p.out[(start+i)%n]
-		if e.health.State() == ejector.Probing && e.freeIndex >= 0 && !ask.lacks(e, now) {
+		e := p.unhealthy[(start+i)%n]
+		if e.health.State() == ejector.Probing && e.availableIndex >= 0 && !query.lacksModel(e, now) {
 			return e
 		}
 	}
 	return nil
 }
 
-func (r *Router) sample(p *pool, ask *Query, now time.Time) candidate {
+func (r *Router) bestOfSample(p *pool, query *Query, now time.Time) candidate {
 	best := candidate{}
 	n := len(p.available)
 	if n == 0 {
 		return best
 	}
 	for range min(r.cfg.Candidates, n) {
-		r.weigh(&best, p.available[r.cfg.Rand.IntN(n)], ask, 0, now)
+		r.consider(&best, p.available[r.cfg.Rand.IntN(n)], query, 0, now)
 	}
-	if !p.caches || ask.Prefix.count == 0 {
+	if !p.cachesPrompts || query.Prefix.count == 0 {
 		return best
 	}
-	at, _ := slices.BinarySearchFunc(p.ring, ask.Prefix.home(), byRing)
-	for i := range min(homes, len(p.ring)) {
-		e := p.ring[(at+i)%len(p.ring)]
-		if e.freeIndex >= 0 {
-			r.weigh(&best, e, ask, homeReuse/float64(i+1), now)
+	first, _ := slices.BinarySearchFunc(p.ring, query.Prefix.homeHash(), compareRingHash)
+	for i := range min(homesPerPrefix, len(p.ring)) {
+		e := p.ring[(first+i)%len(p.ring)]
+		if e.availableIndex >= 0 {
+			r.consider(&best, e, query, assumedHomeReuse/float64(i+1), now)
 		}
 	}
 	return best
 }
 
-// weigh takes an endpoint as the best if its score is lower.
-func (r *Router) weigh(best *candidate, e *endpoint, ask *Query, assumed float64, now time.Time) {
-	if e.health.State() != ejector.InUse || slices.Contains(ask.Avoid, e.address) || ask.lacks(e, now) {
+// consider replaces best with the endpoint if the endpoint's score is lower.
+func (r *Router) consider(best *candidate, e *endpoint, query *Query, assumed float64, now time.Time) {
+	if e.health.State() != ejector.InUse || slices.Contains(query.Avoid, e.address) || query.lacksModel(e, now) {
 		return
 	}
 	score := e.load(now)
-	if e.pool.caches {
-		score -= r.cfg.ReuseWeight * max(ask.Prefix.reuse(e.cache), assumed)
+	if e.pool.cachesPrompts {
+		score -= r.cfg.ReuseWeight * max(query.Prefix.cachedFraction(e.cache), assumed)
 	}
 	if best.endpoint == nil || score < best.score {
 		*best = candidate{endpoint: e, score: score}
 	}
 }
 
-// any gives a free endpoint when the sample held none that may be taken: first one that was not tried.
-func (r *Router) any(p *pool, ask *Query, now time.Time) candidate {
+// anyFree returns a free endpoint when the sample held no usable one. It prefers endpoints that
+// were not tried.
+func (r *Router) anyFree(p *pool, query *Query, now time.Time) candidate {
 	var tried, onProbe *endpoint
 	n := len(p.available)
 	if n == 0 {
@@ -133,10 +137,10 @@
 	for i := range n {
 		e := p.available[(start+i)%n]
 		switch {
-		case ask.lacks(e, now):
+		case query.lacksModel(e, now):
 		case e.health.State() != ejector.InUse:
 			onProbe = e
-		case slices.Contains(ask.Avoid, e.address):
+		case slices.Contains(query.Avoid, e.address):
 			tried = e
 		default:
 			return candidate{endpoint: e}
--- a/router/endpoint.go
+++ b/router/endpoint.go
@@ -10,33 +10,35 @@
 	"geraniumline/ejector"
 )
 
-// endpoint is what is known of one endpoint.
+// endpoint is the state of one endpoint.
 type endpoint struct {
 	address string
 	pool    *pool
 	zone    string
-	// ring is the hash of the address, its place on the pool's ring.
-	ring uint64
+	// ringHash is the hash of the address, which is its position on the pool's ring.
+	ringHash uint64
 
-	// slots is what the endpoint reported; 0 until then.
+	// slots is the slot count that the endpoint reported, or 0 before its first report.
 	slots int
-	// inFlight counts this entry's calls, peerCalls those of other entries by their heartbeats.
+	// inFlight counts the calls of this entry, peerCalls those that other entries reported in their
+	// heartbeats.
 	inFlight  int
 	peerCalls int
-	// peerMean is peerCalls smoothed, see settle.
-	peerMean   float64
-	peerMeanAt time.Time
-	// foreign is what a report counted beyond the calls that were known of at its time.
-	foreign   float64
-	foreignAt time.Time
-	past      past
-	reported  time.Time
-	succeeded time.Time
-	listed    time.Time
-	waiting   int
-
-	// listLeaving is what the VM list says, selfLeaving what the endpoint says as of selfLeavingAt,
-	// peerLeaving counts the peers that know it at first hand.
+	// smoothedPeerCalls is peerCalls smoothed over time, see smoothPeerCalls.
+	smoothedPeerCalls float64
+	smoothedAt        time.Time
+	// unattributed is the number of reported calls in excess of those that were known at the time
+	// of the report.
+	unattributed   float64
+	unattributedAt time.Time
+	history        callHistory
+	reportedAt     time.Time
+	succeededAt    time.Time
+	listedAt       time.Time
+	queued         int
+
+	// listLeaving is set from the VM list, selfLeaving from the endpoint itself as of
+	// selfLeavingAt. peerLeaving counts the peers that have observed that the endpoint is leaving.
 	listLeaving   bool
 	selfLeaving   bool
 	selfLeavingAt time.Time
@@ -49,33 +51,33 @@
 	cache     *cacheMap
 	cacheNext int64
 
-	// reserved tells that the endpoint is kept for one call that runs alone.
-	reserved  bool
-	forgotten bool
-
-	// usableSlots and probeSlots are what the pool's sums hold for it.
-	usableSlots int
-	probeSlots  int
-	allIndex    int
-	freeIndex   int
-	outIndex    int
-	activeIndex int
+	// reserved is set while the endpoint is reserved for a single call.
+	reserved bool
+	removed  bool
+
+	// usableSlots and probeSlots are this endpoint's contribution to the sums of its pool.
+	usableSlots    int
+	probeSlots     int
+	allIndex       int
+	availableIndex int
+	unhealthyIndex int
+	activeIndex    int
 }
 
 func newEndpoint(vm VM, p *pool, now time.Time) *endpoint {
 	return &endpoint{
-		address:     vm.Address,
-		pool:        p,
-		zone:        vm.Zone,
-		ring:        xxhash.Sum64String(vm.Address),
-		listed:      now,
-		freeIndex:   -1,
-		outIndex:    -1,
-		activeIndex: -1,
+		address:        vm.Address,
+		pool:           p,
+		zone:           vm.Zone,
+		ringHash:       xxhash.Sum64String(vm.Address),
+		listedAt:       now,
+		availableIndex: -1,
+		unhealthyIndex: -1,
+		activeIndex:    -1,
 	}
 }
 
-// halfCall rounds an estimate of calls.
+// halfCall rounds estimated call counts.
 const halfCall = 0.5
 
 func (e *endpoint) leaving() bool {
@@ -91,22 +93,22 @@
 
 func (e *endpoint) calls() int { return e.inFlight + e.peerCalls }
 
-// estimate is the calls of all entries that are likely to be at the endpoint.
-func (e *endpoint) estimate() float64 { return float64(e.inFlight) + e.peerMean }
+// estimatedCalls is the estimated number of calls of all entries at the endpoint.
+func (e *endpoint) estimatedCalls() float64 { return float64(e.inFlight) + e.smoothedPeerCalls }
 
-// load is the estimated calls at the endpoint for each of its slots, with one more call.
+// load is the estimated calls per slot including one new call, scaled by the endpoint's slowness.
 func (e *endpoint) load(now time.Time) float64 {
-	calls := e.estimate() + 1 + e.foreignCalls(now)
+	calls := e.estimatedCalls() + 1 + e.unattributedCalls(now)
 	return calls / float64(e.capacity()) * e.health.Slowness()
 }
 
-// free tells whether the endpoint can take a call of an entry that shares it with others.
+// hasFreeSlot reports whether the endpoint can accept a call from one of the entries that share it.
 //
-// What peers have in flight is as old as their heartbeats. Taken as current it would leave slots idle
-// that they freed since, and could keep one entry from an endpoint for ever; so each entry may have its
-// even share of the slots in flight whatever the peers say.
-func (e *endpoint) free(entries int) bool {
-	if e.leaving() || e.forgotten || e.reserved {
+// The calls reported by peers are as old as their heartbeats. If they counted as current, slots
+// that were freed since would stay idle, and one entry could be kept from an endpoint forever. So
+// each entry may always use an even share of the slots, whatever its peers report.
+func (e *endpoint) hasFreeSlot(entries int) bool {
+	if e.leaving() || e.removed || e.reserved {
 		return false
 	}
 	switch e.health.State() {
@@ -116,19 +118,20 @@
 		return e.inFlight == 0
 	default:
 		slots := e.capacity()
-		return e.estimate() < float64(slots)-halfCall || e.inFlight < max(slots/entries, 1)
+		return e.estimatedCalls() < float64(slots)-halfCall || e.inFlight < max(slots/entries, 1)
 	}
 }
 
-// gone tells whether nothing speaks for the endpoint any more.
-func (e *endpoint) gone(now time.Time, after time.Duration) bool {
+// expired reports whether the endpoint has no calls in flight and has shown no sign of life for
+// longer than after.
+func (e *endpoint) expired(now time.Time, after time.Duration) bool {
 	return e.inFlight == 0 &&
-		now.Sub(e.listed) > after &&
-		now.Sub(e.succeeded) > after &&
-		now.Sub(e.reported) > after
+		now.Sub(e.listedAt) > after &&
+		now.Sub(e.succeededAt) > after &&
+		now.Sub(e.reportedAt) > after
 }
 
-// Status is an endpoint as operators see it.
+// Status is the state of an endpoint as shown to operators.
 type Status struct {
 	Address  string
 	Pool     string
@@ -138,7 +141,7 @@
 	Queued   int
 }
 
-// Endpoints lists all known endpoints by pool and address.
+// Endpoints returns the status of all known endpoints, sorted by pool and address.
 func (r *Router) Endpoints(now time.Time) []Status {
 	all := make([]Status, 0, len(r.endpoints))
 	for _, e := range r.endpoints {
@@ -148,7 +151,7 @@
 			Zone:     e.zone,
 			State:    e.state(),
 			InFlight: e.inFlight,
-			Queued:   e.waiting,
+			Queued:   e.queued,
 		})
 	}
 	slices.SortFunc(all, func(a, b Status) int {
@@ -173,7 +176,7 @@
 	}
 }
 
-// PoolAddresses lists the endpoints of a pool that are not leaving, by address.
+// PoolAddresses returns the sorted addresses of the pool's endpoints that are not leaving.
 func (r *Router) PoolAddresses(name string) []string {
 	p, known := r.pools[name]
 	if !known {
@@ -189,7 +192,8 @@
 	return addresses
 }
 
-// Addresses lists the endpoints that a load report should be asked of.
+// Addresses returns the sorted addresses of all known endpoints, which are to be polled for load
+// reports.
 func (r *Router) Addresses() []string {
 	addresses := make([]string, 0, len(r.endpoints))
 	for address := range r.endpoints {
--- a/router/engine_test.go
+++ b/router/engine_test.go
@@ -9,50 +9,51 @@
 )
 
 type engine struct {
-	at      int
+	index   int
 	running int
 	queue   []*job
-	// cached is the blocks held, used the same with the least recently used first.
+	// cached holds the cached blocks by hash, and lru the same blocks with the least recently used
+	// first.
 	cached map[uint64]*list.Element
-	used   *list.List
-	log    []cacheLog
+	lru    *list.List
+	log    []loggedEvent
 }
 
-func newEngine(at int) *engine {
-	return &engine{at: at, cached: map[uint64]*list.Element{}, used: list.New()}
+func newEngine(index int) *engine {
+	return &engine{index: index, cached: map[uint64]*list.Element{}, lru: list.New()}
 }
 
-type cacheLog struct {
+type loggedEvent struct {
 	at    time.Time
 	event router.CacheEvent
 	lost  bool
 }
 
-// store caches a prompt's blocks and gives how many of its leading ones were held.
-func (e *engine) store(tr *trial, j *job) int {
-	hit := 0
-	for hit < len(j.hashes) && e.cached[j.hashes[hit]] != nil {
-		hit++
+// store caches a prompt's blocks and returns how many of its leading blocks were already cached.
+func (e *engine) store(sim *simulation, j *job) int {
+	cachedBlocks := 0
+	for cachedBlocks < len(j.hashes) && e.cached[j.hashes[cachedBlocks]] != nil {
+		cachedBlocks++
 	}
 	for _, hash := range slices.Backward(j.hashes) {
-		if held := e.cached[hash]; held != nil {
-			e.used.MoveToBack(held)
+		if element := e.cached[hash]; element != nil {
+			e.lru.MoveToBack(element)
 			continue
 		}
-		e.note(tr, router.CacheStored, hash)
-		e.cached[hash] = e.used.PushBack(hash)
+		e.logEvent(sim, router.CacheStored, hash)
+		e.cached[hash] = e.lru.PushBack(hash)
 	}
 	for len(e.cached) > cacheBlocks {
-		oldest := e.used.Remove(e.used.Front()).(uint64)
+		oldest := e.lru.Remove(e.lru.Front()).(uint64)
 		delete(e.cached, oldest)
-		e.note(tr, router.CacheEvicted, oldest)
+		e.logEvent(sim, router.CacheEvicted, oldest)
 	}
-	return hit
+	return cachedBlocks
 }
 
-func (e *engine) note(tr *trial, kind router.CacheEventKind, hash uint64) {
+func (e *engine) logEvent(sim *simulation, kind router.CacheEventKind, hash uint64) {
 	event := router.CacheEvent{Seq: int64(len(e.log)), Kind: kind, Hash: hash}
-	e.log = append(e.log, cacheLog{at: tr.now, event: event, lost: tr.rng.Float64() < gapRate/50})
+	e.log = append(e.log, loggedEvent{at: sim.now, event: event, lost: sim.rng.Float64() < gapRate/50})
 }
 
 type simEvent struct {
--- a/router/isolate.go
+++ b/router/isolate.go
@@ -7,19 +7,21 @@
 	"geraniumline/ejector"
 )
 
-// Reserve keeps an endpoint for one call that is to run alone, and tells which. It gets no other call of
-// this entry until Release; what it has in flight ends first, see Idle.
+// Reserve reserves an endpoint for one call that must run alone, and returns its address. The
+// endpoint receives no other call from this entry until Release; calls already in flight finish
+// first, see Idle.
 //
-// The call may end its endpoint's process. When one was lost, all entries that had calls there choose at
-// the same moment: each takes from its own part of the pool, so that an innocent call of one is not lost
-// with the guilty call of another. A pool with fewer endpoints than entries needs turns besides, see Turn.
-func (r *Router) Reserve(ask Query, now time.Time) (string, bool) {
-	p, known := r.pools[ask.Pool]
+// The call may crash the endpoint's process. When an endpoint was lost, all entries that had calls
+// there reserve another one at the same moment. Each chooses from its own part of the pool, so that
+// the harmless call of one entry is not lost with the harmful call of another. A pool with fewer
+// endpoints than entries also needs turns, see IsolationTurn.
+func (r *Router) Reserve(query Query, now time.Time) (string, bool) {
+	p, known := r.pools[query.Pool]
 	if !known {
 		return "", false
 	}
-	r.advance(p, now)
-	best := r.leastCalls(p, &ask, now)
+	r.advanceEjections(p, now)
+	best := r.leastLoadedOfPart(p, &query, now)
 	if best == nil || best.reserved {
 		return "", false
 	}
@@ -29,34 +31,36 @@
 	return best.address, true
 }
 
-// leastCalls gives the endpoint of this entry's part of the pool that suits a lone call best.
-func (r *Router) leastCalls(p *pool, ask *Query, now time.Time) *endpoint {
+// leastLoadedOfPart returns the endpoint with the fewest calls in this entry's part of the pool, or
+// nil. It prefers endpoints that are not reserved.
+func (r *Router) leastLoadedOfPart(p *pool, query *Query, now time.Time) *endpoint {
 	n := 0
 	for _, e := range p.ring {
-		if e.suitsLone(ask, now) {
+		if e.canIsolate(query, now) {
 			n++
 		}
 	}
 	var best *endpoint
-	place := 0
+	position := 0
 	for _, e := range p.ring {
-		if !e.suitsLone(ask, now) {
+		if !e.canIsolate(query, now) {
 			continue
 		}
-		mine := place%r.entries == r.index%min(n, r.entries)
-		place++
-		if mine && (best == nil || best.reserved || !e.reserved && e.calls() < best.calls()) {
+		inOwnPart := position%r.entries == r.index%min(n, r.entries)
+		position++
+		if inOwnPart && (best == nil || best.reserved || !e.reserved && e.calls() < best.calls()) {
 			best = e
 		}
 	}
 	return best
 }
 
-func (e *endpoint) suitsLone(ask *Query, now time.Time) bool {
-	return !e.leaving() && e.health.State() == ejector.InUse && !slices.Contains(ask.Avoid, e.address) && !ask.lacks(e, now)
+func (e *endpoint) canIsolate(query *Query, now time.Time) bool {
+	return !e.leaving() && e.health.State() == ejector.InUse && !slices.Contains(query.Avoid, e.address) && !query.lacksModel(e, now)
 }
 
-// IsolationTurn is how many other entries use the same part of the pool for lone calls before this one.
+// IsolationTurn returns the number of other entries that run isolated calls in the same part of the
+// pool before this entry does.
 func (r *Router) IsolationTurn(name string) int {
 	p, known := r.pools[name]
 	if !known || len(p.all) < 2 {
@@ -65,8 +69,8 @@
 	return r.index / (len(p.all) - 1)
 }
 
-// Idle tells whether a reserved endpoint has no call of this entry left, and so can take the call that
-// it is kept for; usable is false when it must not be waited for.
+// Idle reports whether a reserved endpoint has no calls of this entry left, so that the isolated
+// call can start. usable is false if the endpoint is no longer worth waiting for.
 func (r *Router) Idle(address string) (idle, usable bool) {
 	e, known := r.endpoints[address]
 	if !known || e.leaving() || e.health.State() == ejector.Ejected {
@@ -75,7 +79,7 @@
 	return e.inFlight == 0, true
 }
 
-// Release ends Reserve.
+// Release ends the reservation of an endpoint.
 func (r *Router) Release(address string) {
 	e, known := r.endpoints[address]
 	if !known || !e.reserved {
--- a/router/leaving.go
+++ b/router/leaving.go
@@ -2,20 +2,22 @@
 
 import "time"
 
-// An endpoint that is leaving gets no new work from the first sign on: the VM list's mark, its own
-// refusal or report, or a peer's heartbeat. An address is used again by later VMs, so each sign ends with
-// evidence of its own kind, and none sticks to the address:
-//   - the list's mark, when the list calls the address live;
-//   - the endpoint's own report, when one of a later time does not repeat it;
-//   - a peer's heartbeat, when the next ones no longer carry it. Peers tell only what they know at
-//     first hand: told on, a mark would circle between entries for ever.
+// A leaving endpoint receives no new work from the first sign on: a mark in the VM list, its own
+// refusal or report, or a peer's heartbeat. Later VMs reuse addresses, so each sign is cleared by
+// newer evidence from the same source and none remains attached to an address:
+//   - the mark of the VM list, when the list shows the address as live;
+//   - the endpoint's own sign, when a clearly later report does not repeat it;
+//   - a peer's heartbeat, when the next ones no longer contain it. Peers report only what they
+//     observed themselves: if they passed on what other peers report, a mark would circulate
+//     between entries forever.
 
-// firstHandLeaving tells whether this entry knows from the list or from the endpoint that it leaves.
-func (e *endpoint) firstHandLeaving() bool { return e.listLeaving || e.selfLeaving }
+// observedLeaving reports whether the VM list or the endpoint itself shows that it is leaving.
+func (e *endpoint) observedLeaving() bool { return e.listLeaving || e.selfLeaving }
 
-// takeLeavingWord takes what a report says on leaving. The report may be older than a refusal that
-// came before it, and its clock may differ, so that only a clearly later one ends the mark.
-func (r *Router) takeLeavingWord(e *endpoint, report LoadReport, now time.Time) {
+// updateLeaving applies the leaving flag of a load report. The report may be older than a refusal
+// that arrived before it, and the endpoint's clock may differ, so only a clearly later report
+// clears the flag.
+func (r *Router) updateLeaving(e *endpoint, report LoadReport, now time.Time) {
 	if report.Leaving {
 		e.selfLeaving = true
 		e.selfLeavingAt = now
--- a/router/peer.go
+++ b/router/peer.go
@@ -7,7 +7,7 @@
 	"geraniumline/carrier"
 )
 
-// peer is what another entry said in its last heartbeat.
+// peer holds the last heartbeat of another entry.
 type peer struct {
 	loads []peerLoad
 }
@@ -19,15 +19,15 @@
 	ejected  bool
 }
 
-// UpdatePeerLoads takes a peer's calls in flight and its opinion of endpoints. It replaces the peer's earlier
-// report in time that grows with what the peer lists, not with the pools.
+// UpdatePeerLoads replaces the calls in flight and the endpoint states that a peer reported before.
+// Its cost grows with the number of reported endpoints, not with the size of the pools.
 func (r *Router) UpdatePeerLoads(name string, loads []carrier.EndpointLoad, now time.Time) {
 	p, known := r.peers[name]
 	if !known {
 		p = &peer{}
 		r.peers[name] = p
 	}
-	r.withdraw(p, now)
+	r.revertPeerLoads(p, now)
 	for i := range loads {
 		e, known := r.endpoints[loads[i].Address]
 		if !known {
@@ -35,51 +35,52 @@
 		}
 		load := peerLoad{endpoint: e, calls: max(int(loads[i].InFlight), 0), leaving: loads[i].Leaving, ejected: loads[i].Ejected}
 		p.loads = append(p.loads, load)
-		r.count(load, 1, now)
+		r.addPeerLoad(load, 1, now)
 	}
 }
 
-// withdraw takes back all that a peer said.
-func (r *Router) withdraw(p *peer, now time.Time) {
+// revertPeerLoads removes everything that a peer reported from the endpoints' counts.
+func (r *Router) revertPeerLoads(p *peer, now time.Time) {
 	for _, load := range p.loads {
-		r.count(load, -1, now)
+		r.addPeerLoad(load, -1, now)
 	}
 	clear(p.loads)
 	p.loads = p.loads[:0]
 }
 
-// heartbeatEvery is about how old a peer's report is.
-const heartbeatEvery = 200 * time.Millisecond
+// heartbeatInterval is the approximate age of a peer's report.
+const heartbeatInterval = 200 * time.Millisecond
 
-// settle moves the smoothed count of peers' calls towards their last report since it was last changed.
+// smoothPeerCalls moves the smoothed count of peers' calls towards the last reported count, for the
+// time since the previous update.
 //
-// Where calls are shorter than heartbeats are apart, the calls that a heartbeat counted have ended when
-// it is used. Entries that all follow the newest count then send to the endpoints that were light a
-// moment ago, and make them the heavy ones of the next heartbeat. Such counts are worth their mean over
-// many heartbeats; where calls are long the newest is right.
-func (e *endpoint) settle(now time.Time) {
-	past := now.Sub(e.peerMeanAt)
-	if past <= 0 {
+// If calls are shorter than the heartbeat interval, the calls counted by a heartbeat have ended by
+// the time the count is used. Entries that all follow the newest count then send to the endpoints
+// that were lightly loaded a moment ago, and overload them until the next heartbeat. For such calls
+// the mean over many heartbeats is more accurate; for long calls the newest count is.
+func (e *endpoint) smoothPeerCalls(now time.Time) {
+	elapsed := now.Sub(e.smoothedAt)
+	if elapsed <= 0 {
 		return
 	}
-	e.peerMeanAt = now
-	if e.peerMean == float64(e.peerCalls) {
+	e.smoothedAt = now
+	if e.smoothedPeerCalls == float64(e.peerCalls) {
 		return
 	}
-	e.peerMean += (float64(e.peerCalls) - e.peerMean) * (1 - math.Exp(-float64(past)/e.pool.settleTime()))
+	e.smoothedPeerCalls += (float64(e.peerCalls) - e.smoothedPeerCalls) * (1 - math.Exp(-float64(elapsed)/e.pool.smoothingTime()))
 }
 
-// settleTime is the time constant of settle, in nanoseconds.
-func (p *pool) settleTime() float64 {
-	return float64(heartbeatEvery) * float64(heartbeatEvery) / max(p.callTime, float64(time.Millisecond))
+// smoothingTime returns the time constant of smoothPeerCalls, in nanoseconds.
+func (p *pool) smoothingTime() float64 {
+	return float64(heartbeatInterval) * float64(heartbeatInterval) / max(p.callTime, float64(time.Millisecond))
 }
 
-func (r *Router) count(load peerLoad, sign int, now time.Time) {
+func (r *Router) addPeerLoad(load peerLoad, sign int, now time.Time) {
 	e := load.endpoint
-	if e.forgotten {
+	if e.removed {
 		return
 	}
-	e.settle(now)
+	e.smoothPeerCalls(now)
 	e.peerCalls += sign * load.calls
 	e.pool.calls += sign * load.calls
 	if load.leaving {
@@ -91,17 +92,18 @@
 	r.refresh(e)
 }
 
-// RemovePeer forgets a dead peer's calls in flight.
+// RemovePeer removes a dead peer and its calls in flight.
 func (r *Router) RemovePeer(name string) {
 	p, known := r.peers[name]
 	if !known {
 		return
 	}
-	r.withdraw(p, time.Time{})
+	r.revertPeerLoads(p, time.Time{})
 	delete(r.peers, name)
 }
 
-// LocalLoads is what this entry tells its peers: its calls in flight, and its own opinion of endpoints.
+// LocalLoads returns what this entry reports to its peers: its own calls in flight and its own view
+// of the endpoints' states.
 func (r *Router) LocalLoads(_ time.Time) []carrier.EndpointLoad {
 	if len(r.active.all) == 0 {
 		return nil
@@ -111,8 +113,8 @@
 		loads = append(loads, carrier.EndpointLoad{
 			Address:  e.address,
 			InFlight: int32(e.inFlight),
-			Leaving:  e.firstHandLeaving(),
-			Ejected:  e.outIndex >= 0,
+			Leaving:  e.observedLeaving(),
+			Ejected:  e.unhealthyIndex >= 0,
 		})
 	}
 	return loads
--- a/router/policy_test.go
+++ b/router/policy_test.go
@@ -22,196 +22,199 @@
 	engines    = 10
 	slots      = 8
 	entryCount = 7
-	// prefillBlock is the work on a block of 64 bytes that the cache does not hold, decode the time of
-	// the answer's tokens: a prompt of 60 blocks costs 192 ms cold.
-	prefillBlock = 3200 * time.Microsecond
-	decode       = 60 * time.Millisecond
-	prefixes     = 60
-	prefixBlocks = 48
-	tailBlocks   = 12
-	cacheBlocks  = 1024
-	runTime      = 16 * time.Second
-	warmUp       = 6 * time.Second
-	beat         = 200 * time.Millisecond
-	eventDelay   = 500 * time.Millisecond
-	gapRate      = 0.02
+	// prefillPerBlock is the time to process a block of 64 bytes that is not cached, and decodeTime
+	// the time to generate the answer's tokens. A prompt of 60 blocks costs 192 ms with an empty
+	// cache.
+	prefillPerBlock = 3200 * time.Microsecond
+	decodeTime      = 60 * time.Millisecond
+	prefixes        = 60
+	prefixBlocks    = 48
+	tailBlocks      = 12
+	cacheBlocks     = 1024
+	runTime         = 16 * time.Second
+	warmUp          = 6 * time.Second
+	heartbeat       = 200 * time.Millisecond
+	eventDelay      = 500 * time.Millisecond
+	gapRate         = 0.02
 )
 
-// trial is 7 entries that send to 10 engines with prefix caches, in simulated time. Calls beyond the
-// engine's slots wait there.
-type trial struct {
-	now      time.Time
-	rng      *rand.Rand
-	events   simHeap
-	sequence int
-	engines  []*engine
-	choosers []chooser
-	waiting  [][]*job
-	lag      time.Duration
-	took     []time.Duration
-	work     time.Duration
-	done     int
+// simulation runs 7 entries that send to 10 engines with prefix caches, in simulated time. Calls
+// that exceed an engine's slots wait at the engine.
+type simulation struct {
+	now       time.Time
+	rng       *rand.Rand
+	events    simHeap
+	sequence  int
+	engines   []*engine
+	choosers  []chooser
+	waiting   [][]*job
+	reportLag time.Duration
+	latencies []time.Duration
+	totalWork time.Duration
+	completed int
 }
 
-// chooser is one entry's way to choose an engine; it gives -1 to let the job wait at the entry.
+// chooser is the method by which one entry chooses an engine. choose returns -1 to keep the job
+// waiting at the entry.
 type chooser interface {
 	choose(*job, time.Time) int
-	ended(at int, j *job, now time.Time)
-	report(at int, r router.LoadReport, now time.Time)
+	jobEnded(index int, j *job, now time.Time)
+	report(index int, r router.LoadReport, now time.Time)
 }
 
 type job struct {
-	entry  int
-	input  string
-	hashes []uint64
-	sent   time.Time
-	began  time.Time
+	entry     int
+	input     string
+	hashes    []uint64
+	arrivedAt time.Time
+	startedAt time.Time
 }
 
-func (tr *trial) begin(e *engine) {
+func (sim *simulation) startJobs(e *engine) {
 	for e.running < slots && len(e.queue) > 0 {
 		j := e.queue[0]
 		e.queue = e.queue[1:]
 		e.running++
-		hit := e.store(tr, j)
-		took := time.Duration(len(j.hashes)-hit)*prefillBlock + time.Duration(float64(decode)*(0.5+0.5*tr.rng.ExpFloat64()))
-		tr.after(took, func() {
+		cachedBlocks := e.store(sim, j)
+		took := time.Duration(len(j.hashes)-cachedBlocks)*prefillPerBlock + time.Duration(float64(decodeTime)*(0.5+0.5*sim.rng.ExpFloat64()))
+		sim.after(took, func() {
 			e.running--
-			tr.end(e, j, took)
-			tr.begin(e)
+			sim.finish(e, j, took)
+			sim.startJobs(e)
 		})
 	}
 }
 
-func (tr *trial) end(e *engine, j *job, took time.Duration) {
-	tr.choosers[j.entry].ended(e.at, j, tr.now)
-	if tr.now.Sub(start) > warmUp {
-		tr.took = append(tr.took, tr.now.Sub(j.sent))
-		tr.work += took
-		tr.done++
+func (sim *simulation) finish(e *engine, j *job, took time.Duration) {
+	sim.choosers[j.entry].jobEnded(e.index, j, sim.now)
+	if sim.now.Sub(start) > warmUp {
+		sim.latencies = append(sim.latencies, sim.now.Sub(j.arrivedAt))
+		sim.totalWork += took
+		sim.completed++
 	}
-	tr.drain(j.entry)
+	sim.dispatchWaiting(j.entry)
 }
 
-// drain sends on the jobs that wait at an entry.
-func (tr *trial) drain(entry int) {
-	for len(tr.waiting[entry]) > 0 {
-		j := tr.waiting[entry][0]
-		at := tr.choosers[entry].choose(j, tr.now)
-		if at < 0 {
+// dispatchWaiting sends the jobs that wait at an entry to engines.
+func (sim *simulation) dispatchWaiting(entry int) {
+	for len(sim.waiting[entry]) > 0 {
+		j := sim.waiting[entry][0]
+		chosen := sim.choosers[entry].choose(j, sim.now)
+		if chosen < 0 {
 			return
 		}
-		tr.waiting[entry] = tr.waiting[entry][1:]
-		j.began = tr.now
-		tr.engines[at].queue = append(tr.engines[at].queue, j)
-		tr.begin(tr.engines[at])
+		sim.waiting[entry] = sim.waiting[entry][1:]
+		j.startedAt = sim.now
+		sim.engines[chosen].queue = append(sim.engines[chosen].queue, j)
+		sim.startJobs(sim.engines[chosen])
 	}
 }
 
-func (tr *trial) after(d time.Duration, run func()) {
-	tr.sequence++
-	heap.Push(&tr.events, simEvent{at: tr.now.Add(d), sequence: tr.sequence, run: run})
+func (sim *simulation) after(d time.Duration, run func()) {
+	sim.sequence++
+	heap.Push(&sim.events, simEvent{at: sim.now.Add(d), sequence: sim.sequence, run: run})
 }
 
-func (tr *trial) every(d time.Duration, run func()) {
-	tr.after(d, func() {
+func (sim *simulation) every(d time.Duration, run func()) {
+	sim.after(d, func() {
 		run()
-		tr.every(d, run)
+		sim.every(d, run)
 	})
 }
 
-type figures struct {
+type results struct {
 	p50, p99 float64
 	cost     float64
 }
 
-func runTrial(newChooser func(entry int) chooser, lag time.Duration, perSecond float64, seed uint64) figures {
-	tr := &trial{now: start, rng: rand.New(rand.NewPCG(seed, 3)), lag: lag, waiting: make([][]*job, entryCount)}
+func runSimulation(newChooser func(entry int) chooser, lag time.Duration, perSecond float64, seed uint64) results {
+	sim := &simulation{now: start, rng: rand.New(rand.NewPCG(seed, 3)), reportLag: lag, waiting: make([][]*job, entryCount)}
 	for i := range engines {
-		tr.engines = append(tr.engines, newEngine(i))
+		sim.engines = append(sim.engines, newEngine(i))
 	}
 	for i := range entryCount {
-		tr.choosers = append(tr.choosers, newChooser(i))
+		sim.choosers = append(sim.choosers, newChooser(i))
 	}
-	tr.every(beat, tr.reports)
-	for i, c := range tr.choosers {
-		if o, ours := c.(*ours); ours {
-			tr.after(beat*time.Duration(i)/entryCount, func() { tr.every(beat, func() { tr.beat(i, o) }) })
+	sim.every(heartbeat, sim.sendReports)
+	for i, c := range sim.choosers {
+		if o, isRouter := c.(*routerChooser); isRouter {
+			sim.after(heartbeat*time.Duration(i)/entryCount, func() { sim.every(heartbeat, func() { sim.sendHeartbeat(i, o) }) })
 		}
 	}
-	zipf := rand.NewZipf(tr.rng, 1.2, 1, prefixes-1)
+	zipf := rand.NewZipf(sim.rng, 1.2, 1, prefixes-1)
 	var arrive func()
 	serial := 0
 	arrive = func() {
 		serial++
-		j := newJob(tr.rng.IntN(entryCount), int(zipf.Uint64()), serial, tr.now)
-		tr.waiting[j.entry] = append(tr.waiting[j.entry], j)
-		tr.drain(j.entry)
-		tr.after(time.Duration(tr.rng.ExpFloat64()/perSecond*float64(time.Second)), arrive)
+		j := newJob(sim.rng.IntN(entryCount), int(zipf.Uint64()), serial, sim.now)
+		sim.waiting[j.entry] = append(sim.waiting[j.entry], j)
+		sim.dispatchWaiting(j.entry)
+		sim.after(time.Duration(sim.rng.ExpFloat64()/perSecond*float64(time.Second)), arrive)
 	}
 	arrive()
-	for tr.now.Sub(start) < runTime {
-		e := heap.Pop(&tr.events).(simEvent)
-		tr.now = e.at
+	for sim.now.Sub(start) < runTime {
+		e := heap.Pop(&sim.events).(simEvent)
+		sim.now = e.at
 		e.run()
 	}
-	return tr.figures()
+	return sim.results()
 }
 
-func (tr *trial) figures() figures {
-	took := tr.took
-	for _, jobs := range tr.waiting {
+func (sim *simulation) results() results {
+	latencies := sim.latencies
+	for _, jobs := range sim.waiting {
 		for _, j := range jobs {
-			took = append(took, tr.now.Sub(j.sent))
+			latencies = append(latencies, sim.now.Sub(j.arrivedAt))
 		}
 	}
-	for _, e := range tr.engines {
+	for _, e := range sim.engines {
 		for _, j := range e.queue {
-			took = append(took, tr.now.Sub(j.sent))
+			latencies = append(latencies, sim.now.Sub(j.arrivedAt))
 		}
 	}
-	slices.Sort(took)
-	return figures{
-		p50:  float64(took[len(took)/2].Microseconds()) / 1000,
-		p99:  float64(took[len(took)*99/100].Microseconds()) / 1000,
-		cost: float64(tr.work.Microseconds()) / 1000 / float64(tr.done),
+	slices.Sort(latencies)
+	return results{
+		p50:  float64(latencies[len(latencies)/2].Microseconds()) / 1000,
+		p99:  float64(latencies[len(latencies)*99/100].Microseconds()) / 1000,
+		cost: float64(sim.totalWork.Microseconds()) / 1000 / float64(sim.completed),
 	}
 }
 
-// reports brings all entries all engines' loads after the lag.
-func (tr *trial) reports() {
-	for _, e := range tr.engines {
-		r := router.LoadReport{AsOf: tr.now, Running: e.running, Waiting: len(e.queue), Slots: slots}
-		tr.after(tr.lag, func() {
-			for _, c := range tr.choosers {
-				c.report(e.at, r, tr.now)
+// sendReports delivers the loads of all engines to all entries after the report lag.
+func (sim *simulation) sendReports() {
+	for _, e := range sim.engines {
+		r := router.LoadReport{AsOf: sim.now, Running: e.running, Waiting: len(e.queue), Slots: slots}
+		sim.after(sim.reportLag, func() {
+			for _, c := range sim.choosers {
+				c.report(e.index, r, sim.now)
 			}
 		})
 	}
 }
 
-// beat sends one of our entries' heartbeats, and lets it read cache events.
-func (tr *trial) beat(i int, o *ours) {
-	loads := o.router.LocalLoads(tr.now)
-	tr.after(time.Millisecond, func() {
-		for k, c := range tr.choosers {
+// sendHeartbeat sends the heartbeat of an entry that uses the router, and delivers cache events to
+// it.
+func (sim *simulation) sendHeartbeat(i int, o *routerChooser) {
+	loads := o.router.LocalLoads(sim.now)
+	sim.after(time.Millisecond, func() {
+		for k, c := range sim.choosers {
 			if k != i {
-				c.(*ours).router.UpdatePeerLoads(fmt.Sprint(i), loads, tr.now)
-				tr.drain(k)
+				c.(*routerChooser).router.UpdatePeerLoads(fmt.Sprint(i), loads, sim.now)
+				sim.dispatchWaiting(k)
 			}
 		}
 	})
-	for _, e := range tr.engines {
+	for _, e := range sim.engines {
 		var events []router.CacheEvent
-		next := o.read[e.at]
-		for next < len(e.log) && tr.now.Sub(e.log[next].at) > eventDelay {
+		next := o.read[e.index]
+		for next < len(e.log) && sim.now.Sub(e.log[next].at) > eventDelay {
 			if !e.log[next].lost {
 				events = append(events, e.log[next].event)
 			}
 			next++
 		}
-		o.read[e.at] = next
-		o.router.ApplyCacheEvents(address(e.at), events, int64(next), tr.now)
+		o.read[e.index] = next
+		o.router.ApplyCacheEvents(address(e.index), events, int64(next), sim.now)
 	}
 }
 
@@ -220,7 +223,7 @@
 func newJob(entry, prefix, serial int, now time.Time) *job {
 	head := strings.Repeat(fmt.Sprintf("prefix %8d ", prefix), prefixBlocks*4)
 	input := head[:prefixBlocks*64] + fmt.Sprintf("%16d", serial) + tail
-	j := &job{entry: entry, input: input, sent: now}
+	j := &job{entry: entry, input: input, arrivedAt: now}
 	var digest xxhash.Digest
 	digest.Reset()
 	for k := 0; k+64 <= len(input); k += 64 {
@@ -230,15 +233,15 @@
 	return j
 }
 
-func address(at int) string { return fmt.Sprintf("10.0.0.%d:80", at) }
+func address(index int) string { return fmt.Sprintf("10.0.0.%d:80", index) }
 
-// ours is the router under test.
-type ours struct {
+// routerChooser is the router under test.
+type routerChooser struct {
 	router *router.Router
 	read   [engines]int
 }
 
-func newOurs(entry int, seed uint64) *ours {
+func newRouterChooser(entry int, seed uint64) *routerChooser {
 	r := router.New(router.Config{Rand: rand.New(rand.NewPCG(seed, uint64(entry)))})
 	r.SetPool("engines", slots, true)
 	r.SetEntries(entry, entryCount)
@@ -247,10 +250,10 @@
 		vms = append(vms, router.VM{Address: address(i), Pool: "engines"})
 	}
 	r.UpdateVMs(vms, start)
-	return &ours{router: r}
+	return &routerChooser{router: r}
 }
 
-func (o *ours) choose(j *job, now time.Time) int {
+func (o *routerChooser) choose(j *job, now time.Time) int {
 	prefix := router.PrefixOf(j.input)
 	chosen, found := o.router.Choose(router.Query{Pool: "engines", Prefix: prefix}, now)
 	if !found {
@@ -260,20 +263,20 @@
 	return int(chosen[7] - '0')
 }
 
-func (o *ours) ended(at int, j *job, now time.Time) {
-	took := now.Sub(j.began)
-	o.router.CallEnded(address(at), router.CallEnd{Result: router.Succeeded, Duration: took, Expected: 150 * time.Millisecond}, now)
+func (o *routerChooser) jobEnded(index int, j *job, now time.Time) {
+	took := now.Sub(j.startedAt)
+	o.router.CallEnded(address(index), router.CallEnd{Result: router.Succeeded, Duration: took, Expected: 150 * time.Millisecond}, now)
 }
 
-func (o *ours) report(at int, r router.LoadReport, now time.Time) {
-	o.router.UpdateLoad(address(at), r, now)
+func (o *routerChooser) report(index int, r router.LoadReport, now time.Time) {
+	o.router.UpdateLoad(address(index), r, now)
 }
 
 // random, roundRobin and leastReported are the baselines.
 type random struct{ rng *rand.Rand }
 
 func (c random) choose(*job, time.Time) int             { return c.rng.IntN(engines) }
-func (random) ended(int, *job, time.Time)               {}
+func (random) jobEnded(int, *job, time.Time)            {}
 func (random) report(int, router.LoadReport, time.Time) {}
 
 type roundRobin struct{ next int }
@@ -282,7 +285,7 @@
 	c.next++
 	return c.next % engines
 }
-func (*roundRobin) ended(int, *job, time.Time)               {}
+func (*roundRobin) jobEnded(int, *job, time.Time)            {}
 func (*roundRobin) report(int, router.LoadReport, time.Time) {}
 
 type leastReported struct {
@@ -299,13 +302,13 @@
 	}
 	return best
 }
-func (*leastReported) ended(int, *job, time.Time) {}
-func (c *leastReported) report(at int, r router.LoadReport, _ time.Time) {
-	c.loads[at] = r.Running + r.Waiting
+func (*leastReported) jobEnded(int, *job, time.Time) {}
+func (c *leastReported) report(index int, r router.LoadReport, _ time.Time) {
+	c.loads[index] = r.Running + r.Waiting
 }
 
-// check prints a row and holds it to its regression bound.
-func check(t *testing.T, row measurer.Row) {
+// checkRow logs a row and checks it against its regression bound.
+func checkRow(t *testing.T, row measurer.Row) {
 	t.Helper()
 	t.Log(row.String())
 	require.True(t, row.Bound.Holds(row.Ours), row.String())
@@ -319,35 +322,35 @@
 	}
 }
 
-// Seven entries send prompts of which most begin with one of a few long prefixes to ten engines. What
-// they know of the engines' loads is 0.2 to 5 s old, and cache events are late and have gaps. Entries
-// that follow the reports all send to the same engine until the next one; our router corrects them and
-// keeps the prefixes at few engines.
+// Seven entries send prompts to ten engines, and most prompts begin with one of a few long
+// prefixes. Load reports are 0.2 to 5 s old, and cache events are late and have gaps. Entries that
+// follow the reports all send to the same engine until the next report. The router corrects the
+// reports and keeps each prefix at few engines.
 func TestPolicyRouting(t *testing.T) {
 	t.Parallel()
-	// At random choice a call's work is 145 ms, so that this fills 0.8 of 80 slots.
+	// With random choice a call takes 145 ms of work, so this rate fills 0.8 of the 80 slots.
 	const perSecond = 435
-	seeded := func(i int) *rand.Rand { return rand.New(rand.NewPCG(11, uint64(i))) }
-	byChance := runTrial(func(i int) chooser { return random{seeded(i)} }, time.Second, perSecond, 5)
-	inTurn := runTrial(func(i int) chooser { return &roundRobin{next: i} }, time.Second, perSecond, 5)
+	newRand := func(i int) *rand.Rand { return rand.New(rand.NewPCG(11, uint64(i))) }
+	randomResult := runSimulation(func(i int) chooser { return random{newRand(i)} }, time.Second, perSecond, 5)
+	roundRobinResult := runSimulation(func(i int) chooser { return &roundRobin{next: i} }, time.Second, perSecond, 5)
 	for _, lag := range []time.Duration{200 * time.Millisecond, time.Second, 5 * time.Second} {
 		t.Run(lag.String(), func(t *testing.T) {
 			t.Parallel()
-			us := runTrial(func(i int) chooser { return newOurs(i, 11) }, lag, perSecond, 5)
-			least := runTrial(func(i int) chooser { return &leastReported{rng: seeded(i)} }, lag, perSecond, 5)
+			routerResult := runSimulation(func(i int) chooser { return newRouterChooser(i, 11) }, lag, perSecond, 5)
+			leastReportedResult := runSimulation(func(i int) chooser { return &leastReported{rng: newRand(i)} }, lag, perSecond, 5)
 			name := "routing.lag" + lag.String()
-			check(t, measurer.Row{
-				Case: name, Measure: "p99Millis", Ours: us.p99,
-				Baselines: []measurer.Baseline{{Name: "leastReported", Value: least.p99}, {Name: "random", Value: byChance.p99}, {Name: "roundRobin", Value: inTurn.p99}},
+			checkRow(t, measurer.Row{
+				Case: name, Measure: "p99Millis", Ours: routerResult.p99,
+				Baselines: []measurer.Baseline{{Name: "leastReported", Value: leastReportedResult.p99}, {Name: "random", Value: randomResult.p99}, {Name: "roundRobin", Value: roundRobinResult.p99}},
 				Bound:     measurer.Limit{Direction: measurer.AtMost, Value: 340},
 			})
-			check(t, measurer.Row{
-				Case: name, Measure: "costPerAnswerMillis", Ours: us.cost,
-				Baselines: []measurer.Baseline{{Name: "random", Value: byChance.cost}, {Name: "leastReported", Value: least.cost}, {Name: "roundRobin", Value: inTurn.cost}},
+			checkRow(t, measurer.Row{
+				Case: name, Measure: "costPerAnswerMillis", Ours: routerResult.cost,
+				Baselines: []measurer.Baseline{{Name: "random", Value: randomResult.cost}, {Name: "leastReported", Value: leastReportedResult.cost}, {Name: "roundRobin", Value: roundRobinResult.cost}},
 				Bound:     measurer.Limit{Direction: measurer.AtMost, Value: 117},
 			})
-			check(t, ratioRow(name, "p99OverLeastReported", us.p99, least.p99, 0.2, 0.6))
-			check(t, ratioRow(name, "costOverRandom", us.cost, byChance.cost, 0.8, 0.8))
+			checkRow(t, ratioRow(name, "p99OverLeastReported", routerResult.p99, leastReportedResult.p99, 0.2, 0.6))
+			checkRow(t, ratioRow(name, "costOverRandom", routerResult.cost, randomResult.cost, 0.8, 0.8))
 		})
 	}
 }
--- a/router/pool.go
+++ b/router/pool.go
@@ -8,39 +8,39 @@
 	"geraniumline/ejector"
 )
 
-// pool is the endpoints that can take each other's calls. Its sums and lists are kept up with each
-// change of an endpoint, so that no decision has to look at all of them.
+// pool is a set of interchangeable endpoints. Its sums and lists are updated with each change of an
+// endpoint, so that no decision has to visit all endpoints.
 type pool struct {
-	name   string
-	slots  int
-	caches bool
-	all    []*endpoint
-	// ring is all endpoints by the hash of their address.
+	name          string
+	slots         int
+	cachesPrompts bool
+	all           []*endpoint
+	// ring holds all endpoints, sorted by the hash of their address.
 	ring []*endpoint
-	// available are the endpoints that can take a call now.
+	// available holds the endpoints that can accept a call now.
 	available []*endpoint
-	// out are the endpoints that are ejected or on probe.
-	out []*endpoint
-	// advanceAt is when the next ejection ends, scannedAt when out was looked through last.
-	advanceAt time.Time
-	scannedAt time.Time
-	health    ejector.Pool
-	// usableSlots are the slots of all endpoints that are neither leaving nor ejected; probeSlots those
-	// among them that are on probe.
+	// unhealthy holds the endpoints that are ejected or being probed.
+	unhealthy []*endpoint
+	// nextEjectionEnd is when the next ejection ends, scannedAt when unhealthy was last scanned.
+	nextEjectionEnd time.Time
+	scannedAt       time.Time
+	health          ejector.Pool
+	// usableSlots is the number of slots of all endpoints that are neither leaving nor ejected.
+	// probeSlots is the number of those that belong to endpoints being probed.
 	usableSlots int
 	probeSlots  int
-	// calls is the sum of all entries' calls in flight.
+	// calls is the number of calls in flight of all entries.
 	calls    int
 	reserved int
-	// callTime is the mean time of a call in nanoseconds.
+	// callTime is the mean duration of a call in nanoseconds.
 	callTime float64
 }
 
 func (p *pool) add(e *endpoint) {
 	e.allIndex = len(p.all)
 	p.all = append(p.all, e)
-	at, _ := slices.BinarySearchFunc(p.ring, e.ring, byRing)
-	p.ring = slices.Insert(p.ring, at, e)
+	position, _ := slices.BinarySearchFunc(p.ring, e.ringHash, compareRingHash)
+	p.ring = slices.Insert(p.ring, position, e)
 	p.health.Add()
 }
 
@@ -52,30 +52,31 @@
 	p.all = p.all[:last]
 	p.ring = slices.DeleteFunc(p.ring, func(other *endpoint) bool { return other == e })
 	p.health.Remove(&e.health)
-	p.listOut(e)
+	p.updateUnhealthy(e)
 }
 
-func byRing(e *endpoint, hash uint64) int { return cmp.Compare(e.ring, hash) }
+func compareRingHash(e *endpoint, hash uint64) int { return cmp.Compare(e.ringHash, hash) }
 
-// refresh brings the pool's sums and lists up to an endpoint's present state.
+// refresh updates the pool's sums and lists after a change of the endpoint.
 func (r *Router) refresh(e *endpoint) {
 	p := e.pool
-	p.listFree(e, e.free(r.entries))
-	p.listOut(e)
+	p.updateAvailable(e, e.hasFreeSlot(r.entries))
+	p.updateUnhealthy(e)
 	p.usableSlots -= e.usableSlots
 	p.probeSlots -= e.probeSlots
 	e.countSlots()
 	p.usableSlots += e.usableSlots
 	p.probeSlots += e.probeSlots
-	r.active.set(e, e.inFlight > 0 || e.firstHandLeaving() || e.health.State() != ejector.InUse)
+	r.active.set(e, e.inFlight > 0 || e.observedLeaving() || e.health.State() != ejector.InUse)
 }
 
-// countSlots works out what the endpoint is worth to its pool. One on probe counts: the door refuses
-// requests for a pool without capacity, and with none let in no probe would ever go out.
+// countSlots computes the endpoint's contribution to the pool's slots. An endpoint that is being
+// probed counts: requests for a pool without capacity are refused at admission, so no probe would
+// ever be sent.
 func (e *endpoint) countSlots() {
 	e.usableSlots = 0
 	e.probeSlots = 0
-	if e.leaving() || e.forgotten || e.health.State() == ejector.Ejected {
+	if e.leaving() || e.removed || e.health.State() == ejector.Ejected {
 		return
 	}
 	e.usableSlots = e.capacity()
@@ -90,97 +91,100 @@
 	}
 }
 
-func (p *pool) listFree(e *endpoint, free bool) {
+func (p *pool) updateAvailable(e *endpoint, free bool) {
 	switch {
-	case free && e.freeIndex < 0:
-		e.freeIndex = len(p.available)
+	case free && e.availableIndex < 0:
+		e.availableIndex = len(p.available)
 		p.available = append(p.available, e)
-	case !free && e.freeIndex >= 0:
+	case !free && e.availableIndex >= 0:
 		last := len(p.available) - 1
 		moved := p.available[last]
-		p.available[e.freeIndex] = moved
-		moved.freeIndex = e.freeIndex
+		p.available[e.availableIndex] = moved
+		moved.availableIndex = e.availableIndex
 		p.available[last] = nil
 		p.available = p.available[:last]
-		e.freeIndex = -1
+		e.availableIndex = -1
 	}
 }
 
-func (p *pool) listOut(e *endpoint) {
-	out := e.health.State() != ejector.InUse
+func (p *pool) updateUnhealthy(e *endpoint) {
+	unhealthy := e.health.State() != ejector.InUse
 	switch {
-	case out && e.outIndex < 0:
-		e.outIndex = len(p.out)
-		p.out = append(p.out, e)
-	case !out && e.outIndex >= 0:
-		last := len(p.out) - 1
-		moved := p.out[last]
-		p.out[e.outIndex] = moved
-		moved.outIndex = e.outIndex
-		p.out[last] = nil
-		p.out = p.out[:last]
-		e.outIndex = -1
-	}
-	if out && e.health.State() == ejector.Ejected && (p.advanceAt.IsZero() || e.health.Until().Before(p.advanceAt)) {
-		p.advanceAt = e.health.Until()
+	case unhealthy && e.unhealthyIndex < 0:
+		e.unhealthyIndex = len(p.unhealthy)
+		p.unhealthy = append(p.unhealthy, e)
+	case !unhealthy && e.unhealthyIndex >= 0:
+		last := len(p.unhealthy) - 1
+		moved := p.unhealthy[last]
+		p.unhealthy[e.unhealthyIndex] = moved
+		moved.unhealthyIndex = e.unhealthyIndex
+		p.unhealthy[last] = nil
+		p.unhealthy = p.unhealthy[:last]
+		e.unhealthyIndex = -1
+	}
+	if unhealthy && e.health.State() == ejector.Ejected && (p.nextEjectionEnd.IsZero() || e.health.Until().Before(p.nextEjectionEnd)) {
+		p.nextEjectionEnd = e.health.Until()
 	}
 }
 
-// scanEvery bounds how often the endpoints that are out are looked through: they may be thousands, and
-// each decision asks for it.
-const scanEvery = 10 * time.Millisecond
+// scanInterval limits how often the unhealthy endpoints are scanned. There may be thousands of
+// them, and every decision triggers a scan.
+const scanInterval = 10 * time.Millisecond
 
-// advance lets ejections end in probes when their time has come, or early when little else is left.
-func (r *Router) advance(p *pool, now time.Time) {
-	if len(p.out) == 0 || now.Sub(p.scannedAt) < scanEvery {
+// advanceEjections moves endpoints whose ejection has ended to probing. It does so early if few
+// endpoints of the pool remain in use.
+func (r *Router) advanceEjections(p *pool, now time.Time) {
+	if len(p.unhealthy) == 0 || now.Sub(p.scannedAt) < scanInterval {
 		return
 	}
-	if p.usableSlots == 0 || 2*len(p.out) > len(p.all) {
+	if p.usableSlots == 0 || 2*len(p.unhealthy) > len(p.all) {
 		r.restoreAll(p, now)
 		return
 	}
-	if p.advanceAt.IsZero() || now.Before(p.advanceAt) {
+	if p.nextEjectionEnd.IsZero() || now.Before(p.nextEjectionEnd) {
 		return
 	}
 	p.scannedAt = now
-	p.advanceAt = time.Time{}
-	for _, e := range p.out {
+	p.nextEjectionEnd = time.Time{}
+	for _, e := range p.unhealthy {
 		p.health.Advance(&e.health, now)
 		r.refresh(e)
 	}
 }
 
-// restoreAll lets the ejected endpoints be probed early: a doubtful endpoint is better than none, and a
-// pool that was away as a whole comes back as a whole.
+// restoreAll allows all ejected endpoints to be probed early. A doubtful endpoint is better than
+// none, and a pool that was unavailable as a whole recovers as a whole.
 func (r *Router) restoreAll(p *pool, now time.Time) {
 	p.scannedAt = now
-	for _, e := range p.out {
+	for _, e := range p.unhealthy {
 		p.health.Restore(&e.health, now)
 		r.refresh(e)
 	}
 }
 
-// HasFree tells whether any endpoint of the pool can take a call.
+// HasFree reports whether any endpoint of the pool can accept a call.
 func (r *Router) HasFree(name string, now time.Time) bool {
 	p, known := r.pools[name]
 	if !known {
 		return false
 	}
-	r.advance(p, now)
+	r.advanceEjections(p, now)
 	return len(p.available) > 0
 }
 
-// Capacity is the count of slots of the pool that this entry may count on when entries live entries share it.
+// Capacity returns the number of the pool's slots available to this entry when the given number of
+// live entries share the pool.
 func (r *Router) Capacity(name string, entries int, now time.Time) float64 {
 	p, known := r.pools[name]
 	if !known {
 		return 0
 	}
-	r.advance(p, now)
+	r.advanceEjections(p, now)
 	return float64(p.usableSlots) / float64(max(entries, 1))
 }
 
-// Load is the part of the pool's slots that all entries' calls fill.
+// Load returns the fraction of the pool's slots that is filled by the calls of all entries, or 1 if
+// the pool has no usable slots.
 func (r *Router) Load(name string) float64 {
 	p, known := r.pools[name]
 	if !known || p.usableSlots == 0 {
@@ -189,8 +193,9 @@
 	return float64(p.calls) / float64(p.usableSlots)
 }
 
-// OverdueAfter is the time after which a silent call of a stage, which usually takes expected, counts
-// against its endpoint; 0 while the pool's usual time is not known.
+// OverdueAfter returns how long a call may be silent before it counts against its endpoint.
+// expected is the usual duration of the call's stage. The result is 0 while the pool's usual call
+// duration is unknown.
 func (r *Router) OverdueAfter(name string, expected time.Duration) time.Duration {
 	p, known := r.pools[name]
 	if !known {
@@ -199,10 +204,10 @@
 	return p.health.Patience(expected)
 }
 
-// active is the list of endpoints that peers are told of.
-type active struct{ all []*endpoint }
+// activeList holds the endpoints that are reported to peers.
+type activeList struct{ all []*endpoint }
 
-func (a *active) set(e *endpoint, on bool) {
+func (a *activeList) set(e *endpoint, on bool) {
 	switch {
 	case on && e.activeIndex < 0:
 		e.activeIndex = len(a.all)
--- a/router/prefix.go
+++ b/router/prefix.go
@@ -6,108 +6,115 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// blockBytes is the size of the blocks by which engines cache prompts.
+// blockBytes is the size of the blocks in which engines cache prompts.
 const blockBytes = 64
 
-// levels are the lengths of prefix, in blocks, that are looked up. Looking at each block would cost
-// more than it gains.
-var levels = [...]int{1, 2, 3, 4, 6, 8, 12, 16, 24, 32, 48, 64}
+// prefixLengths are the prefix lengths, in blocks, that are looked up. Looking up every block would
+// cost more than it gains.
+var prefixLengths = [...]int{1, 2, 3, 4, 6, 8, 12, 16, 24, 32, 48, 64}
 
-// homeLevel is the index in levels of the prefix that decides a prompt's home.
-const homeLevel = 3
+// homePrefixIndex is the index in prefixLengths of the prefix that selects a prompt's home
+// endpoints.
+const homePrefixIndex = 3
 
-// Prefix is the hashes of a prompt's beginnings, as engines publish them.
+// Prefix holds the hashes of a prompt's leading blocks, as published by engines.
 type Prefix struct {
-	hashes [len(levels)]uint64
+	hashes [len(prefixLengths)]uint64
 	count  int
-	// blocks is the prompt's length.
+	// blocks is the length of the prompt in blocks.
 	blocks int
 }
 
-// PrefixOf hashes a prompt's beginnings in one pass.
+// PrefixOf hashes the leading blocks of a prompt in one pass.
 func PrefixOf(input string) Prefix {
 	p := Prefix{blocks: len(input) / blockBytes}
 	var digest xxhash.Digest
 	digest.Reset()
 	done := 0
-	for i, level := range levels {
-		if level > p.blocks {
+	for i, length := range prefixLengths {
+		if length > p.blocks {
 			break
 		}
-		_, _ = digest.WriteString(input[done : level*blockBytes])
-		done = level * blockBytes
+		_, _ = digest.WriteString(input[done : length*blockBytes])
+		done = length * blockBytes
 		p.hashes[i] = digest.Sum64()
 		p.count = i + 1
 	}
 	return p
 }
 
-// home is the hash that decides where a prompt's prefix is kept while nothing is known of it.
-func (p *Prefix) home() uint64 { return p.hashes[min(homeLevel, p.count-1)] }
+// homeHash returns the hash that selects the home endpoints of the prompt's prefix, for use when no
+// endpoint is known to cache it.
+func (p *Prefix) homeHash() uint64 { return p.hashes[min(homePrefixIndex, p.count-1)] }
 
-// reuse is the part of the prompt that an endpoint with this cache needs not work on again.
-func (p *Prefix) reuse(m *cacheMap) float64 {
+// cachedFraction returns the fraction of the prompt that an endpoint with this cache does not have
+// to process again.
+func (p *Prefix) cachedFraction(m *cacheMap) float64 {
 	if m == nil {
 		return 0
 	}
 	for i := p.count - 1; i >= 0; i-- {
 		if m.has(p.hashes[i]) {
-			return float64(levels[i]) / float64(max(p.blocks, 1))
+			return float64(prefixLengths[i]) / float64(max(p.blocks, 1))
 		}
 	}
 	return 0
 }
 
-// cacheMapSlots bounds what is remembered of one endpoint's cache: 16 KB.
+// cacheMapSlots limits what is remembered of one endpoint's cache: 16 KB.
 const cacheMapSlots = 4096
 
-// cacheMap is a hint which prefixes an endpoint holds: a table without chains, where a new prefix
-// takes the place of an older one. What is wrong in it costs time, never a request.
+// cacheMap is an approximate set of the prefixes that an endpoint holds. It is a hash table without
+// chaining, in which a new prefix replaces an older one with the same slot. A wrong entry costs
+// time but never fails a request.
 type cacheMap struct {
-	marks [cacheMapSlots]uint32
+	fingerprints [cacheMapSlots]uint32
 }
 
-func (m *cacheMap) has(hash uint64) bool { return m.marks[hash%cacheMapSlots] == mark(hash) }
+func (m *cacheMap) has(hash uint64) bool {
+	return m.fingerprints[hash%cacheMapSlots] == fingerprint(hash)
+}
 
-func (m *cacheMap) store(hash uint64) { m.marks[hash%cacheMapSlots] = mark(hash) }
+func (m *cacheMap) store(hash uint64) { m.fingerprints[hash%cacheMapSlots] = fingerprint(hash) }
 
 func (m *cacheMap) evict(hash uint64) {
 	if m.has(hash) {
-		m.marks[hash%cacheMapSlots] = 0
+		m.fingerprints[hash%cacheMapSlots] = 0
 	}
 }
 
-// mark tells prefixes with the same slot apart; 0 is an empty slot.
-func mark(hash uint64) uint32 { return uint32(hash>>32) | 1 }
+// fingerprint distinguishes prefixes that share a slot. It is never 0, which marks an empty slot.
+func fingerprint(hash uint64) uint32 { return uint32(hash>>32) | 1 }
 
-// CacheEventKind says what became of a prefix.
+// CacheEventKind is the kind of change to a cached prefix.
 type CacheEventKind uint8
 
-// The kinds of cache event.
+// The kinds of cache events.
 const (
 	CacheStored CacheEventKind = iota
 	CacheEvicted
 	CacheCleared
 )
 
-// CacheEvent tells that an endpoint stored or dropped a prefix.
+// CacheEvent reports that an endpoint stored or dropped a prefix, or cleared its cache. Seq is its
+// sequence number at the endpoint.
 type CacheEvent struct {
 	Seq  int64
 	Kind CacheEventKind
 	Hash uint64
 }
 
-// ApplyCacheEvents takes a page of an endpoint's cache events, which come late and with gaps. Next is the
-// number that follows the page.
+// ApplyCacheEvents applies a page of an endpoint's cache events, which arrive late and with gaps.
+// next is the sequence number that follows the page.
 func (r *Router) ApplyCacheEvents(address string, events []CacheEvent, next int64, _ time.Time) {
 	e, known := r.endpoints[address]
 	if !known {
 		return
 	}
 	if next < e.cacheNext {
-		// The count began anew, so the endpoint did, and its cache was empty. What it has stored since
-		// is read from the beginning.
-		e.voidCache()
+		// The sequence numbers restarted, so the endpoint restarted with an empty cache. Events
+		// since then are read from the beginning.
+		e.clearCache()
 		e.cacheNext = 0
 		return
 	}
@@ -116,22 +123,22 @@
 			continue
 		}
 		if event.Seq > e.cacheNext {
-			// What happened in the gap is not known: the prefixes held may be gone.
-			e.voidCache()
+			// Events were lost, and the prefixes held so far may have been evicted.
+			e.clearCache()
 		}
 		e.cacheNext = event.Seq + 1
-		r.takeCacheEvent(e, event)
+		r.applyCacheEvent(e, event)
 	}
 	if next > e.cacheNext {
-		e.voidCache()
+		e.clearCache()
 		e.cacheNext = next
 	}
 }
 
-func (r *Router) takeCacheEvent(e *endpoint, event CacheEvent) {
+func (r *Router) applyCacheEvent(e *endpoint, event CacheEvent) {
 	switch event.Kind {
 	case CacheStored:
-		if m := r.cacheOf(e); m != nil {
+		if m := r.cacheMapOf(e); m != nil {
 			m.store(event.Hash)
 		}
 	case CacheEvicted:
@@ -139,18 +146,19 @@
 			e.cache.evict(event.Hash)
 		}
 	case CacheCleared:
-		e.voidCache()
+		e.clearCache()
 	}
 }
 
-func (e *endpoint) voidCache() {
+func (e *endpoint) clearCache() {
 	if e.cache != nil {
 		*e.cache = cacheMap{}
 	}
 }
 
-// cacheOf gives the endpoint's map, if the bound on maps allows it one.
-func (r *Router) cacheOf(e *endpoint) *cacheMap {
+// cacheMapOf returns the endpoint's cache map. It creates one if MaxCacheMaps allows, and else
+// returns nil.
+func (r *Router) cacheMapOf(e *endpoint) *cacheMap {
 	if e.cache == nil && r.cacheMaps < r.cfg.MaxCacheMaps {
 		e.cache = &cacheMap{}
 		r.cacheMaps++
@@ -158,12 +166,13 @@
 	return e.cache
 }
 
-// predict notes that a call's prompt will be in the endpoint's cache, well before its event comes.
-func (r *Router) predict(e *endpoint, prefix *Prefix) {
-	if prefix.count == 0 || !e.pool.caches {
+// predictCache records that the prompt of a call will be in the endpoint's cache, well before its
+// cache event arrives.
+func (r *Router) predictCache(e *endpoint, prefix *Prefix) {
+	if prefix.count == 0 || !e.pool.cachesPrompts {
 		return
 	}
-	m := r.cacheOf(e)
+	m := r.cacheMapOf(e)
 	if m == nil {
 		return
 	}
--- a/router/report.go
+++ b/router/report.go
@@ -3,19 +3,20 @@
 import "time"
 
 const (
-	// pastKept and pastEvery bound how far back this entry knows its own view of an endpoint's calls:
-	// more than the greatest lag of a report, 5 s.
-	pastKept  = 16
-	pastEvery = 400 * time.Millisecond
-	// foreignWeight is the weight of the newest report in what is held for others' calls.
-	foreignWeight = 0.2
-	// foreignFor is how long a report's count of others' calls is believed.
-	foreignFor = 5 * time.Second
-	// reportSkew is how far the clocks of entries and endpoints may differ.
+	// historySize and historyInterval determine how much of its own call counts this entry
+	// remembers for an endpoint: more than the maximum lag of a load report, 5 s.
+	historySize     = 16
+	historyInterval = 400 * time.Millisecond
+	// unattributedWeight is the weight of the newest report in the moving average of unattributed
+	// calls.
+	unattributedWeight = 0.2
+	// unattributedTTL is how long unattributed calls are taken into account after a report.
+	unattributedTTL = 5 * time.Second
+	// reportSkew is the maximum difference between the clocks of entries and endpoints.
 	reportSkew = time.Second
 )
 
-// LoadReport is an endpoint's load as it was at AsOf, as it tells.
+// LoadReport is the load that an endpoint reported about itself as of AsOf.
 type LoadReport struct {
 	AsOf    time.Time
 	Running int
@@ -24,85 +25,88 @@
 	Leaving bool
 }
 
-// UpdateLoad takes an endpoint's own, lagging load report.
+// UpdateLoad applies an endpoint's load report, which lags behind.
 //
-// The count itself is old, and entries that all follow it would send to the same endpoint. So it is
-// compared with what this entry knew at that time: what is over are calls that no entry answers for,
-// such as those of an entry that died, and only these are added to what is known now.
+// The reported count is outdated, and entries that all followed it would send to the same endpoint.
+// It is therefore compared with the calls that this entry knew of at that time. The excess consists
+// of calls that no known entry accounts for, such as those of an entry that died, and only the
+// excess is added to the current count.
 func (r *Router) UpdateLoad(address string, report LoadReport, now time.Time) {
 	e, known := r.endpoints[address]
 	if !known {
 		return
 	}
-	e.reported = now
-	e.waiting = report.Waiting
+	e.reportedAt = now
+	e.queued = report.Waiting
 	if report.Slots > 0 {
 		e.slots = report.Slots
 	}
 	e.pool.health.Alive(&e.health)
-	r.takeLeavingWord(e, report, now)
-	over := float64(report.Running+report.Waiting) - e.past.at(report.AsOf, e.calls())
-	e.foreign += foreignWeight * (over - e.foreign)
-	e.foreignAt = now
-	e.past.note(e.calls(), now)
+	r.updateLeaving(e, report, now)
+	excess := float64(report.Running+report.Waiting) - e.history.at(report.AsOf, e.calls())
+	e.unattributed += unattributedWeight * (excess - e.unattributed)
+	e.unattributedAt = now
+	e.history.record(e.calls(), now)
 	r.refresh(e)
 }
 
-// MarkUnreachable takes a refused connection by which an endpoint was to be asked for its load: nothing serves at the
-// address. Without it a dead endpoint would be shown as live, and chosen, until a call has failed by it.
+// MarkUnreachable records that the connection for a load report was refused, so nothing listens at
+// the address. It reports whether this ejected the endpoint. Without it, a dead endpoint would be
+// shown as live and chosen until a call to it failed.
 func (r *Router) MarkUnreachable(address string, now time.Time) bool {
 	e, known := r.endpoints[address]
 	if !known {
 		return false
 	}
-	ejected := r.judge(e, CallEnd{Result: Unreachable}, now)
+	ejected := r.recordHealth(e, CallEnd{Result: Unreachable}, now)
 	r.refresh(e)
 	return ejected
 }
 
-// foreignCalls is the calls that no entry answers for, fading with the age of the last report.
-func (e *endpoint) foreignCalls(now time.Time) float64 {
-	if e.foreign <= 0 {
+// unattributedCalls returns the calls that no known entry accounts for. They decay with the age of
+// the last report.
+func (e *endpoint) unattributedCalls(now time.Time) float64 {
+	if e.unattributed <= 0 {
 		return 0
 	}
-	age := now.Sub(e.foreignAt)
-	if age >= foreignFor {
+	age := now.Sub(e.unattributedAt)
+	if age >= unattributedTTL {
 		return 0
 	}
-	return e.foreign * float64(foreignFor-age) / float64(foreignFor)
+	return e.unattributed * float64(unattributedTTL-age) / float64(unattributedTTL)
 }
 
-// past is a short history of the calls that were known of at an endpoint.
-type past struct {
-	// times are in Unix nanoseconds, 0 for a sample not taken yet.
-	times [pastKept]int64
-	calls [pastKept]int32
+// callHistory is a short history of the known calls at an endpoint.
+type callHistory struct {
+	// times are in Unix nanoseconds, or 0 for a sample that was not taken yet.
+	times [historySize]int64
+	calls [historySize]int32
 	next  int
 }
 
-// note keeps the present count, at most one in pastEvery.
-func (p *past) note(calls int, now time.Time) {
-	last := (p.next + pastKept - 1) % pastKept
-	if p.times[last] != 0 && now.UnixNano()-p.times[last] < int64(pastEvery) {
+// record adds a sample of the current count, at most one per historyInterval.
+func (h *callHistory) record(calls int, now time.Time) {
+	last := (h.next + historySize - 1) % historySize
+	if h.times[last] != 0 && now.UnixNano()-h.times[last] < int64(historyInterval) {
 		return
 	}
-	p.times[p.next] = now.UnixNano()
-	p.calls[p.next] = int32(calls)
-	p.next = (p.next + 1) % pastKept
+	h.times[h.next] = now.UnixNano()
+	h.calls[h.next] = int32(calls)
+	h.next = (h.next + 1) % historySize
 }
 
-// at is the count as of a time: the mean of the samples around it, else the present count.
-func (p *past) at(t time.Time, present int) float64 {
+// at returns the count at time t: the mean of the samples around t if there are any, else present.
+func (h *callHistory) at(t time.Time, present int) float64 {
 	after := float64(present)
-	for i := range pastKept {
-		k := (p.next + pastKept - 1 - i) % pastKept
-		if p.times[k] == 0 {
+	for i := range historySize {
+		k := (h.next + historySize - 1 - i) % historySize
+		if h.times[k] == 0 {
 			break
 		}
-		if p.times[k] <= t.UnixNano() {
-			return (after + float64(p.calls[k])) / 2
+		if h.times[k] <= t.UnixNano() {
+			return (after + float64(h.calls[k])) / 2
 		}
-		after = float64(p.calls[k])
+		after = float64(h.calls[k])
 	}
 	return after
 }
--- a/router/router.go
+++ b/router/router.go
@@ -1,5 +1,5 @@
-// Package router chooses the endpoint of a pool that a stage call goes to.
-// It is pure: the present time and the random source are given to it.
+// Package router chooses the endpoint of a pool to which a stage call is sent. It is deterministic:
+// callers pass in the current time and the random source.
 package router
 
 import (
@@ -10,20 +10,22 @@
 	"geraniumline/ejector"
 )
 
-// Defaults of Config.
+// Default values of Config.
 const (
 	defaultSlots      = 8
 	defaultCandidates = 4
-	// DefaultForgetAfter is how long an endpoint that the VM list no longer names is still used
-	// without a sign of life. The list lags, so a missing name alone proves nothing.
+	// DefaultForgetAfter is how long an endpoint that is missing from the VM list remains in use
+	// without a sign of life. The list lags, so a missing address proves nothing by itself.
 	DefaultForgetAfter = 10 * time.Second
-	// defaultReuseWeight is what a whole prompt found in an endpoint's cache is worth, in loads.
+	// defaultReuseWeight is the value of finding a whole prompt in an endpoint's cache, in units of
+	// load.
 	defaultReuseWeight = 4
-	// defaultCacheMaps bounds the endpoints whose cached prefixes are remembered, 16 KB each.
+	// defaultCacheMaps limits the number of endpoints whose cached prefixes are remembered, at 16
+	// KB each.
 	defaultCacheMaps = 256
 )
 
-// Config sets a Router up. Zero fields take the defaults above.
+// Config configures a Router. Zero fields take the default values above.
 type Config struct {
 	Rand         *rand.Rand
 	Candidates   int
@@ -33,24 +35,25 @@
 	Ejector      ejector.Config
 }
 
-// Router knows the endpoints of all pools and this system's calls in flight to each.
-// It is not safe for concurrent use: the reducer owns it.
+// Router holds the endpoints of all pools and the calls in flight to each of them. It is not safe
+// for concurrent use: the reducer owns it.
 type Router struct {
 	cfg   Config
 	pools map[string]*pool
-	// order is the pools in the order in which they came to be, so that a replay goes the same way.
+	// order lists the pools in order of creation, so that replays visit them in the same order.
 	order     []*pool
 	endpoints map[string]*endpoint
 	peers     map[string]*peer
-	// active are the endpoints that peers are told of.
-	active active
-	// entries is how many live entries share the pools, index this one's place among them.
+	// active holds the endpoints that are reported to peers.
+	active activeList
+	// entries is the number of live entries that share the pools, and index the position of this
+	// entry among them.
 	entries   int
 	index     int
 	cacheMaps int
 }
 
-// New makes a router that knows no endpoint yet.
+// New creates a router without endpoints.
 func New(cfg Config) *Router {
 	if cfg.Candidates == 0 {
 		cfg.Candidates = defaultCandidates
@@ -73,7 +76,7 @@
 	}
 }
 
-// VM is one line of the platform's list of VMs that serves a pool.
+// VM is an entry of the platform's VM list that serves a pool.
 type VM struct {
 	Address string
 	Zone    string
@@ -81,19 +84,19 @@
 	Leaving bool
 }
 
-// UpdateVMs takes the platform's list of VMs, which lags. A missing line alone proves nothing: an endpoint
-// is forgotten when besides it gave no sign of life for GoneAfter.
+// UpdateVMs applies the platform's VM list, which lags. A missing address proves nothing by itself:
+// its endpoint is removed only if it has also shown no sign of life for ForgetAfter.
 func (r *Router) UpdateVMs(vms []VM, now time.Time) {
 	for _, vm := range vms {
 		e, known := r.endpoints[vm.Address]
 		if known && e.pool.name != vm.Pool {
-			r.forget(e)
+			r.removeEndpoint(e)
 			known = false
 		}
 		if !known {
-			e = r.learn(vm, now)
+			e = r.addEndpoint(vm, now)
 		}
-		e.listed = now
+		e.listedAt = now
 		if e.listLeaving != vm.Leaving {
 			e.listLeaving = vm.Leaving
 			r.refresh(e)
@@ -101,8 +104,8 @@
 	}
 	for _, p := range r.order {
 		for _, e := range slices.Backward(p.all) {
-			if e.gone(now, r.cfg.ForgetAfter) {
-				r.forget(e)
+			if e.expired(now, r.cfg.ForgetAfter) {
+				r.removeEndpoint(e)
 			}
 		}
 	}
@@ -118,14 +121,14 @@
 	return p
 }
 
-// SetPool takes what the configuration says of a pool: the slots of an endpoint that has not reported
-// its own, and whether its endpoints cache prompt prefixes.
-func (r *Router) SetPool(name string, slots int, caches bool) {
+// SetPool sets the configuration of a pool: the number of slots of an endpoint that has not
+// reported its own, and whether its endpoints cache prompt prefixes.
+func (r *Router) SetPool(name string, slots int, cachesPrompts bool) {
 	p := r.pool(name)
 	if slots <= 0 {
 		slots = defaultSlots
 	}
-	p.caches = caches
+	p.cachesPrompts = cachesPrompts
 	if p.slots == slots {
 		return
 	}
@@ -133,7 +136,8 @@
 	r.refreshPool(p)
 }
 
-// SetEntries tells how many live entries share the pools, and this one's place among them by name.
+// SetEntries sets the number of live entries that share the pools, and the position of this entry
+// among them, ordered by name.
 func (r *Router) SetEntries(index, n int) {
 	r.index = index
 	if r.entries == max(n, 1) {
@@ -145,7 +149,7 @@
 	}
 }
 
-func (r *Router) learn(vm VM, now time.Time) *endpoint {
+func (r *Router) addEndpoint(vm VM, now time.Time) *endpoint {
 	p := r.pool(vm.Pool)
 	e := newEndpoint(vm, p, now)
 	r.endpoints[vm.Address] = e
@@ -154,9 +158,9 @@
 	return e
 }
 
-func (r *Router) forget(e *endpoint) {
+func (r *Router) removeEndpoint(e *endpoint) {
 	r.Release(e.address)
-	e.forgotten = true
+	e.removed = true
 	r.refresh(e)
 	r.active.set(e, false)
 	delete(r.endpoints, e.address)
--- a/router/router_test.go
+++ b/router/router_test.go
@@ -13,7 +13,7 @@
 	"geraniumline/router"
 )
 
-const target = "10.0.0.1:80"
+const testAddress = "10.0.0.1:80"
 
 func newRouter(vms ...router.VM) *router.Router {
 	r := router.New(router.Config{Rand: rand.New(rand.NewPCG(1, 2))})
@@ -22,99 +22,102 @@
 	return r
 }
 
-func listed(leaving bool) router.VM {
-	return router.VM{Address: target, Pool: "engines", Leaving: leaving}
+func testVM(leaving bool) router.VM {
+	return router.VM{Address: testAddress, Pool: "engines", Leaving: leaving}
 }
 
-func at(d time.Duration) time.Time { return start.Add(d) }
+func after(d time.Duration) time.Time { return start.Add(d) }
 
-// An endpoint that leaves gets no call from the first sign on, whoever gives it. A later VM gets the same
-// address. The sign must end with evidence of its own kind, and not with an older word: a mark that stuck
-// to the address would keep the new VM idle for ever.
-func TestLeaving(t *testing.T) {
-	peerSays := func(r *router.Router, leaving bool, now time.Time) {
-		r.UpdatePeerLoads("peer", []carrier.EndpointLoad{{Address: target, Leaving: leaving}}, now)
+// Guards against a leaving endpoint that still receives calls, whichever source reported it. Later
+// VMs reuse the address, so each sign must be cleared by evidence of its own kind and not by an
+// older report. A flag that remained attached to the address would keep the new VM idle forever.
+func TestLeavingEndpoint(t *testing.T) {
+	peerReports := func(r *router.Router, leaving bool, now time.Time) {
+		r.UpdatePeerLoads("peer", []carrier.EndpointLoad{{Address: testAddress, Leaving: leaving}}, now)
 	}
 	tests := []struct {
 		testName string
 		steps    func(r *router.Router)
 		free     bool
 	}{
-		{"list says so", func(r *router.Router) { r.UpdateVMs([]router.VM{listed(true)}, at(1)) }, false},
-		{"list calls it live again", func(r *router.Router) {
-			r.UpdateVMs([]router.VM{listed(true)}, at(1))
-			r.UpdateVMs([]router.VM{listed(false)}, at(2))
+		{"marked in the list", func(r *router.Router) { r.UpdateVMs([]router.VM{testVM(true)}, after(1)) }, false},
+		{"shown as live in the list again", func(r *router.Router) {
+			r.UpdateVMs([]router.VM{testVM(true)}, after(1))
+			r.UpdateVMs([]router.VM{testVM(false)}, after(2))
 		}, true},
-		{"own refusal, the list lags", func(r *router.Router) {
-			r.CallEnded(target, router.CallEnd{Result: router.RefusedLeaving}, at(1))
-			r.UpdateVMs([]router.VM{listed(false)}, at(2))
+		{"refused as leaving, the list lags", func(r *router.Router) {
+			r.CallEnded(testAddress, router.CallEnd{Result: router.RefusedLeaving}, after(1))
+			r.UpdateVMs([]router.VM{testVM(false)}, after(2))
 		}, false},
-		{"own refusal, then an older report", func(r *router.Router) {
-			r.CallEnded(target, router.CallEnd{Result: router.RefusedLeaving}, at(time.Second))
-			r.UpdateLoad(target, router.LoadReport{AsOf: at(0)}, at(3*time.Second))
+		{"refused as leaving, then an older report", func(r *router.Router) {
+			r.CallEnded(testAddress, router.CallEnd{Result: router.RefusedLeaving}, after(time.Second))
+			r.UpdateLoad(testAddress, router.LoadReport{AsOf: after(0)}, after(3*time.Second))
 		}, false},
-		{"own refusal, then a later report of a new VM", func(r *router.Router) {
-			r.CallEnded(target, router.CallEnd{Result: router.RefusedLeaving}, at(time.Second))
-			r.UpdateLoad(target, router.LoadReport{AsOf: at(3 * time.Second)}, at(4*time.Second))
+		{"refused as leaving, then a later report of a new VM", func(r *router.Router) {
+			r.CallEnded(testAddress, router.CallEnd{Result: router.RefusedLeaving}, after(time.Second))
+			r.UpdateLoad(testAddress, router.LoadReport{AsOf: after(3 * time.Second)}, after(4*time.Second))
 		}, true},
-		{"a peer's word", func(r *router.Router) { peerSays(r, true, at(1)) }, false},
-		{"a peer's word is taken back", func(r *router.Router) {
-			peerSays(r, true, at(1))
-			peerSays(r, false, at(2))
+		{"reported by a peer", func(r *router.Router) { peerReports(r, true, after(1)) }, false},
+		{"no longer reported by the peer", func(r *router.Router) {
+			peerReports(r, true, after(1))
+			peerReports(r, false, after(2))
 		}, true},
-		{"a peer dies with its word", func(r *router.Router) {
-			peerSays(r, true, at(1))
+		{"reporting peer is removed", func(r *router.Router) {
+			peerReports(r, true, after(1))
 			r.RemovePeer("peer")
 		}, true},
 	}
 	for _, tt := range tests {
 		t.Run(tt.testName, func(t *testing.T) {
-			r := newRouter(listed(false))
+			r := newRouter(testVM(false))
 			tt.steps(r)
-			require.Equal(t, tt.free, r.HasFree("engines", at(5*time.Second)))
+			require.Equal(t, tt.free, r.HasFree("engines", after(5*time.Second)))
 		})
 	}
-	t.Run("a peer's word is not told on", func(t *testing.T) {
-		r := newRouter(listed(false))
-		peerSays(r, true, at(1))
-		require.Empty(t, r.LocalLoads(at(2)))
+	t.Run("a peer's report is not forwarded", func(t *testing.T) {
+		r := newRouter(testVM(false))
+		peerReports(r, true, after(1))
+		require.Empty(t, r.LocalLoads(after(2)))
 	})
 }
 
-// The list of VMs lags and may lack one that lives. It is forgotten only when it gives no sign itself.
-func TestForgetsOnEvidence(t *testing.T) {
-	r := newRouter(listed(false))
-	r.UpdateLoad(target, router.LoadReport{AsOf: at(8 * time.Second)}, at(8*time.Second))
-	r.UpdateVMs(nil, at(12*time.Second))
+// The VM list lags and may omit a live VM. An endpoint must be removed only if it shows no sign of
+// life itself.
+func TestRemovesSilentEndpoint(t *testing.T) {
+	r := newRouter(testVM(false))
+	r.UpdateLoad(testAddress, router.LoadReport{AsOf: after(8 * time.Second)}, after(8*time.Second))
+	r.UpdateVMs(nil, after(12*time.Second))
 	require.Len(t, r.Endpoints(start), 1)
-	r.UpdateVMs(nil, at(19*time.Second))
+	r.UpdateVMs(nil, after(19*time.Second))
 	require.Empty(t, r.Endpoints(start))
-	require.False(t, r.HasFree("engines", at(19*time.Second)))
+	require.False(t, r.HasFree("engines", after(19*time.Second)))
 	require.Zero(t, r.Capacity("engines", 1, start))
 }
 
-// An endpoint's process dies while no call is in flight. The next question for its load is refused: it must be shown
-// as out of use and get no call at once, and be tried again when it answers.
-func TestRefusedQuestionEjects(t *testing.T) {
+// An endpoint's process dies while no call is in flight, and the next request for its load is
+// refused. The endpoint must be shown as ejected and receive no calls at once, and be probed when
+// it answers again.
+func TestRefusedLoadRequestEjects(t *testing.T) {
 	other := router.VM{Address: "10.0.0.2:80", Pool: "engines"}
-	r := newRouter(listed(false), other)
-	require.True(t, r.MarkUnreachable(target, at(time.Second)))
-	require.False(t, r.MarkUnreachable(target, at(2*time.Second)), "told once")
-	require.Equal(t, "ejected", r.Endpoints(at(2 * time.Second))[0].State)
+	r := newRouter(testVM(false), other)
+	require.True(t, r.MarkUnreachable(testAddress, after(time.Second)))
+	require.False(t, r.MarkUnreachable(testAddress, after(2*time.Second)), "the ejection is reported once")
+	require.Equal(t, "ejected", r.Endpoints(after(2 * time.Second))[0].State)
 	for range 20 {
-		address, found := r.Choose(router.Query{Pool: "engines", NoProbe: true}, at(2*time.Second))
+		address, found := r.Choose(router.Query{Pool: "engines", NoProbe: true}, after(2*time.Second))
 		require.True(t, found)
 		require.Equal(t, other.Address, address)
 	}
-	r.UpdateLoad(target, router.LoadReport{AsOf: at(3 * time.Second)}, at(3*time.Second))
-	require.Equal(t, "probing", r.Endpoints(at(3 * time.Second))[0].State)
-	address, found := r.Choose(router.Query{Pool: "engines"}, at(3*time.Second))
+	r.UpdateLoad(testAddress, router.LoadReport{AsOf: after(3 * time.Second)}, after(3*time.Second))
+	require.Equal(t, "probing", r.Endpoints(after(3 * time.Second))[0].State)
+	address, found := r.Choose(router.Query{Pool: "engines"}, after(3*time.Second))
 	require.True(t, found)
-	require.Equal(t, target, address)
+	require.Equal(t, testAddress, address)
 }
 
-// Cache events come late and with gaps. Without a gap a prompt goes where its prefix is, past an endpoint
-// with as many calls; after a gap nothing is known and it goes anywhere, but it goes.
+// Cache events arrive late and with gaps. Without a gap, a prompt is sent to the endpoint that
+// holds its prefix, in preference to endpoints with as many calls. After a gap the cache is
+// unknown, and the prompt must still be sent to some endpoint.
 func TestCacheEventsWithGap(t *testing.T) {
 	prompt := fmt.Sprintf("%0640d", 7)
 	stored := func(seq int64) []router.CacheEvent {
@@ -124,10 +127,10 @@
 	for i := range 10 {
 		vms = append(vms, router.VM{Address: address(i), Pool: "engines"})
 	}
-	share := func(feed func(*router.Router, string)) map[string]int {
+	countChoices := func(sendEvents func(*router.Router, string)) map[string]int {
 		r := newRouter(vms...)
 		for i := range 10 {
-			feed(r, address(i))
+			sendEvents(r, address(i))
 		}
 		counts := map[string]int{}
 		for range 200 {
@@ -138,20 +141,20 @@
 		return counts
 	}
 	holder := address(3)
-	whole := share(func(r *router.Router, a string) {
+	withEvents := countChoices(func(r *router.Router, a string) {
 		if a == holder {
 			r.ApplyCacheEvents(a, stored(0), 1, start)
 		}
 	})
-	none := share(func(*router.Router, string) {})
-	gap := share(func(r *router.Router, a string) {
+	withoutEvents := countChoices(func(*router.Router, string) {})
+	withGap := countChoices(func(r *router.Router, a string) {
 		if a == holder {
 			r.ApplyCacheEvents(a, stored(0), 1, start)
 			r.ApplyCacheEvents(a, nil, 5, start)
 		}
 	})
-	require.Greater(t, whole[holder], none[holder]+30)
-	require.Equal(t, none, gap)
+	require.Greater(t, withEvents[holder], withoutEvents[holder]+30)
+	require.Equal(t, withoutEvents, withGap)
 }
 
 func benchmarkRouter(n int) (*router.Router, []string) {
@@ -169,21 +172,22 @@
 	return r, addresses
 }
 
-// decide is one call's decisions: where, that it began and that it ended.
-func decide(r *router.Router, ask *router.Query, now time.Time) {
-	chosen, found := r.Choose(*ask, now)
+// routeCall makes all decisions for one call: it chooses an endpoint and records the start and the
+// end of the call.
+func routeCall(r *router.Router, query *router.Query, now time.Time) {
+	chosen, found := r.Choose(*query, now)
 	if !found {
 		return
 	}
-	r.CallStarted(chosen, &ask.Prefix, now)
+	r.CallStarted(chosen, &query.Prefix, now)
 	r.CallEnded(chosen, router.CallEnd{Result: router.Succeeded, Duration: time.Second, Expected: time.Second}, now)
 }
 
-// The decisions of a call allocate nothing, at any size.
+// The decisions for a call must not allocate, whatever the size of the pool.
 func TestDecisionsDoNotAllocate(t *testing.T) {
 	for _, n := range []int{50, 10000} {
 		r, addresses := benchmarkRouter(n)
-		ask := &router.Query{Pool: "engines", Prefix: router.PrefixOf(fmt.Sprintf("%03000d", 1))}
+		query := &router.Query{Pool: "engines", Prefix: router.PrefixOf(fmt.Sprintf("%03000d", 1))}
 		now := start
 		var loads []carrier.EndpointLoad
 		for i := range 50 {
@@ -191,7 +195,7 @@
 		}
 		step := func() {
 			now = now.Add(time.Millisecond)
-			decide(r, ask, now)
+			routeCall(r, query, now)
 			r.UpdatePeerLoads("peer", loads, now)
 			r.UpdateLoad(addresses[0], router.LoadReport{AsOf: now, Running: 2, Slots: slots}, now)
 		}
@@ -206,18 +210,18 @@
 	for _, n := range []int{50, 10000} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
 			r, _ := benchmarkRouter(n)
-			ask := &router.Query{Pool: "engines", Prefix: router.PrefixOf(fmt.Sprintf("%03000d", 1))}
+			query := &router.Query{Pool: "engines", Prefix: router.PrefixOf(fmt.Sprintf("%03000d", 1))}
 			now := start
 			b.ReportAllocs()
 			for b.Loop() {
 				now = now.Add(100 * time.Microsecond)
-				decide(r, ask, now)
+				routeCall(r, query, now)
 			}
 		})
 	}
 }
 
-// A third of the pool refuses connections and is out.
+// A third of the pool refuses connections and is ejected.
 func BenchmarkDecideWithThirdOut(b *testing.B) {
 	for _, n := range []int{50, 10000} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
@@ -227,11 +231,11 @@
 				now = now.Add(time.Millisecond)
 				r.CallEnded(a, router.CallEnd{Result: router.Unreachable}, now)
 			}
-			ask := &router.Query{Pool: "engines", Prefix: router.PrefixOf(fmt.Sprintf("%03000d", 1)), NoProbe: true}
+			query := &router.Query{Pool: "engines", Prefix: router.PrefixOf(fmt.Sprintf("%03000d", 1)), NoProbe: true}
 			b.ReportAllocs()
 			for b.Loop() {
 				now = now.Add(100 * time.Microsecond)
-				decide(r, ask, now)
+				routeCall(r, query, now)
 			}
 		})
 	}
@@ -241,10 +245,10 @@
 	for _, n := range []int{50, 10000} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
 			r, _ := benchmarkRouter(n)
-			ask := router.Query{Pool: "engines", Prefix: router.PrefixOf(fmt.Sprintf("%03000d", 1))}
+			query := router.Query{Pool: "engines", Prefix: router.PrefixOf(fmt.Sprintf("%03000d", 1))}
 			b.ReportAllocs()
 			for b.Loop() {
-				_, _ = r.Choose(ask, start)
+				_, _ = r.Choose(query, start)
 			}
 		})
 	}
@@ -258,7 +262,7 @@
 	}
 }
 
-// A heartbeat names the endpoints that its sender has calls at: 50, in pools of any size.
+// A heartbeat lists the endpoints at which its sender has calls: 50 of them, in pools of any size.
 func BenchmarkPeerLoads50(b *testing.B) {
 	for _, n := range []int{50, 10000} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
