--- a/router/prefix.go
+++ b/router/prefix.go
@@ -68,23 +68,23 @@
 // chaining, in which a new prefix replaces an older one with the same slot. A wrong entry costs
 // time but never fails a request.
 type cacheMap struct {
-	fingerprints [cacheMapSlots]uint32
+	tags [cacheMapSlots]uint32
 }
 
 func (m *cacheMap) has(hash uint64) bool {
-	return m.fingerprints[hash%cacheMapSlots] == fingerprint(hash)
+	return m.tags[hash%cacheMapSlots] == tag(hash)
 }
 
-func (m *cacheMap) store(hash uint64) { m.fingerprints[hash%cacheMapSlots] = fingerprint(hash) }
+func (m *cacheMap) store(hash uint64) { m.tags[hash%cacheMapSlots] = tag(hash) }
 
 func (m *cacheMap) evict(hash uint64) {
 	if m.has(hash) {
-		m.fingerprints[hash%cacheMapSlots] = 0
+		m.tags[hash%cacheMapSlots] = 0
 	}
 }
 
-// fingerprint distinguishes prefixes that share a slot. It is never 0, which marks an empty slot.
-func fingerprint(hash uint64) uint32 { return uint32(hash>>32) | 1 }
+// tag distinguishes prefixes that share a slot. It is never 0, which marks an empty slot.
+func tag(hash uint64) uint32 { return uint32(hash>>32) | 1 }
 
 // CacheEventKind is the kind of change to a cached prefix.
 type CacheEventKind uint8
--- a/scheduler/class.go
+++ b/scheduler/class.go
@@ -2,137 +2,140 @@
 
 import "time"
 
-// class is one urgency class of a pool: its flows with work, ordered by virtual start.
+// class is one urgency class of a pool. Its flows with waiting items are ordered by virtual start
+// time.
 type class struct {
-	flows indexed[*flow, byStart]
-	// now is the virtual time: the start of the item served last.
-	now float64
-	// past and recent are earlier virtual times, the latter as of markedAt.
-	past, recent float64
-	markedAt     time.Time
-	// latest is the greatest virtual time of any flow.
-	latest float64
+	flows indexedHeap[*flow, startOrder]
+	// virtualTime is the virtual start time of the item served last.
+	virtualTime float64
+	// previousMark and lastMark are earlier virtual times; lastMark was recorded at markedAt.
+	previousMark, lastMark float64
+	markedAt               time.Time
+	// maxTag is the greatest tag of any flow.
+	maxTag float64
 
 	cost      float64
 	announced float64
-	// weight is the sum over the flows that have items waiting or announced, and usual its
-	// mean over the last items.
-	weight, usual float64
-	// present are the flows that have items waiting or announced.
-	present []*flow
-	// resting are flows that left, oldest first, to be forgotten when they may.
-	resting []*flow
-	// restingStore is the start of resting's memory, so that a list that was emptied takes no new one.
-	restingStore []*flow
-	// credit is the work that the class is owed by its guarantee.
+	// weight is the sum of the weights of the active flows, and meanWeight its moving average over
+	// the last items.
+	weight, meanWeight float64
+	// active holds the flows that have items waiting or announced.
+	active []*flow
+	// idle holds flows that became inactive, oldest first, until they can be removed.
+	idle []*flow
+	// idleStorage is the start of idle's backing array, so that refilling an emptied list does not
+	// allocate.
+	idleStorage []*flow
+	// credit is the work that the class is owed under its guarantee.
 	credit float64
 }
 
-// earliest is the least virtual time at which a flow that was idle may start: the virtual
-// time of about Config.IdleCredit ago. A flow with few items and no credit pays for the
-// chance of two coming together with a wait of its whole turn; with credit for all its
-// idle time it could hold up the others for as long.
-func (c *class) earliest() float64 { return c.past }
+// minTag returns the lowest virtual time at which an idle flow may start, which is the virtual time
+// of about Config.IdleCredit ago. Without credit, a flow with few items would wait its whole turn
+// whenever two of its items arrive together. With credit for all of its idle time, it could block
+// the other flows for as long.
+func (c *class) minTag() float64 { return c.previousMark }
 
-// mark notes the virtual time, so that c.past is from half a span to a span ago.
+// mark records the virtual time, so that c.previousMark is half a span to one span old.
 func (c *class) mark(span time.Duration, now time.Time) {
-	c.usual += usualWeight * (c.weight - c.usual)
+	c.meanWeight += weightSmoothing * (c.weight - c.meanWeight)
 	if now.Sub(c.markedAt) < span/2 {
 		return
 	}
 	c.markedAt = now
-	c.past = c.recent
-	c.recent = c.now
+	c.previousMark = c.lastMark
+	c.lastMark = c.virtualTime
 }
 
-// usualWeight is the weight of the newest sum of weights in their mean.
-const usualWeight = 0.02
+// weightSmoothing is the weight of the newest sample in meanWeight.
+const weightSmoothing = 0.02
 
-// add lets the flow take part once it has an item.
+// add queues an item in its flow, and adds the flow to the heap if it had no item.
 func (c *class) add(f *flow, n *node) {
 	c.cost += n.item.Cost
 	f.cost += n.item.Cost
-	c.weigh(f, n.item.Weight)
+	c.setWeight(f, n.item.Weight)
 	f.waiting.push(n)
 	if f.index >= 0 {
 		return
 	}
-	f.tag = max(f.tag, c.earliest())
+	f.tag = max(f.tag, c.minTag())
 	c.flows.push(f)
 }
 
-// weigh counts the flow in its class with the newest weight.
-func (c *class) weigh(f *flow, weight float64) {
-	if f.present() {
+// setWeight sets the flow's weight to that of its newest item and activates the flow if needed.
+func (c *class) setWeight(f *flow, weight float64) {
+	if f.isActive() {
 		c.weight -= f.weight
 	} else {
-		f.presentIndex = len(c.present)
-		c.present = append(c.present, f)
+		f.activeIndex = len(c.active)
+		c.active = append(c.active, f)
 	}
 	f.weight = weight
 	c.weight += weight
 }
 
-// leave takes a flow with nothing waiting or announced out of the sums. The sums start from 0
-// again when nothing is left, so that rounding errors don't add up.
-func (c *class) leave(f *flow) {
-	if f.waiting.len() > 0 || f.announced > 0 || !f.present() {
+// deactivate removes a flow with nothing waiting or announced from the sums. The sums are reset to
+// 0 when no active flow is left, so that rounding errors do not accumulate.
+func (c *class) deactivate(f *flow) {
+	if f.waiting.len() > 0 || f.announced > 0 || !f.isActive() {
 		return
 	}
-	last := len(c.present) - 1
-	moved := c.present[last]
-	c.present[f.presentIndex] = moved
-	moved.presentIndex = f.presentIndex
-	c.present[last] = nil
-	c.present = c.present[:last]
-	f.presentIndex = -1
+	last := len(c.active) - 1
+	moved := c.active[last]
+	c.active[f.activeIndex] = moved
+	moved.activeIndex = f.activeIndex
+	c.active[last] = nil
+	c.active = c.active[:last]
+	f.activeIndex = -1
 	c.weight -= f.weight
 	if last == 0 {
 		c.cost, c.announced, c.weight = 0, 0, 0
 	}
-	if !f.resting {
-		f.resting = true
-		c.resting = append(c.resting, f)
-		if len(c.resting) == 1 {
-			c.restingStore = c.resting
+	if !f.inIdleList {
+		f.inIdleList = true
+		c.idle = append(c.idle, f)
+		if len(c.idle) == 1 {
+			c.idleStorage = c.idle
 		}
 	}
 }
 
-// level lets all flows start anew once none waits: a flow that was served while no other
-// wanted the pool owes the others nothing.
-func (c *class) level() {
+// resetWhenIdle lets all flows start equal once none has items waiting. A flow that was served
+// while no other flow wanted the pool owes the others nothing.
+func (c *class) resetWhenIdle() {
 	if c.flows.len() > 0 {
 		return
 	}
-	c.now = max(c.now, c.latest)
-	c.past, c.recent = c.now, c.now
+	c.virtualTime = max(c.virtualTime, c.maxTag)
+	c.previousMark, c.lastMark = c.virtualTime, c.virtualTime
 }
 
-// forgettable gives a flow that rests and is worth as much as a new one, or nil. At most
-// one is looked at, so that forgetting costs each call the same.
-func (c *class) forgettable() *flow {
-	if len(c.resting) == 0 {
+// takeRemovable removes the oldest flow from the idle list and returns it if its state is equal to
+// that of a new flow, or returns nil. It examines at most one flow, so that removal adds a constant
+// cost per call.
+func (c *class) takeRemovable() *flow {
+	if len(c.idle) == 0 {
 		return nil
 	}
-	f := c.resting[0]
-	if !f.present() && f.tag > c.earliest() {
+	f := c.idle[0]
+	if !f.isActive() && f.tag > c.minTag() {
 		return nil
 	}
-	c.resting[0] = nil
-	c.resting = c.resting[1:]
-	if len(c.resting) == 0 {
-		c.resting = c.restingStore[:0]
+	c.idle[0] = nil
+	c.idle = c.idle[1:]
+	if len(c.idle) == 0 {
+		c.idle = c.idleStorage[:0]
 	}
-	f.resting = false
-	if f.present() {
+	f.inIdleList = false
+	if f.isActive() {
 		return nil
 	}
 	return f
 }
 
-// drop takes an item out without charging the flow.
-func (c *class) drop(n *node) {
+// removeItem removes an item without charging its flow.
+func (c *class) removeItem(n *node) {
 	f := n.flow
 	c.cost -= n.item.Cost
 	f.cost -= n.item.Cost
@@ -142,37 +145,37 @@
 	}
 	f.cost = 0
 	c.flows.removeAt(f.index)
-	c.leave(f)
+	c.deactivate(f)
 }
 
-// announce adds work that is to come to the flow, or takes it back when cost is below 0.
+// announce adds expected work to the flow, or subtracts it if cost is negative.
 func (c *class) announce(f *flow, cost, weight float64) {
 	cost = max(cost, -f.announced)
 	f.announced += cost
 	c.announced = max(0, c.announced+cost)
 	if cost > 0 {
-		c.weigh(f, weight)
+		c.setWeight(f, weight)
 		return
 	}
-	c.leave(f)
+	c.deactivate(f)
 }
 
-// charge moves the flow's virtual time on by cost, or back when cost is below 0.
+// charge advances the flow's virtual time by cost, or moves it back if cost is negative.
 func (c *class) charge(f *flow, cost float64) {
-	f.tag = max(f.tag+cost/f.weight, c.earliest())
-	c.latest = max(c.latest, f.tag)
+	f.tag = max(f.tag+cost/f.weight, c.minTag())
+	c.maxTag = max(c.maxTag, f.tag)
 	if f.index >= 0 {
 		c.flows.fix(f.index)
 	}
 }
 
-// serve takes out the next item and charges its flow.
-func (c *class) serve() *node {
+// popItem removes the next item and charges its flow.
+func (c *class) popItem() *node {
 	f := c.flows.items[0]
 	n := f.waiting.items[0]
-	c.now = f.tag
+	c.virtualTime = f.tag
 	c.charge(f, n.item.Cost)
-	c.drop(n)
-	c.level()
+	c.removeItem(n)
+	c.resetWhenIdle()
 	return n
 }
--- a/scheduler/drain.go
+++ b/scheduler/drain.go
@@ -6,52 +6,53 @@
 )
 
 const (
-	// drainTime is the time constant with which a pool's measured work is forgotten.
-	drainTime = 5 * time.Second
-	// leastBusy is the time with items waiting, in seconds, that a measurement takes.
-	leastBusy = 1.0
+	// drainTimeConstant is the time constant with which a pool's measured work decays.
+	drainTimeConstant = 5 * time.Second
+	// minBusySeconds is the time with items waiting, in seconds, that a measurement requires.
+	minBusySeconds = 1.0
 )
 
-// drain measures how much work a pool takes while items wait for it. It is what the pool can
-// do for this entry, whatever the endpoints' speed and other entries' use of them.
-type drain struct {
+// drainMeter measures how much work a pool accepts while items wait for it. The result is what the
+// pool can do for this entry, whatever the speed of the endpoints and their use by other entries.
+type drainMeter struct {
 	work float64
-	// busy is the time in seconds in which items waited.
-	busy    float64
-	at      time.Time
-	waiting bool
+	// busySeconds is the time during which items waited, in seconds.
+	busySeconds float64
+	at          time.Time
+	waiting     bool
 }
 
-// take notes that work was taken out of the queue; waiting tells that more is left.
-func (d *drain) take(cost float64, waiting bool, now time.Time) {
+// record adds work that was taken from the queue; waiting is set if items are left.
+func (d *drainMeter) record(cost float64, waiting bool, now time.Time) {
 	elapsed := now.Sub(d.at)
 	if d.waiting && elapsed >= 0 {
-		kept := decay(elapsed)
-		d.work = d.work*kept + cost
-		d.busy = d.busy*kept + elapsed.Seconds()
+		factor := decay(elapsed)
+		d.work = d.work*factor + cost
+		d.busySeconds = d.busySeconds*factor + elapsed.Seconds()
 	}
 	d.at = now
 	d.waiting = waiting
 }
 
-// perMilli is the measured work a millisecond, or 0 when too little was measured lately.
-func (d *drain) perMilli(now time.Time) float64 {
-	if d.busy*decay(now.Sub(d.at)) < leastBusy {
+// perMillisecond returns the measured work per millisecond, or 0 without enough recent
+// measurements.
+func (d *drainMeter) perMillisecond(now time.Time) float64 {
+	if d.busySeconds*decay(now.Sub(d.at)) < minBusySeconds {
 		return 0
 	}
-	return max(0, d.work/d.busy/1000)
+	return max(0, d.work/d.busySeconds/1000)
 }
 
 func decay(elapsed time.Duration) float64 {
-	return math.Exp(-max(0, float64(elapsed)) / float64(drainTime))
+	return math.Exp(-max(0, float64(elapsed)) / float64(drainTimeConstant))
 }
 
-// DrainRate is the work in endpoint milliseconds that the pool was found to take in a
-// millisecond while items waited for it; 0 when that was not so lately.
+// DrainRate returns the work that the pool accepted while items waited for it, in endpoint
+// milliseconds per millisecond, or 0 if it was not measured recently.
 func (s *Scheduler) DrainRate(poolName string, now time.Time) float64 {
 	p, ok := s.pools[poolName]
 	if !ok {
 		return 0
 	}
-	return p.drain.perMilli(now)
+	return p.drain.perMillisecond(now)
 }
--- a/scheduler/flow.go
+++ b/scheduler/flow.go
@@ -1,6 +1,6 @@
 package scheduler
 
-// flow is one account's waiting items in one class of one pool.
+// flow holds one account's waiting items in one class of a pool.
 type flow struct {
 	account *account
 	class   *class
@@ -10,24 +10,25 @@
 	cost float64
 	// announced is the cost of items that are still at an earlier stage.
 	announced float64
-	waiting   indexed[*node, inFlow]
-	// index is the flow's place in its class's heap, presentIndex that in the list of present
-	// flows; -1 is out of it.
-	index, presentIndex int
-	// resting tells that the flow is in its class's list of flows to forget.
-	resting bool
+	waiting   indexedHeap[*node, flowOrder]
+	// index is the flow's position in its class's heap, and activeIndex its position in the class's
+	// list of active flows; -1 means absent.
+	index, activeIndex int
+	// inIdleList is set while the flow is in its class's idle list.
+	inIdleList bool
 }
 
-func (f *flow) present() bool { return f.presentIndex >= 0 }
+func (f *flow) isActive() bool { return f.activeIndex >= 0 }
 
-// byStart orders flows by virtual start, then by the account's name so that replays agree.
-type byStart struct{}
+// startOrder orders flows by virtual start time, then by account name so that replays give the same
+// order.
+type startOrder struct{}
 
-func (byStart) before(a, b *flow) bool {
+func (startOrder) before(a, b *flow) bool {
 	if a.tag != b.tag {
 		return a.tag < b.tag
 	}
 	return a.account.name < b.account.name
 }
 
-func (byStart) place(f *flow, index int) { f.index = index }
+func (startOrder) setIndex(f *flow, index int) { f.index = index }
--- a/scheduler/heap.go
+++ b/scheduler/heap.go
@@ -1,31 +1,32 @@
 package scheduler
 
-// order compares the elements of a heap and tells them their places in it; -1 is out of it.
-type order[T any] interface {
+// ordering compares the elements of a heap and stores their indexes in them; -1 means not in the
+// heap.
+type ordering[T any] interface {
 	before(a, b T) bool
-	place(item T, index int)
+	setIndex(item T, index int)
 }
 
-// indexed is a binary heap whose elements know their place, so that any of them can be
-// removed or moved in O(log n). container/heap would box each element in an interface.
-type indexed[T any, O order[T]] struct {
+// indexedHeap is a binary heap whose elements store their index, so that any of them can be removed
+// or moved in O(log n). container/heap would box each element in an interface.
+type indexedHeap[T any, O ordering[T]] struct {
 	items []T
 	order O
 }
 
-func (h *indexed[T, O]) len() int { return len(h.items) }
+func (h *indexedHeap[T, O]) len() int { return len(h.items) }
 
-func (h *indexed[T, O]) push(item T) {
+func (h *indexedHeap[T, O]) push(item T) {
 	h.items = append(h.items, item)
-	h.order.place(item, len(h.items)-1)
+	h.order.setIndex(item, len(h.items)-1)
 	h.up(len(h.items) - 1)
 }
 
-func (h *indexed[T, O]) removeAt(index int) {
+func (h *indexedHeap[T, O]) removeAt(index int) {
 	last := len(h.items) - 1
 	h.swap(index, last)
 	var zero T
-	h.order.place(h.items[last], -1)
+	h.order.setIndex(h.items[last], -1)
 	h.items[last] = zero
 	h.items = h.items[:last]
 	if index < last {
@@ -33,23 +34,23 @@
 	}
 }
 
-// fix restores the order after the element at index has changed.
-func (h *indexed[T, O]) fix(index int) {
+// fix restores the heap order after the element at index has changed.
+func (h *indexedHeap[T, O]) fix(index int) {
 	if !h.down(index) {
 		h.up(index)
 	}
 }
 
-func (h *indexed[T, O]) swap(i, j int) {
+func (h *indexedHeap[T, O]) swap(i, j int) {
 	if i == j {
 		return
 	}
 	h.items[i], h.items[j] = h.items[j], h.items[i]
-	h.order.place(h.items[i], i)
-	h.order.place(h.items[j], j)
+	h.order.setIndex(h.items[i], i)
+	h.order.setIndex(h.items[j], j)
 }
 
-func (h *indexed[T, O]) up(index int) {
+func (h *indexedHeap[T, O]) up(index int) {
 	for index > 0 {
 		parent := (index - 1) / 2
 		if !h.order.before(h.items[index], h.items[parent]) {
@@ -60,7 +61,7 @@
 	}
 }
 
-func (h *indexed[T, O]) down(index int) bool {
+func (h *indexedHeap[T, O]) down(index int) bool {
 	start := index
 	for {
 		child := 2*index + 1
--- a/scheduler/item.go
+++ b/scheduler/item.go
@@ -2,10 +2,10 @@
 
 import "time"
 
-// Urgency is the class of an item: a more urgent class goes first.
+// Urgency is the priority class of an item: more urgent classes are served first.
 type Urgency uint8
 
-// The urgency classes.
+// The urgency classes, most urgent first.
 const (
 	Urgent Urgency = iota
 	Normal
@@ -26,31 +26,31 @@
 	}
 }
 
-// Item is one stage call that waits for a free place in a pool.
+// Item is a stage call that waits for a free slot in a pool.
 type Item struct {
-	// ID is the caller's; it is unique within a pool.
+	// ID is chosen by the caller and must be unique within a pool.
 	ID      uint64
 	Account string
-	// Weight is the account's share relative to others; it must be above 0.
+	// Weight is the account's share relative to other accounts; it must be above 0.
 	Weight  float64
 	Urgency Urgency
 	// Cost is the expected work in endpoint milliseconds.
 	Cost float64
-	// Deadline is when the item is worth nothing any more.
+	// Deadline is the time after which the item is worthless.
 	Deadline time.Time
 }
 
-// node is an item in its two heaps.
+// node is an item in the two heaps that hold it.
 type node struct {
 	item        Item
 	sequence    uint64
 	flow        *flow
 	flowIndex   int
 	expiryIndex int
-	nextUnused  *node
+	nextFree    *node
 }
 
-// before orders by deadline, then by arrival.
+// before orders nodes by deadline, then by arrival.
 func (n *node) before(other *node) bool {
 	if n.item.Deadline.Equal(other.item.Deadline) {
 		return n.sequence < other.sequence
@@ -58,14 +58,14 @@
 	return n.item.Deadline.Before(other.item.Deadline)
 }
 
-// inFlow orders a flow's items by deadline.
-type inFlow struct{}
+// flowOrder orders the items of a flow by deadline.
+type flowOrder struct{}
 
-func (inFlow) before(a, b *node) bool   { return a.before(b) }
-func (inFlow) place(n *node, index int) { n.flowIndex = index }
+func (flowOrder) before(a, b *node) bool      { return a.before(b) }
+func (flowOrder) setIndex(n *node, index int) { n.flowIndex = index }
 
-// byExpiry orders all items of a pool by deadline.
-type byExpiry struct{}
+// expiryOrder orders all items of a pool by deadline.
+type expiryOrder struct{}
 
-func (byExpiry) before(a, b *node) bool   { return a.before(b) }
-func (byExpiry) place(n *node, index int) { n.expiryIndex = index }
+func (expiryOrder) before(a, b *node) bool      { return a.before(b) }
+func (expiryOrder) setIndex(n *node, index int) { n.expiryIndex = index }
--- a/scheduler/pool.go
+++ b/scheduler/pool.go
@@ -5,35 +5,35 @@
 	"time"
 )
 
-// account holds one account's flows in a pool.
+// account holds an account's flows in one pool.
 type account struct {
 	name  string
 	flows [urgencyCount]*flow
-	// known has a bit for each class in which the flow counts.
-	known uint8
-	// served is the class that the account was last served in.
-	served Urgency
+	// flowBits has a bit for each class in which the account's flow is in use.
+	flowBits uint8
+	// lastServed is the class in which the account was last served.
+	lastServed Urgency
 }
 
 // pool is the queue of one pool of endpoints.
 type pool struct {
-	name     string
-	classes  [urgencyCount]class
-	accounts map[string]*account
-	unused   []*account
-	nodes    map[uint64]*node
-	expiry   indexed[*node, byExpiry]
-	// guarantees is the part of the work that each class gets while it has items.
+	name         string
+	classes      [urgencyCount]class
+	accounts     map[string]*account
+	freeAccounts []*account
+	nodes        map[uint64]*node
+	expiry       indexedHeap[*node, expiryOrder]
+	// guarantees is the fraction of the work that each class is guaranteed while it has items.
 	guarantees [urgencyCount]float64
 	idleCredit time.Duration
-	// served is the work that each class was lately served, as of servedAt, forgotten with
-	// the time constant servedTime.
-	served   [urgencyCount]float64
-	servedAt time.Time
-	drain    drain
+	// servedWork is the recent work served per class as of servedAt. It decays with
+	// servedTimeConstant.
+	servedWork [urgencyCount]float64
+	servedAt   time.Time
+	drain      drainMeter
 }
 
-const servedTime = 5 * time.Second
+const servedTimeConstant = 5 * time.Second
 
 func newPool(name string, guarantees [urgencyCount]float64, idleCredit time.Duration) *pool {
 	return &pool{
@@ -50,67 +50,67 @@
 	if ok {
 		return a
 	}
-	a = p.unusedAccount()
+	a = p.allocAccount()
 	a.name = name
 	p.accounts[name] = a
 	return a
 }
 
-func (p *pool) unusedAccount() *account {
-	last := len(p.unused) - 1
+func (p *pool) allocAccount() *account {
+	last := len(p.freeAccounts) - 1
 	if last < 0 {
 		return &account{}
 	}
-	a := p.unused[last]
-	p.unused = p.unused[:last]
+	a := p.freeAccounts[last]
+	p.freeAccounts = p.freeAccounts[:last]
 	return a
 }
 
-// flow gives the account's flow in the class, and makes it if need be.
+// flow returns the account's flow in the class, and creates it if needed.
 func (p *pool) flow(name string, urgency Urgency) *flow {
 	a := p.account(name)
 	f := a.flows[urgency]
 	if f == nil {
-		f = &flow{account: a, class: &p.classes[urgency], index: -1, presentIndex: -1}
+		f = &flow{account: a, class: &p.classes[urgency], index: -1, activeIndex: -1}
 		a.flows[urgency] = f
 	}
-	a.known |= 1 << urgency
+	a.flowBits |= 1 << urgency
 	return f
 }
 
-// forgetFlows drops flows that are worth no more than new ones, so that memory follows the
-// accounts that are active and not all that ever were. An account keeps its flows' memory
-// for the next one that comes.
-func (p *pool) forgetFlows(urgency Urgency) {
-	f := p.classes[urgency].forgettable()
+// removeIdleFlow removes an idle flow whose state equals that of a new one, so that memory use
+// follows the accounts that are active and not all that were ever seen. The memory of a removed
+// account is reused for the next new account.
+func (p *pool) removeIdleFlow(urgency Urgency) {
+	f := p.classes[urgency].takeRemovable()
 	if f == nil {
 		return
 	}
 	f.tag, f.cost, f.announced = 0, 0, 0
 	a := f.account
-	a.known &^= 1 << urgency
-	if a.known != 0 {
+	a.flowBits &^= 1 << urgency
+	if a.flowBits != 0 {
 		return
 	}
 	delete(p.accounts, a.name)
 	a.name = ""
-	p.unused = append(p.unused, a)
+	p.freeAccounts = append(p.freeAccounts, a)
 }
 
 func (p *pool) push(n *node, now time.Time) {
 	urgency := min(n.item.Urgency, Relaxed)
 	p.classes[urgency].mark(p.idleCredit, now)
-	p.forgetFlows(urgency)
+	p.removeIdleFlow(urgency)
 	n.flow = p.flow(n.item.Account, urgency)
 	p.nodes[n.item.ID] = n
 	p.expiry.push(n)
 	p.classes[urgency].add(n.flow, n)
 }
 
-// next gives the class to serve, or nil: the most urgent one with items, but a class whose
-// guarantee has earned it its next item goes first. Without that a lasting surge of
-// urgent work would leave a relaxed request waiting for ever.
-func (p *pool) next() *class {
+// nextClass returns the class to serve, or nil if there are no items. It is the most urgent class
+// with items, unless a class has earned its next item through its guarantee. Without guarantees, a
+// lasting surge of urgent work would make relaxed requests wait forever.
+func (p *pool) nextClass() *class {
 	var chosen *class
 	for i := len(p.classes) - 1; i >= 0; i-- {
 		c := &p.classes[i]
@@ -127,33 +127,33 @@
 }
 
 func (p *pool) pop(now time.Time) *node {
-	c := p.next()
+	c := p.nextClass()
 	if c == nil {
 		return nil
 	}
-	n := c.serve()
-	n.flow.account.served = min(n.item.Urgency, Relaxed)
-	p.earn(c, n.item.Cost)
-	p.note(n.flow.account.served, n.item.Cost, now)
-	p.drain.take(n.item.Cost, p.expiry.len() > 1, now)
-	p.forget(n)
+	n := c.popItem()
+	n.flow.account.lastServed = min(n.item.Urgency, Relaxed)
+	p.addCredit(c, n.item.Cost)
+	p.recordServed(n.flow.account.lastServed, n.item.Cost, now)
+	p.drain.record(n.item.Cost, p.expiry.len() > 1, now)
+	p.removeNode(n)
 	return n
 }
 
-// note adds to the work that the class was served.
-func (p *pool) note(urgency Urgency, cost float64, now time.Time) {
+// recordServed adds to the work served in the class.
+func (p *pool) recordServed(urgency Urgency, cost float64, now time.Time) {
 	if elapsed := now.Sub(p.servedAt); elapsed > 0 {
-		kept := math.Exp(-float64(elapsed) / float64(servedTime))
-		for i := range p.served {
-			p.served[i] *= kept
+		factor := math.Exp(-float64(elapsed) / float64(servedTimeConstant))
+		for i := range p.servedWork {
+			p.servedWork[i] *= factor
 		}
 		p.servedAt = now
 	}
-	p.served[urgency] += cost
+	p.servedWork[urgency] += cost
 }
 
-// earn credits the classes that wait with their guaranteed part of the work just given out.
-func (p *pool) earn(served *class, cost float64) {
+// addCredit credits the waiting classes with their guaranteed fractions of the work just served.
+func (p *pool) addCredit(served *class, cost float64) {
 	for i := range p.classes {
 		c := &p.classes[i]
 		if c == served {
@@ -166,8 +166,8 @@
 	}
 }
 
-// forget takes an item that has left its flow out of the pool's other books.
-func (p *pool) forget(n *node) {
+// removeNode removes an item that has left its flow from the pool's other structures.
+func (p *pool) removeNode(n *node) {
 	p.expiry.removeAt(n.expiryIndex)
 	delete(p.nodes, n.item.ID)
 	if p.expiry.len() == 0 {
@@ -177,9 +177,9 @@
 
 func (p *pool) remove(n *node) {
 	c := n.flow.class
-	c.drop(n)
-	c.level()
-	p.forget(n)
+	c.removeItem(n)
+	c.resetWhenIdle()
+	p.removeNode(n)
 }
 
 func (p *pool) expired(now time.Time) *node {
--- a/scheduler/scheduler.go
+++ b/scheduler/scheduler.go
@@ -1,44 +1,43 @@
-// Package scheduler orders the stage calls that wait for a place in a pool of endpoints.
+// Package scheduler orders the stage calls that wait for a slot in a pool of endpoints.
 //
-// Accounts share a pool by weight in work, not in requests: each has a virtual time that
-// moves on by cost over weight, and the account that is furthest behind goes next
-// (start-time fair queueing). Urgency classes go in order, with a guaranteed part of the
-// work for each class that waits.
+// Accounts share a pool by weight, measured in work and not in requests. Each account has a virtual
+// time that advances by cost divided by weight, and the account with the lowest virtual time is
+// served next (start-time fair queueing). Urgency classes are served in order, with a guaranteed
+// fraction of the work for each class with waiting items.
 package scheduler
 
 import "time"
 
-// Config sets a Scheduler up. Zero values take the defaults.
+// Config configures a Scheduler. Zero fields take the default values.
 type Config struct {
-	// NormalGuarantee and RelaxedGuarantee are the parts of a pool's work that these classes
-	// get while they have items, however much more urgent work waits.
+	// NormalGuarantee and RelaxedGuarantee are the fractions of a pool's work that these classes
+	// receive while they have items, however much more urgent work is waiting.
 	NormalGuarantee  float64
 	RelaxedGuarantee float64
-	// IdleCredit is the idle time that an account is made up for: its turn may come as much
+	// IdleCredit is how much idle time an account is compensated for: it may be served as much
 	// earlier as if it had begun to wait then.
 	IdleCredit time.Duration
 }
 
-// The defaults of Config.
+// The default values of Config.
 const (
 	defaultNormalGuarantee  = 0.20
 	defaultRelaxedGuarantee = 0.05
 	defaultIdleCredit       = 1 * time.Second
 )
 
-// Scheduler holds the queues of all pools. It is not safe for concurrent use: the reducer
-// owns it.
+// Scheduler holds the queues of all pools. It is not safe for concurrent use: the reducer owns it.
 type Scheduler struct {
 	guarantees [urgencyCount]float64
 	idleCredit time.Duration
 	pools      map[string]*pool
-	names      []string
+	poolNames  []string
 	backlogs   map[string]int
 	sequence   uint64
-	unused     *node
+	freeNodes  *node
 }
 
-// New makes a Scheduler with no pool; a pool comes to be with its first item.
+// New creates a Scheduler without pools. A pool is created with its first item.
 func New(cfg Config) *Scheduler {
 	if cfg.NormalGuarantee <= 0 {
 		cfg.NormalGuarantee = defaultNormalGuarantee
@@ -57,10 +56,10 @@
 	}
 }
 
-// Push lets an item wait in the pool. An item whose ID waits there already is ignored.
+// Push adds an item to the pool's queue. An item whose ID is already queued is ignored.
 func (s *Scheduler) Push(poolName string, item Item, now time.Time) {
 	p := s.pool(poolName)
-	if _, waits := p.nodes[item.ID]; waits {
+	if _, queued := p.nodes[item.ID]; queued {
 		return
 	}
 	if item.Weight <= 0 {
@@ -70,8 +69,8 @@
 	p.push(s.node(item), now)
 }
 
-// Pop takes out the item that goes next. Expired items are not passed over: PopExpired
-// takes them out first.
+// Pop removes and returns the item to serve next. It does not skip expired items: remove them with
+// PopExpired first.
 func (s *Scheduler) Pop(poolName string, now time.Time) (Item, bool) {
 	p, ok := s.pools[poolName]
 	if !ok {
@@ -84,7 +83,8 @@
 	return s.release(n), true
 }
 
-// PopExpired takes out an item whose deadline passed while it waited; its account is not charged.
+// PopExpired removes and returns an item whose deadline passed while it waited. Its account is not
+// charged.
 func (s *Scheduler) PopExpired(poolName string, now time.Time) (Item, bool) {
 	p, ok := s.pools[poolName]
 	if !ok {
@@ -98,7 +98,8 @@
 	return s.release(n), true
 }
 
-// Remove takes an item out, as when its request was cancelled, and tells whether it waited.
+// Remove removes an item from the queue, for example after its request was cancelled. It reports
+// whether the item was queued.
 func (s *Scheduler) Remove(poolName string, id uint64) bool {
 	p, ok := s.pools[poolName]
 	if !ok {
@@ -113,8 +114,8 @@
 	return true
 }
 
-// Charge sets an account's account of work in the pool right by what an item cost beyond
-// its expected cost; extraCost is below 0 when it cost less.
+// Charge corrects the work charged to an account in the pool by the difference between the actual
+// and the expected cost of an item. extraCost is negative if the item cost less than expected.
 func (s *Scheduler) Charge(poolName, accountName string, extraCost float64) {
 	p, ok := s.pools[poolName]
 	if !ok {
@@ -124,7 +125,7 @@
 	if !ok {
 		return
 	}
-	f := a.flows[a.served]
+	f := a.flows[a.lastServed]
 	if f == nil || f.weight <= 0 {
 		return
 	}
@@ -132,7 +133,7 @@
 	p.drain.work += extraCost
 }
 
-// Len is the number of items that wait in the pool.
+// Len returns the number of items that wait in the pool.
 func (s *Scheduler) Len(poolName string) int {
 	p, ok := s.pools[poolName]
 	if !ok {
@@ -141,7 +142,7 @@
 	return p.expiry.len()
 }
 
-// Backlog is the expected cost of the items that wait in the pool, in endpoint milliseconds.
+// Backlog returns the expected cost of the items that wait in the pool, in endpoint milliseconds.
 func (s *Scheduler) Backlog(poolName string) float64 {
 	p, ok := s.pools[poolName]
 	if !ok {
@@ -150,11 +151,11 @@
 	return p.backlog()
 }
 
-// AccountBacklog is the number of the account's items that wait in all pools.
+// AccountBacklog returns the number of the account's items that wait, over all pools.
 func (s *Scheduler) AccountBacklog(account string) int { return s.backlogs[account] }
 
-// AccountCount is how many accounts the pool remembers: those with items waiting or announced, and
-// those that were served too lately to be forgotten.
+// AccountCount returns the number of accounts that the pool keeps state for: those with items
+// waiting or announced, and those served too recently to be removed.
 func (s *Scheduler) AccountCount(poolName string) int {
 	p, ok := s.pools[poolName]
 	if !ok {
@@ -163,17 +164,17 @@
 	return len(p.accounts)
 }
 
-// Pools lists the pools that have held an item, in the order in which they came to be.
-func (s *Scheduler) Pools() []string { return s.names }
+// Pools returns the names of the pools that have held an item, in order of creation.
+func (s *Scheduler) Pools() []string { return s.poolNames }
 
-// Announce tells that the item will come to the pool after its earlier stages. Without it
-// all that is admitted while the first of them are still on their way would see an empty
-// queue. Withdraw takes the announcement back, when the item is pushed or its request ends.
+// Announce registers an item that will be pushed to the pool after its earlier stages. Without it,
+// all requests admitted while the first of them are still at earlier stages would see an empty
+// queue. Withdraw removes the announcement when the item is pushed or its request ends.
 func (s *Scheduler) Announce(poolName string, item Item) {
 	s.announce(s.pool(poolName), item, item.Cost)
 }
 
-// Withdraw takes an announcement back; the item must be the one that was announced.
+// Withdraw removes an announcement. item must be equal to the announced one.
 func (s *Scheduler) Withdraw(poolName string, item Item) {
 	if p, ok := s.pools[poolName]; ok {
 		s.announce(p, item, -item.Cost)
@@ -190,17 +191,17 @@
 	if !ok {
 		p = newPool(name, s.guarantees, s.idleCredit)
 		s.pools[name] = p
-		s.names = append(s.names, name)
+		s.poolNames = append(s.poolNames, name)
 	}
 	return p
 }
 
 func (s *Scheduler) node(item Item) *node {
-	n := s.unused
+	n := s.freeNodes
 	if n == nil {
 		n = &node{}
 	} else {
-		s.unused = n.nextUnused
+		s.freeNodes = n.nextFree
 	}
 	s.sequence++
 	*n = node{item: item, sequence: s.sequence}
@@ -213,7 +214,7 @@
 	if s.backlogs[item.Account] <= 0 {
 		delete(s.backlogs, item.Account)
 	}
-	*n = node{nextUnused: s.unused}
-	s.unused = n
+	*n = node{nextFree: s.freeNodes}
+	s.freeNodes = n
 	return item
 }
--- a/scheduler/scheduler_test.go
+++ b/scheduler/scheduler_test.go
@@ -11,11 +11,11 @@
 	"geraniumline/scheduler"
 )
 
-// served pops n items and gives their accounts' counts.
-func served(s *scheduler.Scheduler, n int) map[string]int {
+// popCounts pops n items and returns the number of items per account.
+func popCounts(s *scheduler.Scheduler, n int) map[string]int {
 	counts := map[string]int{}
 	for range n {
-		item, ok := s.Pop(benchPool, began)
+		item, ok := s.Pop(benchPool, start)
 		if !ok {
 			break
 		}
@@ -24,15 +24,16 @@
 	return counts
 }
 
-func fill(s *scheduler.Scheduler, from uint64, n int, item scheduler.Item) {
-	item.Deadline = began.Add(time.Minute)
+func pushItems(s *scheduler.Scheduler, from uint64, n int, item scheduler.Item) {
+	item.Deadline = start.Add(time.Minute)
 	for i := range n {
 		item.ID = from + uint64(i)
-		s.Push(benchPool, item, began)
+		s.Push(benchPool, item, start)
 	}
 }
 
-// TestPopSharesWorkByWeight has two accounts wait with more than is served.
+// TestPopSharesWorkByWeight lets two accounts compete, each with more items waiting than are
+// served.
 func TestPopSharesWorkByWeight(t *testing.T) {
 	scenarios := []struct {
 		testName string
@@ -55,9 +56,9 @@
 	for _, s := range scenarios {
 		t.Run(s.testName, func(t *testing.T) {
 			queue := scheduler.New(scheduler.Config{})
-			fill(queue, 0, 100, s.a)
-			fill(queue, 1000, 100, s.b)
-			got := served(queue, 40)
+			pushItems(queue, 0, 100, s.a)
+			pushItems(queue, 1000, 100, s.b)
+			got := popCounts(queue, 40)
 			for account, want := range s.want {
 				require.InDelta(t, want, got[account], 2, account)
 			}
@@ -65,18 +66,18 @@
 	}
 }
 
-// TestChargeSetsActualCost has one account's items cost three times what was expected.
+// TestChargeSetsActualCost checks that actual costs are charged.
 //
-// Its neighbour would get a quarter of the work if only expected costs counted: the caller
-// of a cheap request waits behind those that run long. Charged with the difference, the
-// account falls behind as if the cost had been known.
+// The items of one account cost three times what was expected. If only expected costs counted, the
+// other account would get a quarter of the work, and callers with cheap requests would wait behind
+// long ones. Charged with the difference, the account falls behind as if the cost had been known.
 func TestChargeSetsActualCost(t *testing.T) {
 	queue := scheduler.New(scheduler.Config{})
-	fill(queue, 0, 100, scheduler.Item{Account: "long", Weight: 1, Cost: 10})
-	fill(queue, 1000, 100, scheduler.Item{Account: "short", Weight: 1, Cost: 10})
+	pushItems(queue, 0, 100, scheduler.Item{Account: "long", Weight: 1, Cost: 10})
+	pushItems(queue, 1000, 100, scheduler.Item{Account: "short", Weight: 1, Cost: 10})
 	counts := map[string]int{}
 	for range 40 {
-		item, ok := queue.Pop(benchPool, began)
+		item, ok := queue.Pop(benchPool, start)
 		require.True(t, ok)
 		counts[item.Account]++
 		if item.Account == "long" {
@@ -86,11 +87,12 @@
 	require.InDelta(t, 10, counts["long"], 2)
 }
 
-// TestIdleAccountsAreForgotten lets many accounts come once each, as apps' users do, beside
-// one that stays. What is kept must follow the accounts that wait, not all that ever came.
-func TestIdleAccountsAreForgotten(t *testing.T) {
+// TestIdleAccountsAreRemoved checks that memory follows the accounts that wait and not all that
+// were ever seen. Many accounts, such as an app's users, send one item each, beside one account
+// that stays.
+func TestIdleAccountsAreRemoved(t *testing.T) {
 	queue := scheduler.New(scheduler.Config{})
-	now := began
+	now := start
 	for i := range 10_000 {
 		now = now.Add(10 * time.Millisecond)
 		for k, name := range []string{"steady", fmt.Sprintf("once%d", i)} {
@@ -102,13 +104,14 @@
 	require.Less(t, queue.AccountCount(benchPool), 100)
 }
 
-// TestEveryItemLeavesOnce drives the queue by any sequence of calls beside a plain model.
-func TestEveryItemLeavesOnce(t *testing.T) {
+// TestEveryItemIsRemovedOnce runs random sequences of calls and compares the queue with a simple
+// model.
+func TestEveryItemIsRemovedOnce(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		queue := scheduler.New(scheduler.Config{})
 		waiting := map[uint64]scheduler.Item{}
-		now, id := began, uint64(0)
-		leave := func(t *rapid.T, item scheduler.Item) {
+		now, id := start, uint64(0)
+		expectRemoved := func(t *rapid.T, item scheduler.Item) {
 			require.Contains(t, waiting, item.ID)
 			require.Equal(t, waiting[item.ID], item)
 			delete(waiting, item.ID)
@@ -136,13 +139,13 @@
 				item, ok := queue.Pop(benchPool, now)
 				require.Equal(t, len(waiting) > 0, ok)
 				if ok {
-					leave(t, item)
+					expectRemoved(t, item)
 				}
 			},
 			"popExpired": func(t *rapid.T) {
 				if item, ok := queue.PopExpired(benchPool, now); ok {
 					require.False(t, item.Deadline.After(now))
-					leave(t, item)
+					expectRemoved(t, item)
 					return
 				}
 				for _, item := range waiting {
@@ -150,10 +153,10 @@
 				}
 			},
 			"remove": func(t *rapid.T) {
-				gone := rapid.Uint64Range(0, id).Draw(t, "id")
-				_, waits := waiting[gone]
-				require.Equal(t, waits, queue.Remove(benchPool, gone))
-				delete(waiting, gone)
+				removed := rapid.Uint64Range(0, id).Draw(t, "id")
+				_, queued := waiting[removed]
+				require.Equal(t, queued, queue.Remove(benchPool, removed))
+				delete(waiting, removed)
 			},
 			"charge": func(t *rapid.T) {
 				queue.Charge(benchPool, accounts.Draw(t, "account"), rapid.Float64Range(-1000, 1000).Draw(t, "extra"))
