--- a/admitter/bench_test.go
+++ b/admitter/bench_test.go
@@ -11,26 +11,26 @@
 	"geraniumline/measurer"
 )
 
-// stageCounts are the stages that are known: a pipeline of four, and 34 models in 30 stages.
+// stageCounts are the numbers of known stages: a pipeline of four, and 34 models in 30 stages.
 var stageCounts = []int{4, 1020}
 
-var began = time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
+var start = time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
 
 const pipelineLength = 4
 
-// history is an admitter that has observed many stages.
-type history struct {
-	a    *admitter.Admitter
-	asks []admitter.PendingStage
-	now  time.Time
-	n    int
+// benchAdmitter is an admitter that has observed many stages.
+type benchAdmitter struct {
+	a      *admitter.Admitter
+	stages []admitter.PendingStage
+	now    time.Time
+	n      int
 }
 
-func newHistory(stages int) *history {
-	h := &history{a: admitter.New(admitter.Config{}), now: began}
+func newBenchAdmitter(stages int) *benchAdmitter {
+	h := &benchAdmitter{a: admitter.New(admitter.Config{}), now: start}
 	for i := range stages {
 		name := fmt.Sprintf("pipeline/stage%d", i)
-		h.asks = append(h.asks, admitter.PendingStage{Stage: name, Pool: name, Expected: time.Second, WorkAhead: 100, WorstWorkAhead: 200, Capacity: 40})
+		h.stages = append(h.stages, admitter.PendingStage{Stage: name, Pool: name, Expected: time.Second, WorkAhead: 100, WorstWorkAhead: 200, Capacity: 40})
 		for k := range 100 {
 			h.a.Observe(name, time.Duration(50+k)*time.Millisecond, 60, h.now)
 		}
@@ -38,29 +38,29 @@
 	return h
 }
 
-// step is the decisions on one request: at admission, before a stage, and after it.
-func (h *history) step() {
+// step makes the decisions for one request: at admission, before a stage, and after it.
+func (h *benchAdmitter) step() {
 	h.now = h.now.Add(50 * time.Microsecond)
-	h.n = (h.n + pipelineLength) % len(h.asks)
-	asks := h.asks[h.n : h.n+pipelineLength]
-	h.a.Admit(asks, h.now.Add(time.Duration(h.n%7)*time.Second), h.now)
-	h.a.CannotFinish(asks, h.now.Add(time.Second), h.now)
-	h.a.Budget(asks, h.now.Add(time.Second), h.now)
+	h.n = (h.n + pipelineLength) % len(h.stages)
+	stages := h.stages[h.n : h.n+pipelineLength]
+	h.a.Admit(stages, h.now.Add(time.Duration(h.n%7)*time.Second), h.now)
+	h.a.CannotFinish(stages, h.now.Add(time.Second), h.now)
+	h.a.Budget(stages, h.now.Add(time.Second), h.now)
 }
 
-// TestAdmitAllocatesNothing covers admissions and refusals.
-func TestAdmitAllocatesNothing(t *testing.T) {
-	h := newHistory(8 * pipelineLength)
+// TestAdmitDoesNotAllocate covers admissions and refusals.
+func TestAdmitDoesNotAllocate(t *testing.T) {
+	h := newBenchAdmitter(8 * pipelineLength)
 	require.Zero(t, testing.AllocsPerRun(1000, h.step))
 	require.Zero(t, testing.AllocsPerRun(1000, func() {
-		h.a.Observe(h.asks[0].Stage, 70*time.Millisecond, 60, h.now)
+		h.a.Observe(h.stages[0].Stage, 70*time.Millisecond, 60, h.now)
 	}))
 }
 
 func BenchmarkDecisions(b *testing.B) {
 	for _, n := range stageCounts {
 		b.Run(fmt.Sprintf("stages=%d", n), func(b *testing.B) {
-			h := newHistory(n)
+			h := newBenchAdmitter(n)
 			b.ReportAllocs()
 			for b.Loop() {
 				h.step()
@@ -72,12 +72,12 @@
 func BenchmarkObserve(b *testing.B) {
 	for _, n := range stageCounts {
 		b.Run(fmt.Sprintf("stages=%d", n), func(b *testing.B) {
-			h := newHistory(n)
+			h := newBenchAdmitter(n)
 			b.ReportAllocs()
 			for b.Loop() {
 				h.now = h.now.Add(100 * time.Microsecond)
 				h.n = (h.n + 1) % n
-				h.a.Observe(h.asks[h.n].Stage, 70*time.Millisecond, 60, h.now)
+				h.a.Observe(h.stages[h.n].Stage, 70*time.Millisecond, 60, h.now)
 			}
 		})
 	}
@@ -87,8 +87,8 @@
 	for _, n := range []int{30, 300, 1020} {
 		b.Run(fmt.Sprintf("stages=%d", n), func(b *testing.B) {
 			for b.Loop() {
-				held := measurer.HeapBytes(func() any { return newHistory(n).a })
-				b.ReportMetric(float64(held)/float64(n), "B/stage")
+				bytes := measurer.HeapBytes(func() any { return newBenchAdmitter(n).a })
+				b.ReportMetric(float64(bytes)/float64(n), "B/stage")
 			}
 		})
 	}
--- a/admitter/usual.go
+++ b/admitter/usual.go
@@ -2,8 +2,8 @@
 
 import "time"
 
-// ServiceTime gives the mean and the high quantile of a stage's service time, or the fallback for both while
-// none has been observed.
+// ServiceTime returns the mean and the high quantile of a stage's service time, or the fallback for
+// both if none has been observed.
 func (a *Admitter) ServiceTime(name string, fallback time.Duration) (mean, high time.Duration) {
 	s, ok := a.stages[name]
 	if !ok || s.count == 0 {
--- a/admitter/verdict.go
+++ b/admitter/verdict.go
@@ -6,29 +6,31 @@
 	"geraniumline/pacer"
 )
 
-// Decision is Admitted or Refused.
-type Decision interface{ verdict() }
+// Decision is either Admitted or Refused.
+type Decision interface{ decision() }
 
-// Admitted tells that the request is expected to finish by its deadline.
+// Admitted means that the request is expected to finish by its deadline.
 type Admitted struct{}
 
-// Refused tells that the request is not expected to finish, and when another try may be.
+// Refused means that the request is not expected to finish by its deadline. RetryAfter is the delay
+// after which another attempt may be admitted.
 type Refused struct {
 	RetryAfter time.Duration
 }
 
-func (Admitted) verdict() {}
-func (Refused) verdict()  {}
+func (Admitted) decision() {}
+func (Refused) decision()  {}
 
-// refusals holds every refusal as a ready interface value, so that none is allocated.
+// refusals holds all possible refusals as prebuilt interface values, so that a refusal does not
+// allocate.
 var refusals = makeRefusals()
 
 func makeRefusals() []Decision {
-	var made []Decision
+	var decisions []Decision
 	for step := range pacer.Count() {
-		made = append(made, Refused{RetryAfter: pacer.At(step)})
+		decisions = append(decisions, Refused{RetryAfter: pacer.At(step)})
 	}
-	return made
+	return decisions
 }
 
 func refuse(wait time.Duration) Decision {
--- a/admitter/wait.go
+++ b/admitter/wait.go
@@ -5,16 +5,16 @@
 	"time"
 )
 
-// waitWeight is the weight of a new wait in the mean.
+// waitWeight is the weight of a new wait in the moving average.
 const waitWeight = 0.02
 
-// pool is what is known of one pool's queue.
+// pool holds the state of one pool's queue.
 type pool struct {
-	// waited is the recent mean of the waits, in nanoseconds.
-	waited float64
-	// returnAt is when the callers that were refused so far will all have been served, should
-	// each come back at the time that it was told.
-	returnAt time.Time
+	// meanWait is the moving average of the waits, in nanoseconds.
+	meanWait float64
+	// retryAt is when all callers refused so far will have been served, if each retries at the time
+	// that it was given.
+	retryAt time.Time
 }
 
 func (a *Admitter) pool(name string) *pool {
@@ -26,46 +26,46 @@
 	return p
 }
 
-// wait is the expected time in the queue, in nanoseconds: the cost ahead over the capacity.
-func (ask *PendingStage) wait() float64 { return ask.waitFor(ask.WorkAhead) }
+// expectedWait returns the expected time in the queue, in nanoseconds.
+func (s *PendingStage) expectedWait() float64 { return s.waitFor(s.WorkAhead) }
 
-// rounding is the cost that sums of announcements made and withdrawn may be off by. Taken for work ahead of
-// a pool without capacity, it would refuse everything for good.
-const rounding = 1e-6
+// roundingTolerance is the cost by which sums of added and withdrawn announcements may be off. If
+// it were treated as work ahead, a pool without capacity would refuse everything forever.
+const roundingTolerance = 1e-6
 
-func (ask *PendingStage) waitFor(ahead float64) float64 {
-	if ahead <= rounding {
+func (s *PendingStage) waitFor(ahead float64) float64 {
+	if ahead <= roundingTolerance {
 		return 0
 	}
-	if ask.Capacity <= 0 {
+	if s.Capacity <= 0 {
 		return math.MaxInt32 * float64(time.Second)
 	}
-	return ahead / ask.Capacity * float64(time.Millisecond)
+	return ahead / s.Capacity * float64(time.Millisecond)
 }
 
-// comeBack gives each refused caller a place in a queue outside the door, at the pool that
-// it would wait for longest. If all were told just the excess wait, a crowd of ten times
-// what can be served would be back together in a few milliseconds.
-func (a *Admitter) comeBack(stages []PendingStage, excess time.Duration, now time.Time) time.Duration {
-	longest := &stages[0]
+// retryAfter assigns each refused caller a position in a virtual queue, at the pool with its
+// longest wait. If all callers were given just the excess wait, a crowd of ten times what can be
+// served would return within a few milliseconds.
+func (a *Admitter) retryAfter(stages []PendingStage, excess time.Duration, now time.Time) time.Duration {
+	slowest := &stages[0]
 	for i := range stages {
-		if stages[i].wait() > longest.wait() {
-			longest = &stages[i]
+		if stages[i].expectedWait() > slowest.expectedWait() {
+			slowest = &stages[i]
 		}
 	}
-	p := a.pool(longest.Pool)
-	turn := float64(longest.Expected)
-	if cost := a.ExpectedCost(longest.Stage, 0); cost > 0 && longest.Capacity > 0 {
-		turn = cost / longest.Capacity * float64(time.Millisecond)
+	p := a.pool(slowest.Pool)
+	perCaller := float64(slowest.Expected)
+	if cost := a.ExpectedCost(slowest.Stage, 0); cost > 0 && slowest.Capacity > 0 {
+		perCaller = cost / slowest.Capacity * float64(time.Millisecond)
 	}
 	earliest := now.Add(excess)
-	if p.returnAt.Before(earliest) {
-		p.returnAt = earliest
+	if p.retryAt.Before(earliest) {
+		p.retryAt = earliest
 	}
-	p.returnAt = p.returnAt.Add(time.Duration(turn))
+	p.retryAt = p.retryAt.Add(time.Duration(perCaller))
 	latest := now.Add(a.cfg.MaxRetryAfter)
-	if p.returnAt.After(latest) {
-		p.returnAt = latest
+	if p.retryAt.After(latest) {
+		p.retryAt = latest
 	}
-	return p.returnAt.Sub(now)
+	return p.retryAt.Sub(now)
 }
