--- a/limiter/account.go
+++ b/limiter/account.go
@@ -7,27 +7,28 @@
 
 const (
 	retryUnknownAccount = 5 * time.Second
-	// retryConcurrency is told when no slot is free: a slot's end can't be foreseen here.
+	// retryConcurrency is the retry delay when no slot is free, since it is unknown when one will
+	// be.
 	retryConcurrency = 250 * time.Millisecond
-	retryShortest    = 5 * time.Millisecond
-	// retryLongest bounds the wait that a refusal tells: shares move within seconds, so a
-	// longer wait would be a guess.
-	retryLongest = 10 * time.Second
-	// costBurst is how many seconds of an account's cost limit may be used at once.
-	costBurst = 2.0
+	minRetryAfter    = 5 * time.Millisecond
+	// maxRetryAfter limits the retry delay of a refusal. Shares shift within seconds, so a longer
+	// delay would be a guess.
+	maxRetryAfter = 10 * time.Second
+	// costBurstSeconds is the burst of an account's cost limit, in seconds of the limit.
+	costBurstSeconds = 2.0
 )
 
-// portion is the part of an account's limits that this entry reckons with.
-type portion struct {
-	// share is the part of the limits for this entry.
+// allocation is the part of an account's limits that this entry works with.
+type allocation struct {
+	// share is the fraction of the limits for this entry.
 	share float64
-	// heard is the part for this entry and all peers that are heard.
-	heard float64
-	// entries is the number of those.
-	entries float64
+	// reachableShare is the fraction for this entry and all reachable peers together.
+	reachableShare float64
+	// reachableEntries is the number of these entries.
+	reachableEntries float64
 }
 
-// account is one client account's state at this entry.
+// account is the state of one client account at this entry.
 type account struct {
 	name   string
 	limits Limits
@@ -35,8 +36,8 @@
 	requests bucket
 	cost     bucket
 	filledAt time.Time
-	// lentAt is when the borrowed amounts were last set to 0.
-	lentAt time.Time
+	// borrowingResetAt is when the borrowed amounts were last reset to 0.
+	borrowingResetAt time.Time
 
 	inFlight      int
 	borrowedSlots int
@@ -45,28 +46,29 @@
 	rate     rate
 	costRate rate
 
-	portion  portion
-	sharedAt time.Time
-	// idleShare is what an entry without demand was left when all peers were last heard, at idleAt.
-	idleShare float64
-	idleAt    time.Time
-	stale     bool
-	peerUses  []peerUse
-	told      told
+	allocation  allocation
+	allocatedAt time.Time
+	// idleShare is the share of an entry without demand when all peers were last reachable, at
+	// idleAt.
+	idleShare       float64
+	idleAt          time.Time
+	allocationStale bool
+	peerUses        []peerUse
+	lastReport      sentReport
 
 	removed bool
 }
 
 func (a *account) setLimits(limits Limits, heartbeat time.Duration) {
 	a.limits = limits
-	a.requests.lag = heartbeat.Seconds()
-	a.cost.lag = heartbeat.Seconds()
+	a.requests.reportLag = heartbeat.Seconds()
+	a.cost.reportLag = heartbeat.Seconds()
 	a.requests.set(limits.RatePerSecond, limits.Burst)
-	a.cost.set(limits.CostPerSecond, limits.CostPerSecond*costBurst)
+	a.cost.set(limits.CostPerSecond, limits.CostPerSecond*costBurstSeconds)
 	a.demand.span = rateSpan(limits.RatePerSecond)
-	a.rate.span = longestSpan
-	a.costRate.span = longestSpan
-	a.stale = true
+	a.rate.span = maxSpan
+	a.costRate.span = maxSpan
+	a.allocationStale = true
 }
 
 func (a *account) refill(now time.Time) {
@@ -74,77 +76,78 @@
 	if elapsed > 0 {
 		a.filledAt = now
 	}
-	a.requests.refill(elapsed, a.portion)
-	a.cost.refill(elapsed, a.portion)
+	a.requests.refill(elapsed, a.allocation)
+	a.cost.refill(elapsed, a.allocation)
 }
 
-// lend allows borrowing anew in each heartbeat.
-func (a *account) lend(heartbeat time.Duration, now time.Time) {
-	if now.Sub(a.lentAt) < heartbeat {
+// resetBorrowing allows new borrowing once per heartbeat.
+func (a *account) resetBorrowing(heartbeat time.Duration, now time.Time) {
+	if now.Sub(a.borrowingResetAt) < heartbeat {
 		return
 	}
-	a.lentAt = now
+	a.borrowingResetAt = now
 	a.requests.borrowed = 0
 	a.cost.borrowed = 0
 	a.borrowedSlots = 0
 }
 
-// admit decides and, when it admits, takes.
+// admit makes the decision and, if the request is admitted, spends its cost.
 func (a *account) admit(cost float64) Decision {
-	slot := a.slot()
-	if slot == fromNothing {
+	slotFrom := a.slotSource()
+	if slotFrom == sourceNone {
 		return refuse(ReasonConcurrency, retryConcurrency)
 	}
-	work := a.cost.pay(cost, a.portion)
-	if work == fromNothing {
-		return refuse(ReasonCost, a.cost.until(cost, a.portion))
+	costFrom := a.cost.sourceFor(cost, a.allocation)
+	if costFrom == sourceNone {
+		return refuse(ReasonCost, a.cost.timeUntil(cost, a.allocation))
 	}
-	request := a.requests.pay(1, a.portion)
-	if request == fromNothing {
-		return refuse(ReasonRate, a.requests.until(1, a.portion))
+	requestFrom := a.requests.sourceFor(1, a.allocation)
+	if requestFrom == sourceNone {
+		return refuse(ReasonRate, a.requests.timeUntil(1, a.allocation))
 	}
-	a.requests.take(1, request)
-	a.cost.take(cost, work)
+	a.requests.spend(1, requestFrom)
+	a.cost.spend(cost, costFrom)
 	a.inFlight++
-	if slot == fromSystem {
+	if slotFrom == sourceSystem {
 		a.borrowedSlots++
 	}
 	return Admitted{}
 }
 
-// slot tells whether one more request may be in flight. Requests that run at a peer go on
-// after the share has moved here, so the peers' reports bound even the entry's own part.
-func (a *account) slot() source {
+// slotSource returns what one more request in flight would use. Requests running at a peer continue
+// after the share has moved to this entry, so the peers' reports limit even the entry's own share.
+func (a *account) slotSource() source {
 	if a.limits.Concurrency <= 0 {
-		return fromPart
+		return sourceOwnShare
 	}
 	limit := float64(a.limits.Concurrency)
-	free := limit*a.portion.heard - float64(a.inFlight)
+	free := limit*a.allocation.reachableShare - float64(a.inFlight)
 	for i := range a.peerUses {
-		if a.peerUses[i].counted {
+		if a.peerUses[i].inPrediction {
 			free -= float64(a.peerUses[i].inFlight)
 		}
 	}
 	if free < 1 {
-		return fromNothing
+		return sourceNone
 	}
-	if float64(a.inFlight+1) <= math.Floor(a.portion.share*limit) {
-		return fromPart
+	if float64(a.inFlight+1) <= math.Floor(a.allocation.share*limit) {
+		return sourceOwnShare
 	}
-	if free < 2 && !a.leads() {
-		return fromNothing
+	if free < 2 && !a.hasLargestShare() {
+		return sourceNone
 	}
-	if a.borrowedSlots > 0 && float64(a.borrowedSlots+1) > free/a.portion.entries {
-		return fromNothing
+	if a.borrowedSlots > 0 && float64(a.borrowedSlots+1) > free/a.allocation.reachableEntries {
+		return sourceNone
 	}
-	return fromSystem
+	return sourceSystem
 }
 
-// leads tells that no peer that is heard has a greater part of the limits. The last free
-// slot goes to the entry that leads: two that took it at once would be over the limit.
-func (a *account) leads() bool {
+// hasLargestShare reports whether no reachable peer has a larger share of the limits. The last free
+// slot goes to the entry with the largest share: two entries that took it at the same time would
+// exceed the limit.
+func (a *account) hasLargestShare() bool {
 	for i := range a.peerUses {
-		if a.peerUses[i].counted && a.peerUses[i].share > a.portion.share {
+		if a.peerUses[i].inPrediction && a.peerUses[i].share > a.allocation.share {
 			return false
 		}
 	}
--- a/limiter/bench_test.go
+++ b/limiter/bench_test.go
@@ -12,27 +12,27 @@
 	"geraniumline/measurer"
 )
 
-// The sizes of today and of the aim.
+// accountCounts are a current size and the target size.
 var accountCounts = []int{5, 43_000}
 
 const benchPeers = 6
 
-// activePart is an entry's part of 43,000 accounts when 2,400 entries serve them in subsets
-// of 8.
-const activePart = 143
+// activeAccounts is an entry's part of 43,000 accounts when 2,400 entries serve them in subsets of
+// 8.
+const activeAccounts = 143
 
-var began = time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
+var start = time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
 
-// crowd is a limiter with many accounts, each reported on by all peers.
-type crowd struct {
+// benchLimiter is a limiter with many accounts, each reported by all peers.
+type benchLimiter struct {
 	l     *limiter.Limiter
 	names []string
 	now   time.Time
 	next  int
 }
 
-func newCrowd(accounts int, limits limiter.Limits) *crowd {
-	c := &crowd{l: limiter.New(limiter.Config{Entry: "a"}), now: began}
+func newBenchLimiter(accounts int, limits limiter.Limits) *benchLimiter {
+	c := &benchLimiter{l: limiter.New(limiter.Config{Entry: "a"}), now: start}
 	c.l.SetEntryCount(benchPeers+1, c.now)
 	uses := make([]carrier.AccountUse, 0, accounts)
 	for i := range accounts {
@@ -47,8 +47,8 @@
 	return c
 }
 
-// step is one request: admitted or refused, and released.
-func (c *crowd) step() {
+// step admits or refuses one request, and releases it if it was admitted.
+func (c *benchLimiter) step() {
 	c.now = c.now.Add(50 * time.Microsecond)
 	name := c.names[c.next]
 	c.next = (c.next + 1) % len(c.names)
@@ -57,9 +57,9 @@
 	}
 }
 
-// TestAdmitAllocatesNothing holds both answers to no allocation: under surge most requests
-// are refused, and garbage would come just when the entry has no time to spare.
-func TestAdmitAllocatesNothing(t *testing.T) {
+// TestAdmitDoesNotAllocate checks that neither answer allocates. During a surge most requests are
+// refused, and garbage would be created just when the entry has no time to spare.
+func TestAdmitDoesNotAllocate(t *testing.T) {
 	scenarios := []struct {
 		testName string
 		limits   limiter.Limits
@@ -69,7 +69,7 @@
 	}
 	for _, s := range scenarios {
 		t.Run(s.testName, func(t *testing.T) {
-			c := newCrowd(accountCounts[0], s.limits)
+			c := newBenchLimiter(accountCounts[0], s.limits)
 			for range 100 {
 				c.step()
 			}
@@ -81,7 +81,7 @@
 func BenchmarkAdmitRelease(b *testing.B) {
 	for _, n := range accountCounts {
 		b.Run(fmt.Sprintf("accounts=%d", n), func(b *testing.B) {
-			c := newCrowd(n, limiter.Limits{RatePerSecond: 100, Burst: 20, Concurrency: 10, CostPerSecond: 1000})
+			c := newBenchLimiter(n, limiter.Limits{RatePerSecond: 100, Burst: 20, Concurrency: 10, CostPerSecond: 1000})
 			b.ReportAllocs()
 			for b.Loop() {
 				c.step()
@@ -90,11 +90,11 @@
 	}
 }
 
-// BenchmarkUses is a heartbeat's report with all accounts active.
+// BenchmarkUses measures a heartbeat's report with all accounts active.
 func BenchmarkUses(b *testing.B) {
-	for _, n := range []int{5, activePart, 10 * activePart} {
+	for _, n := range []int{5, activeAccounts, 10 * activeAccounts} {
 		b.Run(fmt.Sprintf("active=%d", n), func(b *testing.B) {
-			c := newCrowd(n, limiter.Limits{RatePerSecond: 100, Burst: 20})
+			c := newBenchLimiter(n, limiter.Limits{RatePerSecond: 100, Burst: 20})
 			b.ReportAllocs()
 			for b.Loop() {
 				b.StopTimer()
@@ -109,26 +109,26 @@
 	}
 }
 
-// BenchmarkMemory gives the bytes an account: at rest, with only its limits, and in use here
-// and at all peers.
+// BenchmarkMemory measures the bytes per account: idle, with only its limits, and active here and
+// at all peers.
 func BenchmarkMemory(b *testing.B) {
 	limits := limiter.Limits{RatePerSecond: 100, Burst: 20}
 	states := map[string]func(n int) any{
-		"rest": func(n int) any {
+		"idle": func(n int) any {
 			l := limiter.New(limiter.Config{})
 			for i := range n {
-				l.SetLimits(fmt.Sprintf("account%d", i), limits, began)
+				l.SetLimits(fmt.Sprintf("account%d", i), limits, start)
 			}
 			return l
 		},
-		"used": func(n int) any { return newCrowd(n, limits).l },
+		"active": func(n int) any { return newBenchLimiter(n, limits).l },
 	}
 	for state, build := range states {
 		for _, n := range []int{1000, 10_000, 43_000} {
 			b.Run(fmt.Sprintf("%s/accounts=%d", state, n), func(b *testing.B) {
 				for b.Loop() {
-					held := measurer.HeapBytes(func() any { return build(n) })
-					b.ReportMetric(float64(held)/float64(n), "B/account")
+					bytes := measurer.HeapBytes(func() any { return build(n) })
+					b.ReportMetric(float64(bytes)/float64(n), "B/account")
 				}
 			})
 		}
@@ -138,9 +138,9 @@
 func BenchmarkPeerUses(b *testing.B) {
 	for _, n := range accountCounts {
 		b.Run(fmt.Sprintf("accounts=%d", n), func(b *testing.B) {
-			c := newCrowd(n, limiter.Limits{RatePerSecond: 100, Burst: 20})
+			c := newBenchLimiter(n, limiter.Limits{RatePerSecond: 100, Burst: 20})
 			var uses []carrier.AccountUse
-			for _, name := range c.names[:min(n, activePart)] {
+			for _, name := range c.names[:min(n, activeAccounts)] {
 				uses = append(uses, carrier.AccountUse{Account: name, Rate: 10, Demand: 20})
 			}
 			b.ReportAllocs()
--- a/limiter/limiter.go
+++ b/limiter/limiter.go
@@ -1,46 +1,47 @@
-// Package limiter decides whether an entry may admit a request under limits that hold for
-// the whole system. Each entry takes a part of a client account's limits by its own demand
-// and by what its peers report in heartbeats, so no entry has to ask another for leave.
+// Package limiter decides whether an entry may admit a request under limits that hold for the whole
+// system. Each entry takes a share of a client account's limits, based on its own demand and on
+// what its peers report in heartbeats, so that no entry has to ask another for permission.
 package limiter
 
 import (
 	"time"
 )
 
-// Limits are one client account's limits over the whole system.
+// Limits are the limits of one client account over the whole system.
 type Limits struct {
-	// RatePerSecond is admitted requests a second.
+	// RatePerSecond is the number of admitted requests per second.
 	RatePerSecond float64
-	// Burst is how many requests may be admitted at once after a quiet time.
+	// Burst is the number of requests that may be admitted at once after a period without requests.
 	Burst float64
-	// Concurrency is how many requests may be in flight at once; 0 sets no limit.
+	// Concurrency is the maximum number of requests in flight; 0 means no limit.
 	Concurrency int
-	// CostPerSecond is endpoint milliseconds a second; 0 sets no limit.
+	// CostPerSecond is the cost in endpoint milliseconds per second; 0 means no limit.
 	CostPerSecond float64
 }
 
-// Config sets a Limiter up. Zero values take the defaults.
+// Config configures a Limiter. Zero fields take the default values.
 type Config struct {
-	// Entry is this entry's name.
+	// Entry is the name of this entry.
 	Entry string
-	// FloorShare is the part of each limit that is always split evenly over the entries, so
-	// that an entry with no known demand can answer its first requests.
+	// FloorShare is the fraction of each limit that is always split evenly over the entries, so
+	// that an entry without known demand can admit its first requests.
 	FloorShare float64
-	// PeerTimeout is how long a peer may be unheard before its part is set aside for it.
+	// PeerTimeout is how long a peer may be silent before its share is reserved for it.
 	PeerTimeout time.Duration
-	// PeerDecay is how long a silent peer's part takes to become an even one after that.
+	// PeerDecay is how long after that the share of a silent peer takes to converge to an even
+	// share.
 	PeerDecay time.Duration
-	// Heartbeat is how often peers report; borrowing is bounded for each.
+	// Heartbeat is the interval at which peers report. Borrowing is limited per interval.
 	Heartbeat time.Duration
-	// UsageTTL is how long a peer's report on an account holds without being repeated.
+	// UsageTTL is how long a peer's report on an account remains valid without being repeated.
 	UsageTTL time.Duration
-	// UsageRefresh is how often an unchanged use is repeated to peers.
+	// UsageRefresh is the interval at which unchanged usage is reported again.
 	UsageRefresh time.Duration
-	// MaxReportedAccounts bounds the uses in one heartbeat.
+	// MaxReportedAccounts limits the number of accounts reported in one heartbeat.
 	MaxReportedAccounts int
 }
 
-// The defaults of Config.
+// The default values of Config.
 const (
 	defaultFloorShare  = 0.05
 	defaultPeerSilence = 500 * time.Millisecond
@@ -76,30 +77,30 @@
 	return cfg
 }
 
-// Limiter holds one entry's view of every client account's use. It is not safe for
-// concurrent use: the reducer owns it.
+// Limiter holds one entry's view of the usage of all client accounts. It is not safe for concurrent
+// use: the reducer owns it.
 type Limiter struct {
 	cfg    Config
 	limits map[string]Limits
-	// accounts holds the state of accounts that are in use here or at a peer. One that is at
-	// rest has only its limits: it is worth as much as a new one.
+	// accounts holds the state of accounts that are in use here or at a peer. An idle account has
+	// only its limits, since its state would equal that of a new one.
 	accounts map[string]*account
-	// used lists them in the order in which they came to be, so that replays agree.
-	used []*account
-	// unused keeps the memory of accounts that came to rest.
-	unused []*account
+	// active lists the accounts in order of creation, so that replays visit them in the same order.
+	active []*account
+	// freeAccounts holds released account structs for reuse.
+	freeAccounts []*account
 
 	peers map[string]*peer
-	// order lists the peers in the order in which they were first heard: sums over them must
-	// come out the same in a replay.
-	order      []*peer
-	silent     []*peer
-	listenedAt time.Time
-	// entries is how many entries there are, this one included.
+	// peerOrder lists the peers in the order of their first reports. Sums over them must be the
+	// same in a replay.
+	peerOrder        []*peer
+	silent           []*peer
+	silenceCheckedAt time.Time
+	// entries is the number of entries, including this one.
 	entries int
 }
 
-// New makes a Limiter that knows no account and no peer.
+// New creates a Limiter without accounts and peers.
 func New(cfg Config) *Limiter {
 	return &Limiter{
 		cfg:      cfg.withDefaults(),
@@ -110,7 +111,7 @@
 	}
 }
 
-// SetLimits sets an account's limits, keeping what it has in use.
+// SetLimits sets an account's limits. The account's current usage is kept.
 func (l *Limiter) SetLimits(name string, limits Limits, now time.Time) {
 	limits.Burst = max(limits.Burst, 1)
 	l.limits[name] = limits
@@ -120,7 +121,7 @@
 	}
 }
 
-// RemoveAccount forgets an account. Its requests in flight end without a Release counting.
+// RemoveAccount removes an account. Release has no effect for its requests in flight.
 func (l *Limiter) RemoveAccount(name string) {
 	delete(l.limits, name)
 	if a, ok := l.accounts[name]; ok {
@@ -129,8 +130,8 @@
 	}
 }
 
-// account gives the state of an account that has limits, or nil. A new one begins with what
-// a rested one has.
+// account returns the state of an account that has limits, or nil. A new state equals that of an
+// idle account.
 func (l *Limiter) account(name string, now time.Time) *account {
 	if a, ok := l.accounts[name]; ok {
 		return a
@@ -140,27 +141,27 @@
 		return nil
 	}
 	a := l.newAccount()
-	*a = account{name: name, filledAt: now, stale: true, peerUses: a.peerUses[:0]}
+	*a = account{name: name, filledAt: now, allocationStale: true, peerUses: a.peerUses[:0]}
 	a.setLimits(limits, l.cfg.Heartbeat)
 	l.accounts[name] = a
-	l.used = append(l.used, a)
+	l.active = append(l.active, a)
 	l.update(a, now)
-	a.requests.fill(a.portion)
-	a.cost.fill(a.portion)
+	a.requests.fill(a.allocation)
+	a.cost.fill(a.allocation)
 	return a
 }
 
 func (l *Limiter) newAccount() *account {
-	last := len(l.unused) - 1
+	last := len(l.freeAccounts) - 1
 	if last < 0 {
 		return &account{}
 	}
-	a := l.unused[last]
-	l.unused = l.unused[:last]
+	a := l.freeAccounts[last]
+	l.freeAccounts = l.freeAccounts[:last]
 	return a
 }
 
-// Admit decides on one request of the account with the expected cost in endpoint
+// Admit decides whether to admit a request of the account, given its expected cost in endpoint
 // milliseconds. An admitted request counts as in flight until Release.
 func (l *Limiter) Admit(name string, cost float64, now time.Time) Decision {
 	a := l.account(name, now)
@@ -169,15 +170,15 @@
 	}
 	a.demand.add(now, 1)
 	l.update(a, now)
-	verdict := a.admit(cost)
-	if _, admitted := verdict.(Admitted); admitted {
+	decision := a.admit(cost)
+	if _, admitted := decision.(Admitted); admitted {
 		a.rate.add(now, 1)
 		a.costRate.add(now, cost)
 	}
-	return verdict
+	return decision
 }
 
-// Release ends a request that was admitted and sets its cost right.
+// Release ends an admitted request and corrects its cost. Costs are in endpoint milliseconds.
 func (l *Limiter) Release(name string, estimatedCost, actualCost float64, now time.Time) {
 	a, ok := l.accounts[name]
 	if !ok {
@@ -187,13 +188,13 @@
 	a.release(actualCost - estimatedCost)
 }
 
-// Share gives the part of the account's limits that this entry may use now, the rate in
-// requests a second that it admits, and its requests in flight.
+// Share returns the fraction of the account's limits that this entry may use now, its rate of
+// admitted requests per second, and its number of requests in flight.
 func (l *Limiter) Share(name string, now time.Time) (share float64, rate float64, inFlight int) {
 	a := l.account(name, now)
 	if a == nil {
 		return 0, 0, 0
 	}
 	l.update(a, now)
-	return a.portion.share, a.rate.at(now), a.inFlight
+	return a.allocation.share, a.rate.at(now), a.inFlight
 }
--- a/limiter/limiter_test.go
+++ b/limiter/limiter_test.go
@@ -14,8 +14,8 @@
 
 const account = "wallcare"
 
-// TestAdmitTellsTheReason asks until the first refusal and holds it to its reason.
-func TestAdmitTellsTheReason(t *testing.T) {
+// TestAdmitReturnsReason sends requests until the first refusal and checks its reason.
+func TestAdmitReturnsReason(t *testing.T) {
 	scenarios := []struct {
 		testName string
 		limits   *limiter.Limits
@@ -26,42 +26,43 @@
 		{"account without a contract", nil, 1, 0, limiter.Refused{Reason: limiter.ReasonUnknownAccount, RetryAfter: 5 * time.Second}},
 		{"burst used up", &limiter.Limits{RatePerSecond: 1, Burst: 3}, 1, 3, limiter.Refused{Reason: limiter.ReasonRate, RetryAfter: time.Second}},
 		{"slots used up", &limiter.Limits{RatePerSecond: 100, Burst: 100, Concurrency: 2}, 1, 2, limiter.Refused{Reason: limiter.ReasonConcurrency, RetryAfter: 250 * time.Millisecond}},
-		{"work used up", &limiter.Limits{RatePerSecond: 100, Burst: 100, CostPerSecond: 100}, 100, 2, limiter.Refused{Reason: limiter.ReasonCost, RetryAfter: time.Second}},
+		{"cost used up", &limiter.Limits{RatePerSecond: 100, Burst: 100, CostPerSecond: 100}, 100, 2, limiter.Refused{Reason: limiter.ReasonCost, RetryAfter: time.Second}},
 	}
 	for _, s := range scenarios {
 		t.Run(s.testName, func(t *testing.T) {
 			l := limiter.New(limiter.Config{})
 			if s.limits != nil {
-				l.SetLimits(account, *s.limits, began)
+				l.SetLimits(account, *s.limits, start)
 			}
 			for range s.admitted {
-				require.Equal(t, limiter.Admitted{}, l.Admit(account, s.cost, began))
+				require.Equal(t, limiter.Admitted{}, l.Admit(account, s.cost, start))
 			}
-			refused, ok := l.Admit(account, s.cost, began).(limiter.Refused)
+			refused, ok := l.Admit(account, s.cost, start).(limiter.Refused)
 			require.True(t, ok)
 			require.Equal(t, s.refused.Reason, refused.Reason)
-			// Waits are rounded up to a step, each at most 1.15 times the one before.
+			// Delays are rounded up to a step, each at most 1.15 times the one before.
 			require.GreaterOrEqual(t, refused.RetryAfter, s.refused.RetryAfter)
 			require.Less(t, refused.RetryAfter, s.refused.RetryAfter*12/10)
 		})
 	}
 }
 
-// TestShareOfSilentPeer follows one entry's part while a peer with most of the demand falls silent.
+// TestShareOfSilentPeer checks the share of an entry while a peer with most of the demand falls
+// silent.
 //
-// The caller sees refusals at this entry while the peer holds its part of the contract.
-// The peer is cut off, not dead: it goes on admitting by what it last knew, so its part must
-// not be taken up here, or both sides would run the whole contract. With time both sides
-// come to an even part each. Only word that the peer has ended frees its part at once.
+// The peer is unreachable but not dead: it continues to admit requests according to its last known
+// state. This entry refuses callers meanwhile, since the peer's share must not be used here, or
+// both sides would use the whole limit. With time both sides converge to an even share. Only the
+// knowledge that the peer has stopped frees its share at once.
 func TestShareOfSilentPeer(t *testing.T) {
 	l := limiter.New(limiter.Config{Entry: "a"})
-	l.SetEntryCount(2, began)
-	l.SetLimits(account, limiter.Limits{RatePerSecond: 100, Burst: 10}, began)
-	now := began
-	step := func(d time.Duration, heard bool) float64 {
+	l.SetEntryCount(2, start)
+	l.SetLimits(account, limiter.Limits{RatePerSecond: 100, Burst: 10}, start)
+	now := start
+	step := func(d time.Duration, reporting bool) float64 {
 		for end := now.Add(d); now.Before(end); now = now.Add(10 * time.Millisecond) {
 			l.Admit(account, 1, now)
-			if heard {
+			if reporting {
 				l.UpdatePeerUsage("b", []carrier.AccountUse{{Account: account, Demand: 300, Rate: 75}}, now)
 			}
 		}
@@ -69,19 +70,19 @@
 		return share
 	}
 	require.InDelta(t, 0.26, step(2*time.Second, true), 0.03, "in proportion to demand, above a floor")
-	require.InDelta(t, 0.26, step(time.Second, false), 0.06, "the peer's last part is set aside")
-	require.InDelta(t, 0.5, step(10*time.Second, false), 0.01, "an even part after the decay")
+	require.InDelta(t, 0.26, step(time.Second, false), 0.06, "the peer's last share is reserved")
+	require.InDelta(t, 0.5, step(10*time.Second, false), 0.01, "an even share after the decay")
 	l.RemovePeer("b", now)
 	l.SetEntryCount(1, now)
-	require.InDelta(t, 1, step(time.Second, false), 0.01, "all of it once the peer has ended")
+	require.InDelta(t, 1, step(time.Second, false), 0.01, "the whole limit once the peer is removed")
 }
 
-// TestReportsReachEveryAccount bounds the heartbeat to fewer accounts than are active.
-func TestReportsReachEveryAccount(t *testing.T) {
+// TestEveryAccountIsReported limits a heartbeat to fewer accounts than are active.
+func TestEveryAccountIsReported(t *testing.T) {
 	const accounts, bound = 10, 3
 	l := limiter.New(limiter.Config{MaxReportedAccounts: bound})
-	now := began
-	told := map[string]bool{}
+	now := start
+	reported := map[string]bool{}
 	for range 2 * accounts {
 		now = now.Add(200 * time.Millisecond)
 		for i := range accounts {
@@ -92,14 +93,15 @@
 		uses := l.UsageReports(now)
 		require.LessOrEqual(t, len(uses), bound)
 		for _, use := range uses {
-			told[use.Account] = true
+			reported[use.Account] = true
 		}
 	}
-	require.Len(t, told, accounts)
+	require.Len(t, reported, accounts)
 }
 
-// TestLimitsHoldForAnySequence lets entries admit, release, report, fall silent and die in
-// any order, with clocks that may stand still, and holds each entry to its contract and its count.
+// TestLimitsHoldForAnySequence runs random sequences of admissions, releases, reports, silences and
+// removed peers, with clocks that may stand still. It checks the entry's admissions against the
+// limits and its count of requests in flight.
 func TestLimitsHoldForAnySequence(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		limits := limiter.Limits{
@@ -108,9 +110,9 @@
 			Concurrency:   rapid.IntRange(0, 10).Draw(t, "concurrency"),
 		}
 		l := limiter.New(limiter.Config{})
-		l.SetEntryCount(3, began)
-		l.SetLimits(account, limits, began)
-		now, admitted, inFlight := began, 0, 0
+		l.SetEntryCount(3, start)
+		l.SetLimits(account, limits, start)
+		now, admitted, inFlight := start, 0, 0
 		t.Repeat(map[string]func(*rapid.T){
 			"admit": func(t *rapid.T) {
 				if _, ok := l.Admit(account, 1, now).(limiter.Admitted); ok {
@@ -127,12 +129,12 @@
 			"wait": func(t *rapid.T) {
 				now = now.Add(time.Duration(rapid.IntRange(0, 5000).Draw(t, "millis")) * time.Millisecond)
 			},
-			"hear": func(t *rapid.T) {
+			"peerReports": func(t *rapid.T) {
 				use := carrier.AccountUse{Account: account, Demand: rapid.Float32Range(0, 500).Draw(t, "demand"), InFlight: rapid.Int32Range(0, 5).Draw(t, "inFlight")}
 				l.UpdatePeerUsage(rapid.SampledFrom([]string{"b", "c"}).Draw(t, "peer"), []carrier.AccountUse{use}, now)
 			},
-			"gone":   func(_ *rapid.T) { l.RemovePeer("b", now) },
-			"report": func(_ *rapid.T) { l.UsageReports(now) },
+			"peerRemoved": func(_ *rapid.T) { l.RemovePeer("b", now) },
+			"report":      func(_ *rapid.T) { l.UsageReports(now) },
 			"": func(t *rapid.T) {
 				share, _, counted := l.Share(account, now)
 				require.GreaterOrEqual(t, share, 0.0)
@@ -141,8 +143,8 @@
 				if limits.Concurrency > 0 {
 					require.LessOrEqual(t, inFlight, limits.Concurrency)
 				}
-				// Its part of the burst and one request more, and a borrowed burst.
-				allowed := 2*limits.Burst + 2 + limits.RatePerSecond*now.Sub(began).Seconds()
+				// The entry's share of the burst and one more request, and a borrowed burst.
+				allowed := 2*limits.Burst + 2 + limits.RatePerSecond*now.Sub(start).Seconds()
 				require.LessOrEqual(t, float64(admitted), allowed)
 			},
 		})
--- a/limiter/peers.go
+++ b/limiter/peers.go
@@ -7,12 +7,12 @@
 	"geraniumline/carrier"
 )
 
-// peer is another entry that reports its use.
+// peer is another entry that reports its usage.
 type peer struct {
-	name    string
-	heardAt time.Time
-	silent  bool
-	gone    bool
+	name         string
+	lastReportAt time.Time
+	silent       bool
+	removed      bool
 }
 
 // peerUse is a peer's last report on one account.
@@ -23,91 +23,92 @@
 	rate     float64
 	costRate float64
 	inFlight int
-	// share is the peer's part of the limits, and usual the mean of its recent ones, which is
-	// set aside for it when it falls silent.
-	share, usual float64
-	// counted tells that rate and costRate are in the buckets' predictions.
-	counted bool
+	// share is the peer's share of the limits, and meanShare its moving average, which is reserved
+	// for the peer when it falls silent.
+	share, meanShare float64
+	// inPrediction is set while rate and costRate are included in the buckets' predictions.
+	inPrediction bool
 }
 
-// UpdatePeerUsage takes in what a peer reports in a heartbeat. An account that it leaves out is
-// unchanged; a report that is not repeated lapses after Config.UseLifetime.
+// UpdatePeerUsage applies the usage that a peer reports in a heartbeat. An omitted account is
+// unchanged; a report that is not repeated expires after Config.UsageTTL.
 func (l *Limiter) UpdatePeerUsage(name string, uses []carrier.AccountUse, now time.Time) {
 	p, ok := l.peers[name]
 	if !ok {
 		p = &peer{name: name}
 		l.peers[name] = p
-		l.order = append(l.order, p)
+		l.peerOrder = append(l.peerOrder, p)
 	}
-	p.heardAt = now
+	p.lastReportAt = now
 	p.silent = false
 	for i := range uses {
 		if a := l.account(uses[i].Account, now); a != nil {
 			l.update(a, now)
-			a.learn(p, &uses[i], l.cfg.UsageRefresh, now)
+			a.applyReport(p, &uses[i], l.cfg.UsageRefresh, now)
 		}
 	}
 }
 
-// RemovePeer drops a peer that is known to have ended: its part is free at once. Silence is
-// not enough to call it, or both sides of a partition would take the whole limit.
+// RemovePeer removes a peer that is known to have stopped, which frees its share at once. Silence
+// is not enough to remove a peer, or both sides of a partition would use the whole limit.
 func (l *Limiter) RemovePeer(name string, _ time.Time) {
 	p, ok := l.peers[name]
 	if !ok {
 		return
 	}
-	p.gone = true
+	p.removed = true
 	delete(l.peers, name)
-	l.order = slices.DeleteFunc(l.order, func(other *peer) bool { return other == p })
-	l.listenedAt = time.Time{}
+	l.peerOrder = slices.DeleteFunc(l.peerOrder, func(other *peer) bool { return other == p })
+	l.silenceCheckedAt = time.Time{}
 }
 
-// SetEntryCount sets how many entries there are, this one included: those that are live and
-// those that are silent but not known to have ended.
+// SetEntryCount sets the number of entries, including this one: those that are live and those that
+// are silent but not known to have stopped.
 func (l *Limiter) SetEntryCount(n int, _ time.Time) {
 	l.entries = max(n, 1)
-	l.listenedAt = time.Time{}
+	l.silenceCheckedAt = time.Time{}
 }
 
-// listenEach is how often peers are looked over for silence.
-const listenEach = 50 * time.Millisecond
+// silenceCheckInterval is how often the peers are checked for silence.
+const silenceCheckInterval = 50 * time.Millisecond
 
-// listen finds the silent peers, at most once in listenEach for all accounts.
-func (l *Limiter) listen(now time.Time) {
-	if now.Sub(l.listenedAt) < listenEach {
+// updateSilentPeers finds the silent peers, at most once per silenceCheckInterval for all accounts
+// together.
+func (l *Limiter) updateSilentPeers(now time.Time) {
+	if now.Sub(l.silenceCheckedAt) < silenceCheckInterval {
 		return
 	}
-	l.listenedAt = now
+	l.silenceCheckedAt = now
 	l.silent = l.silent[:0]
-	for _, p := range l.order {
-		p.silent = now.Sub(p.heardAt) >= l.cfg.PeerTimeout
+	for _, p := range l.peerOrder {
+		p.silent = now.Sub(p.lastReportAt) >= l.cfg.PeerTimeout
 		if p.silent {
 			l.silent = append(l.silent, p)
 		}
 	}
 }
 
-// learn takes in a peer's report on the account.
-func (a *account) learn(p *peer, use *carrier.AccountUse, refresh time.Duration, now time.Time) {
-	a.stale = true
-	u := a.usedBy(p)
+// applyReport applies a peer's report on the account.
+func (a *account) applyReport(p *peer, use *carrier.AccountUse, refresh time.Duration, now time.Time) {
+	a.allocationStale = true
+	u := a.peerUseOf(p)
 	elapsed := min(now.Sub(u.at), refresh).Seconds()
 	predicted, predictedCost := u.rate, u.costRate
-	if !u.counted {
+	if !u.inPrediction {
 		predicted, predictedCost = 0, 0
 	}
-	a.requests.learn(predicted, float64(use.Rate), elapsed)
-	a.cost.learn(predictedCost, float64(use.CostRate), elapsed)
+	a.requests.correctPeerUse(predicted, float64(use.Rate), elapsed)
+	a.cost.correctPeerUse(predictedCost, float64(use.CostRate), elapsed)
 	u.at = now
 	u.demand = float64(use.Demand)
 	u.rate = float64(use.Rate)
 	u.costRate = float64(use.CostRate)
 	u.inFlight = int(use.InFlight)
-	u.counted = true
+	u.inPrediction = true
 }
 
-// usedBy gives the peer's report on the account, a new one when there is none.
-func (a *account) usedBy(p *peer) *peerUse {
+// peerUseOf returns the peer's report on the account, and creates an empty one if there is none.
+func (a *account) peerUseOf(p *peer) *peerUse {
 	for i := range a.peerUses {
 		if a.peerUses[i].peer == p {
 			return &a.peerUses[i]
@@ -117,12 +118,13 @@
 	return &a.peerUses[len(a.peerUses)-1]
 }
 
-// uncount takes a report out of the predictions, as its peer is silent or says no more.
-func (a *account) uncount(u *peerUse) {
-	if !u.counted {
+// excludeFromPrediction removes a report from the predictions when its peer is silent or no longer
+// repeats it.
+func (a *account) excludeFromPrediction(u *peerUse) {
+	if !u.inPrediction {
 		return
 	}
-	u.counted = false
+	u.inPrediction = false
 	a.requests.peerUse = max(0, a.requests.peerUse-u.rate)
 	a.cost.peerUse = max(0, a.cost.peerUse-u.costRate)
 }
--- a/limiter/rate.go
+++ b/limiter/rate.go
@@ -6,14 +6,15 @@
 )
 
 const (
-	// samplesPerSpan is how many requests at the limit a rate is measured over: a step of
-	// demand is seen after that many, and the measured rate is off by about a sixth.
+	// samplesPerSpan is the number of requests, at the limit, over which a rate is measured. A step
+	// in demand is detected after that many requests, and the measured rate is off by about a
+	// sixth.
 	samplesPerSpan = 20
-	shortestSpan   = 100 * time.Millisecond
-	longestSpan    = time.Second
+	minSpan        = 100 * time.Millisecond
+	maxSpan        = time.Second
 )
 
-// rate is an exponentially weighted rate a second.
+// rate is an exponentially weighted moving rate per second.
 type rate struct {
 	value float64
 	last  time.Time
@@ -21,13 +22,13 @@
 	span time.Duration
 }
 
-// rateSpan gives the time constant for an account with this limit.
+// rateSpan returns the time constant for an account with a limit of perSecond requests per second.
 func rateSpan(perSecond float64) time.Duration {
 	if perSecond <= 0 {
-		return longestSpan
+		return maxSpan
 	}
 	span := time.Duration(samplesPerSpan / perSecond * float64(time.Second))
-	return min(max(span, shortestSpan), longestSpan)
+	return min(max(span, minSpan), maxSpan)
 }
 
 func (r *rate) at(now time.Time) float64 {
--- a/limiter/report.go
+++ b/limiter/report.go
@@ -8,113 +8,115 @@
 )
 
 const (
-	// changeWorthTelling is the part by which a use must change to be told before it is due.
-	changeWorthTelling = 0.05
-	// quietDemand is the demand a second below which an account has nothing to say.
-	quietDemand = 0.01
+	// minReportedChange is the relative change in usage that is reported before the next refresh is
+	// due.
+	minReportedChange = 0.05
+	// minDemand is the demand per second below which an account counts as idle.
+	minDemand = 0.01
 )
 
-// told is what peers were told last of this entry's use.
-type told struct {
+// sentReport is the usage that was last reported to peers.
+type sentReport struct {
 	at       time.Time
 	demand   float64
 	rate     float64
 	inFlight int
 }
 
-// UsageReports gives what peers have to know of this entry's use: accounts whose use has changed or
-// was not repeated for Config.UseRefresh, at most Config.MaxUses of them. It is called once
-// for each heartbeat, which then goes to all peers.
+// UsageReports returns the usage that peers need to know of: accounts whose usage has changed or
+// was not reported for Config.UsageRefresh, at most Config.MaxReportedAccounts of them. It is
+// called once per heartbeat, and the result is sent to all peers.
 func (l *Limiter) UsageReports(now time.Time) []carrier.AccountUse {
 	var uses []carrier.AccountUse
-	kept := l.used[:0]
-	var late []*account
-	for _, a := range l.used {
+	remaining := l.active[:0]
+	var deferred []*account
+	for _, a := range l.active {
 		if a.removed {
 			continue
 		}
-		if l.due(a, now) {
+		if l.reportDue(a, now) {
 			if len(uses) == l.cfg.MaxReportedAccounts {
-				late = append(late, a)
+				deferred = append(deferred, a)
 				continue
 			}
-			uses = append(uses, a.tell(l.cfg.UsageRefresh, now))
+			uses = append(uses, a.makeReport(l.cfg.UsageRefresh, now))
 		}
-		if a.quiet() && l.rest(a, now) {
+		if a.reportedIdle() && l.releaseIfIdle(a, now) {
 			continue
 		}
-		kept = append(kept, a)
+		remaining = append(remaining, a)
 	}
-	l.used = l.lateFirst(late, kept)
+	l.active = l.prependDeferred(deferred, remaining)
 	return uses
 }
 
-// rest drops the account's state when it is worth no more than that of a new one.
-func (l *Limiter) rest(a *account, now time.Time) bool {
+// releaseIfIdle releases the account's state if it equals that of a new account. It reports whether
+// it did.
+func (l *Limiter) releaseIfIdle(a *account, now time.Time) bool {
 	l.update(a, now)
-	if len(a.peerUses) > 0 || !a.requests.full(a.portion) || !a.cost.full(a.portion) {
+	if len(a.peerUses) > 0 || !a.requests.full(a.allocation) || !a.cost.full(a.allocation) {
 		return false
 	}
 	delete(l.accounts, a.name)
-	if len(l.unused) < len(l.accounts)+1 {
-		l.unused = append(l.unused, a)
+	if len(l.freeAccounts) < len(l.accounts)+1 {
+		l.freeAccounts = append(l.freeAccounts, a)
 	}
 	return true
 }
 
-// lateFirst puts the accounts that found no room in this report first in the next, so that
-// a bounded report leaves none out for ever.
-func (l *Limiter) lateFirst(late, kept []*account) []*account {
-	clear(l.used[len(kept):])
-	if len(late) > 0 {
-		return append(late, kept...)
+// prependDeferred puts the accounts that did not fit into this report first in the next one, so
+// that a bounded report never omits an account forever.
+func (l *Limiter) prependDeferred(deferred, remaining []*account) []*account {
+	clear(l.active[len(remaining):])
+	if len(deferred) > 0 {
+		return append(deferred, remaining...)
 	}
-	return kept
+	return remaining
 }
 
-// due tells whether peers' view of the account is out of date.
-func (l *Limiter) due(a *account, now time.Time) bool {
-	if a.quiet() && a.requests.used == 0 && a.demandNow(now) == 0 {
+// reportDue reports whether the peers' view of the account is out of date.
+func (l *Limiter) reportDue(a *account, now time.Time) bool {
+	if a.reportedIdle() && a.requests.used == 0 && a.currentDemand(now) == 0 {
 		return false
 	}
-	if now.Sub(a.told.at) >= l.cfg.UsageRefresh || a.inFlight != a.told.inFlight {
+	if now.Sub(a.lastReport.at) >= l.cfg.UsageRefresh || a.inFlight != a.lastReport.inFlight {
 		return true
 	}
-	worth := changeWorthTelling * math.Max(a.told.demand, a.limits.RatePerSecond/float64(l.entries))
-	if math.Abs(a.demandNow(now)-a.told.demand) > worth {
+	threshold := minReportedChange * math.Max(a.lastReport.demand, a.limits.RatePerSecond/float64(l.entries))
+	if math.Abs(a.currentDemand(now)-a.lastReport.demand) > threshold {
 		return true
 	}
-	predicted := a.told.rate * now.Sub(a.told.at).Seconds()
-	return math.Abs(a.requests.used-predicted) > changeWorthTelling*a.limits.Burst
+	predicted := a.lastReport.rate * now.Sub(a.lastReport.at).Seconds()
+	return math.Abs(a.requests.used-predicted) > minReportedChange*a.limits.Burst
 }
 
-// tell gives the report and notes what was told.
-func (a *account) tell(refresh time.Duration, now time.Time) carrier.AccountUse {
-	elapsed := max(min(now.Sub(a.told.at), refresh), time.Millisecond).Seconds()
-	a.told = told{
+// makeReport returns the report on the account and records it as sent.
+func (a *account) makeReport(refresh time.Duration, now time.Time) carrier.AccountUse {
+	elapsed := max(min(now.Sub(a.lastReport.at), refresh), time.Millisecond).Seconds()
+	a.lastReport = sentReport{
 		at:       now,
-		demand:   a.demandNow(now),
+		demand:   a.currentDemand(now),
 		rate:     a.requests.report(elapsed),
 		inFlight: a.inFlight,
 	}
 	return carrier.AccountUse{
 		Account:  a.name,
-		Rate:     float32(a.told.rate),
-		Demand:   float32(a.told.demand),
+		Rate:     float32(a.lastReport.rate),
+		Demand:   float32(a.lastReport.demand),
 		CostRate: float32(a.cost.report(elapsed)),
 		InFlight: int32(a.inFlight),
 	}
 }
 
-func (a *account) demandNow(now time.Time) float64 {
+func (a *account) currentDemand(now time.Time) float64 {
 	demand := a.demand.at(now)
-	if demand < quietDemand {
+	if demand < minDemand {
 		return 0
 	}
 	return demand
 }
 
-// quiet tells that peers know that there is nothing to know.
-func (a *account) quiet() bool {
-	return a.told.demand == 0 && a.told.rate == 0 && a.told.inFlight == 0 && a.inFlight == 0
+// reportedIdle reports whether the account is idle and was last reported as idle.
+func (a *account) reportedIdle() bool {
+	return a.lastReport.demand == 0 && a.lastReport.rate == 0 && a.lastReport.inFlight == 0 && a.inFlight == 0
 }
--- a/limiter/share.go
+++ b/limiter/share.go
@@ -5,99 +5,99 @@
 	"time"
 )
 
-// shareAge is how long a computed share is used when no report has come meanwhile.
-const shareAge = 100 * time.Millisecond
+// allocationTTL is how long an allocation is used if no report arrives in the meantime.
+const allocationTTL = 100 * time.Millisecond
 
-// update brings the account's buckets up to now, by a portion computed anew when reports
-// have come or time has passed. The portion comes first: after an idle time the last one
-// may be from when no peer was heard yet, and would have filled the buckets too little.
+// update brings the account's buckets up to date, and computes a new allocation if reports have
+// arrived or time has passed. The allocation is computed first: after an idle period the last one
+// may date from before any peer was reachable, and would have refilled the buckets too little.
 func (l *Limiter) update(a *account, now time.Time) {
-	if a.stale || now.Sub(a.sharedAt) >= shareAge {
-		a.stale = false
-		a.sharedAt = now
-		l.listen(now)
-		l.lapse(a, now)
-		a.portion = l.portion(a, now)
+	if a.allocationStale || now.Sub(a.allocatedAt) >= allocationTTL {
+		a.allocationStale = false
+		a.allocatedAt = now
+		l.updateSilentPeers(now)
+		l.expireReports(a, now)
+		a.allocation = l.allocate(a, now)
 	}
 	a.refill(now)
-	a.lend(l.cfg.Heartbeat, now)
+	a.resetBorrowing(l.cfg.Heartbeat, now)
 }
 
-// lapse drops reports that are no longer repeated by a peer that is heard, and keeps those
-// of silent peers out of the predictions: their parts are set aside instead.
-func (l *Limiter) lapse(a *account, now time.Time) {
-	kept := a.peerUses[:0]
+// expireReports removes reports that a reachable peer no longer repeats. It excludes those of
+// silent peers from the predictions, since their shares are reserved instead.
+func (l *Limiter) expireReports(a *account, now time.Time) {
+	remaining := a.peerUses[:0]
 	for i := range a.peerUses {
 		u := &a.peerUses[i]
-		if u.peer.gone || u.peer.silent {
-			a.uncount(u)
+		if u.peer.removed || u.peer.silent {
+			a.excludeFromPrediction(u)
 		}
-		if u.peer.gone || u.peer.heardAt.Sub(u.at) >= l.cfg.UsageTTL || now.Sub(u.peer.heardAt) >= forgetPeer {
-			a.uncount(u)
+		if u.peer.removed || u.peer.lastReportAt.Sub(u.at) >= l.cfg.UsageTTL || now.Sub(u.peer.lastReportAt) >= peerReportTTL {
+			a.excludeFromPrediction(u)
 			continue
 		}
-		kept = append(kept, *u)
+		remaining = append(remaining, *u)
 	}
-	clear(a.peerUses[len(kept):])
-	a.peerUses = kept
+	clear(a.peerUses[len(remaining):])
+	a.peerUses = remaining
 }
 
-// forgetPeer is the silence after which a peer's last report has lost its meaning: its part has
-// long become an even one.
-const forgetPeer = time.Minute
+// peerReportTTL is the silence after which a peer's last report is meaningless, since its share has
+// converged to an even one long before.
+const peerReportTTL = time.Minute
 
-// portion gives this entry's part of the account's limits.
+// allocate returns this entry's part of the account's limits.
 //
-// While peers are heard, demand that fits the limit is granted whole and what is left is
-// split evenly; demand beyond the limit is granted in proportion, above an even floor. An
-// entry that is not heard may still be admitting, so its part is set aside: first what it
-// had when it was last heard, which is what it goes on to use, then with time an even
-// part. It reckons the same way of those that it does not hear, so that both sides of a
-// partition together stay within the limit.
-func (l *Limiter) portion(a *account, now time.Time) portion {
+// While all peers are reachable, demand that fits the limit is granted in full and the rest is
+// split evenly. Demand beyond the limit is granted proportionally, above an even minimum. An
+// unreachable entry may still be admitting requests, so a share is reserved for it: at first the
+// share that it had when it was last reachable, which is what it continues to use, and with time an
+// even share. The unreachable entry does the same for the entries that it cannot reach, so that
+// both sides of a partition together stay within the limit.
+func (l *Limiter) allocate(a *account, now time.Time) allocation {
 	n := float64(l.entries)
-	heard := math.Max(1, n-float64(l.unheard()))
-	part := math.Max(0, 1-l.setAside(a, now))
+	reachable := math.Max(1, n-float64(l.unreachable()))
+	reachableShare := math.Max(0, 1-l.reservedShare(a, now))
 	own := a.demand.at(now)
-	total := a.total(own, now)
-	split := splitter{limit: a.tightest(total) * part, demand: total.demand, entries: heard, floor: l.cfg.FloorShare}
+	totals := a.totals(own, now)
+	split := splitter{limit: a.effectiveRateLimit(totals) * reachableShare, demand: totals.demand, entries: reachable, floor: l.cfg.FloorShare}
 	for i := range a.peerUses {
-		if a.peerUses[i].counted {
-			a.peerUses[i].setShare(part * split.share(a.peerUses[i].demand))
+		if a.peerUses[i].inPrediction {
+			a.peerUses[i].setShare(reachableShare * split.share(a.peerUses[i].demand))
 		}
 	}
-	if heard == n {
+	if reachable == n {
 		a.idleShare = split.share(0)
 		a.idleAt = now
 	}
-	return portion{share: part * split.share(own), heard: part, entries: heard}
+	return allocation{share: reachableShare * split.share(own), reachableShare: reachableShare, reachableEntries: reachable}
 }
 
-// shareWeight is the weight of a peer's newest share in the one that is set aside for it.
+// shareWeight is the weight of a peer's newest share in the mean share that is reserved for it.
 const shareWeight = 0.05
 
-// setShare keeps a mean of the peer's shares too. Each entry computes them from its own moment's
-// reports, so single ones differ from entry to entry, and what all set aside for each
-// other in a partition would not add up.
+// setShare sets the peer's share and updates the mean. Each entry computes the shares from the
+// reports that it has at the moment, so single values differ between entries, and the shares that
+// all reserve for each other in a partition would not add up.
 func (u *peerUse) setShare(share float64) {
 	u.share = share
-	if u.usual == 0 {
-		u.usual = share
+	if u.meanShare == 0 {
+		u.meanShare = share
 		return
 	}
-	u.usual += shareWeight * (share - u.usual)
+	u.meanShare += shareWeight * (share - u.meanShare)
 }
 
-// total sums up this entry's use of an account and that of the peers that are heard.
-type total struct {
+// usageTotals sums the usage of an account at this entry and at all reachable peers.
+type usageTotals struct {
 	demand, rate, costRate, inFlight float64
 }
 
-func (a *account) total(demand float64, now time.Time) total {
-	t := total{demand: demand, rate: a.rate.at(now), costRate: a.costRate.at(now), inFlight: float64(a.inFlight)}
+func (a *account) totals(demand float64, now time.Time) usageTotals {
+	t := usageTotals{demand: demand, rate: a.rate.at(now), costRate: a.costRate.at(now), inFlight: float64(a.inFlight)}
 	for i := range a.peerUses {
 		u := &a.peerUses[i]
-		if !u.counted {
+		if !u.inPrediction {
 			continue
 		}
 		t.demand += u.demand
@@ -108,10 +108,10 @@
 	return t
 }
 
-// tightest gives the requests a second that the account's tightest limit allows, by what
-// its requests cost and how long they run now. Whether demand fits must be judged by that
-// limit: under one that is not met, shares would go to entries that can't use them.
-func (a *account) tightest(t total) float64 {
+// effectiveRateLimit returns the requests per second that the account's tightest limit allows,
+// based on the current cost and duration of its requests. That limit decides whether demand fits:
+// with a limit that is not reached, shares would go to entries that cannot use them.
+func (a *account) effectiveRateLimit(t usageTotals) float64 {
 	limit := a.limits.RatePerSecond
 	if a.limits.CostPerSecond > 0 && t.costRate > 0 {
 		limit = math.Min(limit, a.limits.CostPerSecond*t.rate/t.costRate)
@@ -122,44 +122,45 @@
 	return limit
 }
 
-// unheard is the number of entries that are silent or were never heard.
-func (l *Limiter) unheard() int {
+// unreachable returns the number of entries that are silent or have never reported.
+func (l *Limiter) unreachable() int {
 	never := max(0, l.entries-1-len(l.peers))
 	return never + len(l.silent)
 }
 
-// setAside is the part of the account's limits that is left to entries that are not heard.
-func (l *Limiter) setAside(a *account, now time.Time) float64 {
+// reservedShare returns the fraction of the account's limits that is reserved for unreachable
+// entries.
+func (l *Limiter) reservedShare(a *account, now time.Time) float64 {
 	even := 1 / float64(l.entries)
-	part := even * float64(l.unheard()-len(l.silent))
+	reserved := even * float64(l.unreachable()-len(l.silent))
 	for _, p := range l.silent {
-		part += l.setAsideFor(a, p, now)
+		reserved += l.reservedShareOf(a, p, now)
 	}
-	return part
+	return reserved
 }
 
-func (l *Limiter) setAsideFor(a *account, p *peer, now time.Time) float64 {
+func (l *Limiter) reservedShareOf(a *account, p *peer, now time.Time) float64 {
 	even := 1 / float64(l.entries)
 	last := even
-	if !a.idleAt.Before(p.heardAt) {
+	if !a.idleAt.Before(p.lastReportAt) {
 		last = a.idleShare
 	}
 	for i := range a.peerUses {
 		if a.peerUses[i].peer == p {
-			last = a.peerUses[i].usual
+			last = a.peerUses[i].meanShare
 		}
 	}
-	silence := now.Sub(p.heardAt) - l.cfg.PeerTimeout
+	silence := now.Sub(p.lastReportAt) - l.cfg.PeerTimeout
 	decayed := math.Min(1, float64(silence)/float64(l.cfg.PeerDecay))
 	return last + (even-last)*decayed
 }
 
-// splitter splits a limit over the entries that are heard.
+// splitter splits a limit over the reachable entries.
 type splitter struct {
 	limit, demand, entries, floor float64
 }
 
-// share is the part for an entry with this demand.
+// share returns the fraction for an entry with the given demand.
 func (s splitter) share(demand float64) float64 {
 	if s.limit <= 0 || s.demand <= 0 {
 		return 1 / s.entries
--- a/limiter/verdict.go
+++ b/limiter/verdict.go
@@ -6,7 +6,7 @@
 	"geraniumline/pacer"
 )
 
-// Reason tells which limit refused a request.
+// Reason is the limit that caused a refusal.
 type Reason uint8
 
 // The reasons for a refusal.
@@ -33,33 +33,34 @@
 	}
 }
 
-// Decision is Admitted or Refused.
-type Decision interface{ verdict() }
+// Decision is either Admitted or Refused.
+type Decision interface{ decision() }
 
-// Admitted tells that the request may go on and counts as in flight until Release.
+// Admitted means that the request may proceed. It counts as in flight until Release.
 type Admitted struct{}
 
-// Refused tells which limit was met and when another try may succeed.
+// Refused means that a limit was reached. RetryAfter is the delay after which another attempt may
+// succeed.
 type Refused struct {
 	Reason     Reason
 	RetryAfter time.Duration
 }
 
-func (Admitted) verdict() {}
-func (Refused) verdict()  {}
+func (Admitted) decision() {}
+func (Refused) decision()  {}
 
-// refusals holds every refusal as a ready interface value: under surge most decisions are
-// refusals, and converting a Refused anew would allocate for each.
+// refusals holds all possible refusals as prebuilt interface values. During a surge most decisions
+// are refusals, and converting a new Refused for each would allocate.
 var refusals = makeRefusals()
 
 func makeRefusals() [reasonCount][]Decision {
-	var made [reasonCount][]Decision
+	var decisions [reasonCount][]Decision
 	for reason := range reasonCount {
 		for step := range pacer.Count() {
-			made[reason] = append(made[reason], Refused{Reason: reason, RetryAfter: pacer.At(step)})
+			decisions[reason] = append(decisions[reason], Refused{Reason: reason, RetryAfter: pacer.At(step)})
 		}
 	}
-	return made
+	return decisions
 }
 
 func refuse(reason Reason, wait time.Duration) Decision {
