--- a/limiter/bucket.go
+++ b/limiter/bucket.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// bucket holds one limit of an account at this entry in two forms: the share that this entry may
-// use regardless of its peers, and an estimate of the token bucket of the whole system.
+// bucket tracks one limit of an account at this entry twice: as the share that this entry may use
+// regardless of its peers, and as an estimate of the token bucket of the whole system.
 //
 // The share alone would waste what other entries do not use until the shares are adjusted, and
 // would refuse at random if an entry's share of the burst is a few requests. The estimate alone
--- a/router/prefix.go
+++ b/router/prefix.go
@@ -71,9 +71,7 @@
 	tags [cacheMapSlots]uint32
 }
 
-func (m *cacheMap) has(hash uint64) bool {
-	return m.tags[hash%cacheMapSlots] == tag(hash)
-}
+func (m *cacheMap) has(hash uint64) bool { return m.tags[hash%cacheMapSlots] == tag(hash) }
 
 func (m *cacheMap) store(hash uint64) { m.tags[hash%cacheMapSlots] = tag(hash) }
 
--- a/scheduler/class.go
+++ b/scheduler/class.go
@@ -148,7 +148,7 @@
 	c.deactivate(f)
 }
 
-// announce adds expected work to the flow, or subtracts it if cost is negative.
+// announce adds expected work to the flow, or subtracts it if cost is below 0.
 func (c *class) announce(f *flow, cost, weight float64) {
 	cost = max(cost, -f.announced)
 	f.announced += cost
@@ -160,7 +160,7 @@
 	c.deactivate(f)
 }
 
-// charge advances the flow's virtual time by cost, or moves it back if cost is negative.
+// charge advances the flow's virtual time by cost, or moves it back if cost is below 0.
 func (c *class) charge(f *flow, cost float64) {
 	f.tag = max(f.tag+cost/f.weight, c.minTag())
 	c.maxTag = max(c.maxTag, f.tag)
--- a/scheduler/scheduler.go
+++ b/scheduler/scheduler.go
@@ -115,7 +115,7 @@
 }
 
 // Charge corrects the work charged to an account in the pool by the difference between the actual
-// and the expected cost of an item. extraCost is negative if the item cost less than expected.
+// and the expected cost of an item. extraCost is below 0 if the item cost less than expected.
 func (s *Scheduler) Charge(poolName, accountName string, extraCost float64) {
 	p, ok := s.pools[poolName]
 	if !ok {
