--- a/limiter/share.go
+++ b/limiter/share.go
@@ -77,8 +77,8 @@
 const shareWeight = 0.05
 
 // setShare sets the peer's share and updates the mean. Each entry computes the shares from the
-// reports that it has at the moment, so single values differ between entries, and the shares that
-// all reserve for each other in a partition would not add up.
+// reports that it has at the moment, so single values differ between entries. If these were
+// reserved in a partition, the shares that the entries reserve for each other would not add up.
 func (u *peerUse) setShare(share float64) {
 	u.share = share
 	if u.meanShare == 0 {
--- a/router/policy_test.go
+++ b/router/policy_test.go
@@ -137,8 +137,8 @@
 	}
 	sim.every(heartbeat, sim.sendReports)
 	for i, c := range sim.choosers {
-		if o, isRouter := c.(*routerChooser); isRouter {
-			sim.after(heartbeat*time.Duration(i)/entryCount, func() { sim.every(heartbeat, func() { sim.sendHeartbeat(i, o) }) })
+		if rc, isRouter := c.(*routerChooser); isRouter {
+			sim.after(heartbeat*time.Duration(i)/entryCount, func() { sim.every(heartbeat, func() { sim.sendHeartbeat(i, rc) }) })
 		}
 	}
 	zipf := rand.NewZipf(sim.rng, 1.2, 1, prefixes-1)
@@ -194,8 +194,8 @@
 
 // sendHeartbeat sends the heartbeat of an entry that uses the router, and delivers cache events to
 // it.
-func (sim *simulation) sendHeartbeat(i int, o *routerChooser) {
-	loads := o.router.LocalLoads(sim.now)
+func (sim *simulation) sendHeartbeat(i int, rc *routerChooser) {
+	loads := rc.router.LocalLoads(sim.now)
 	sim.after(time.Millisecond, func() {
 		for k, c := range sim.choosers {
 			if k != i {
@@ -206,15 +206,15 @@
 	})
 	for _, e := range sim.engines {
 		var events []router.CacheEvent
-		next := o.read[e.index]
+		next := rc.nextEvent[e.index]
 		for next < len(e.log) && sim.now.Sub(e.log[next].at) > eventDelay {
 			if !e.log[next].lost {
 				events = append(events, e.log[next].event)
 			}
 			next++
 		}
-		o.read[e.index] = next
-		o.router.ApplyCacheEvents(address(e.index), events, int64(next), sim.now)
+		rc.nextEvent[e.index] = next
+		rc.router.ApplyCacheEvents(address(e.index), events, int64(next), sim.now)
 	}
 }
 
@@ -237,8 +237,8 @@
 
 // routerChooser is the router under test.
 type routerChooser struct {
-	router *router.Router
-	read   [engines]int
+	router    *router.Router
+	nextEvent [engines]int
 }
 
 func newRouterChooser(entry int, seed uint64) *routerChooser {
@@ -253,23 +253,23 @@
 	return &routerChooser{router: r}
 }
 
-func (o *routerChooser) choose(j *job, now time.Time) int {
+func (rc *routerChooser) choose(j *job, now time.Time) int {
 	prefix := router.PrefixOf(j.input)
-	chosen, found := o.router.Choose(router.Query{Pool: "engines", Prefix: prefix}, now)
+	chosen, found := rc.router.Choose(router.Query{Pool: "engines", Prefix: prefix}, now)
 	if !found {
 		return -1
 	}
-	o.router.CallStarted(chosen, &prefix, now)
+	rc.router.CallStarted(chosen, &prefix, now)
 	return int(chosen[7] - '0')
 }
 
-func (o *routerChooser) jobEnded(index int, j *job, now time.Time) {
+func (rc *routerChooser) jobEnded(index int, j *job, now time.Time) {
 	took := now.Sub(j.startedAt)
-	o.router.CallEnded(address(index), router.CallEnd{Result: router.Succeeded, Duration: took, Expected: 150 * time.Millisecond}, now)
+	rc.router.CallEnded(address(index), router.CallEnd{Result: router.Succeeded, Duration: took, Expected: 150 * time.Millisecond}, now)
 }
 
-func (o *routerChooser) report(index int, r router.LoadReport, now time.Time) {
-	o.router.UpdateLoad(address(index), r, now)
+func (rc *routerChooser) report(index int, r router.LoadReport, now time.Time) {
+	rc.router.UpdateLoad(address(index), r, now)
 }
 
 // random, roundRobin and leastReported are the baselines.
