--- a/assembler/assembler.go
+++ b/assembler/assembler.go
@@ -189,7 +189,7 @@
 		case <-ctx.Done():
 			return
 		case <-signals:
-			e.performer.Post(reducer.StopSignalled{})
+			e.performer.Post(reducer.StopSignalReceived{})
 		}
 	}
 }
--- a/performer/endpoints.go
+++ b/performer/endpoints.go
@@ -103,7 +103,7 @@
 func (l *endpointReader) ask(ctx context.Context, e *readEndpoint, now time.Time) {
 	err := l.askLoad(ctx, e.address)
 	if errors.Is(err, syscall.ECONNREFUSED) {
-		l.performer.Post(reducer.EndpointRefused{Address: e.address})
+		l.performer.Post(reducer.EndpointConnectionRefused{Address: e.address})
 	}
 	if err != nil {
 		return
--- a/performer/orders.go
+++ b/performer/orders.go
@@ -44,7 +44,7 @@
 	}
 	defer drain(response)
 	if state, ok := readAssignment(response); ok {
-		o.post(reducer.AssignmentRead{Pool: e.Pool, Address: e.Address, Asked: e.Asked, State: state})
+		o.post(reducer.AssignmentRead{Pool: e.Pool, Address: e.Address, RequestedAt: e.RequestedAt, State: state})
 	}
 }
 
@@ -70,14 +70,14 @@
 }
 
 func (o *orders) send(e reducer.OrderEngine) placer.Result {
-	if lapsed(e.Until, time.Now()) {
+	if lapsed(e.Deadline, time.Now()) {
 		return placer.Refused{}
 	}
 	body, err := encodeOrder(&e.State)
 	if err != nil {
 		return placer.Refused{}
 	}
-	ctx, cancel := context.WithDeadline(o.ctx, e.Until)
+	ctx, cancel := context.WithDeadline(o.ctx, e.Deadline)
 	defer cancel()
 	connected := false
 	ctx = httptrace.WithClientTrace(ctx, &httptrace.ClientTrace{
--- a/performer/orders_test.go
+++ b/performer/orders_test.go
@@ -158,7 +158,7 @@
 	stops[s.holder()]()
 	o := newOrders(Config{Endpoints: s.client}, nil)
 	o.ctx = t.Context()
-	wrong := reducer.OrderEngine{Address: s.addresses[0], State: placer.Assignment{Model: "wrong", Version: "0", Role: publisher.RoleBoth}, Until: time.Now().Add(waitLimit)}
+	wrong := reducer.OrderEngine{Address: s.addresses[0], State: placer.Assignment{Model: "wrong", Version: "0", Role: publisher.RoleBoth}, Deadline: time.Now().Add(waitLimit)}
 	require.IsType(t, placer.Accepted{}, o.send(wrong))
 	wrong.Address = s.addresses[1]
 	require.Equal(t, placer.Refused{}, o.send(wrong), "an old number")
@@ -209,9 +209,9 @@
 			defer server.Close()
 			o := newOrders(Config{Endpoints: server.Client()}, nil)
 			o.ctx = t.Context()
-			order := reducer.OrderEngine{Address: server.Listener.Addr().String(), Until: time.Now().Add(waitLimit)}
+			order := reducer.OrderEngine{Address: server.Listener.Addr().String(), Deadline: time.Now().Add(waitLimit)}
 			require.Equal(t, s.want, o.send(order))
-			order.Until = time.Now()
+			order.Deadline = time.Now()
 			require.Equal(t, placer.Refused{}, o.send(order), "its time is over")
 		})
 	}
--- a/performer/readers.go
+++ b/performer/readers.go
@@ -88,7 +88,7 @@
 // must go on, and the event comes again with their next try.
 func (p *Performer) RefusePeer(address string) {
 	select {
-	case p.events <- reducer.PeerRefused{Address: address}:
+	case p.events <- reducer.PeerConnectionRefused{Address: address}:
 	default:
 	}
 }
--- a/performer/stages.go
+++ b/performer/stages.go
@@ -211,7 +211,7 @@
 // sendFault tells a call that was never sent, because no connection was had, from one that may have been
 // acted on. The difference decides whether a stage that must not be repeated may be tried elsewhere.
 func sendFault(err error, connected bool) reducer.StageFault {
-	fault := reducer.StageFault{Kind: reducer.FaultCut, Message: unwrapURL(err).Error()}
+	fault := reducer.StageFault{Kind: reducer.FaultConnectionLost, Message: unwrapURL(err).Error()}
 	if !connected {
 		fault.Kind = reducer.FaultNotSent
 	}
@@ -233,7 +233,7 @@
 	for lines.Scan() {
 		event := &reducer.StagePartArrived{Call: id}
 		if err := event.Part.UnmarshalJSON(lines.Bytes()); err != nil {
-			return reducer.StageFault{Kind: reducer.FaultFailed, Message: "the endpoint's reply is malformed"}, false
+			return reducer.StageFault{Kind: reducer.FaultError, Message: "the endpoint's reply is malformed"}, false
 		}
 		s.post(event)
 		if event.Part.Final {
@@ -247,7 +247,7 @@
 	if err := lines.Err(); err != nil {
 		message = err.Error()
 	}
-	return reducer.StageFault{Kind: reducer.FaultCut, Message: message}, false
+	return reducer.StageFault{Kind: reducer.FaultConnectionLost, Message: message}, false
 }
 
 // refusalFault reads why an endpoint refused a call.
@@ -258,7 +258,7 @@
 		err = json.Unmarshal(body, &refusal)
 	}
 	if err != nil {
-		return reducer.StageFault{Kind: reducer.FaultFailed, Message: "status " + strconv.Itoa(response.StatusCode)}
+		return reducer.StageFault{Kind: reducer.FaultError, Message: "status " + strconv.Itoa(response.StatusCode)}
 	}
 	return reducer.StageFault{
 		Kind:       faultKindOf(refusal.Code),
@@ -276,9 +276,9 @@
 	case endpointserver.RefusalCodeStaleFence:
 		return reducer.FaultStaleFence
 	case endpointserver.RefusalCodeBadCall:
-		return reducer.FaultBadCall
+		return reducer.FaultInvalidCall
 	default:
-		return reducer.FaultFailed
+		return reducer.FaultError
 	}
 }
 
--- a/receiver/callers.go
+++ b/receiver/callers.go
@@ -54,7 +54,7 @@
 // ListAddresses answers which entries the account should use.
 func (c *Callers) ListAddresses(ctx context.Context) (*callerserver.AddressAnswer, error) {
 	effect, err := ask(ctx, c.core, func(id uint64) reducer.Event {
-		return reducer.AddressesAsked{ID: id, Credentials: credentialsOf(ctx)}
+		return reducer.AddressesRequested{ID: id, Credentials: credentialsOf(ctx)}
 	})
 	if err != nil {
 		return nil, err
@@ -74,7 +74,7 @@
 // GetOutcome answers what is known of a request by its key.
 func (c *Callers) GetOutcome(ctx context.Context, params callerserver.GetOutcomeParams) (*callerserver.Outcome, error) {
 	effect, err := ask(ctx, c.core, func(id uint64) reducer.Event {
-		return reducer.OutcomeAsked{ID: id, Credentials: credentialsOf(ctx), Key: params.Key}
+		return reducer.OutcomeRequested{ID: id, Credentials: credentialsOf(ctx), Key: params.Key}
 	})
 	if err != nil {
 		return nil, err
@@ -147,7 +147,7 @@
 	for {
 		select {
 		case <-ctx.Done():
-			c.core.Post(reducer.CallerGone{ID: id})
+			c.core.Post(reducer.CallerDisconnected{ID: id})
 			return ctx.Err()
 		case <-reply.Signal():
 		}
--- a/receiver/operators.go
+++ b/receiver/operators.go
@@ -91,14 +91,14 @@
 		Remove:      req.Remove.Value,
 		Body:        json.RawMessage(req.Body),
 	}
-	effect, err := ask(ctx, o.core, func(id uint64) reducer.Event { return reducer.ChangeAsked{ID: id, Change: change} })
+	effect, err := ask(ctx, o.core, func(id uint64) reducer.Event { return reducer.ChangeRequested{ID: id, Change: change} })
 	return verdictOf(effect, err)
 }
 
 // GetOperation answers with the verdict on an earlier change.
 func (o *Operators) GetOperation(ctx context.Context, params operatorserver.GetOperationParams) (*operatorserver.ConfigVerdict, error) {
 	effect, err := ask(ctx, o.core, func(id uint64) reducer.Event {
-		return reducer.OperationAsked{ID: id, OperationID: params.OperationId}
+		return reducer.OperationRequested{ID: id, OperationID: params.OperationId}
 	})
 	return verdictOf(effect, err)
 }
@@ -123,7 +123,7 @@
 // GetConfig answers with the objects in force.
 func (o *Operators) GetConfig(ctx context.Context, params operatorserver.GetConfigParams) (*operatorserver.ConfigView, error) {
 	effect, err := ask(ctx, o.core, func(id uint64) reducer.Event {
-		return reducer.ConfigAsked{ID: id, ObjectKind: params.Kind.Value, Name: params.Name.Value}
+		return reducer.ConfigRequested{ID: id, ObjectKind: params.Kind.Value, Name: params.Name.Value}
 	})
 	if err != nil {
 		return nil, err
@@ -140,7 +140,7 @@
 // GetHistory answers with recent changes.
 func (o *Operators) GetHistory(ctx context.Context, params operatorserver.GetHistoryParams) (*operatorserver.ConfigHistory, error) {
 	effect, err := ask(ctx, o.core, func(id uint64) reducer.Event {
-		return reducer.HistoryAsked{ID: id, Limit: params.Limit.Or(defaultHistory)}
+		return reducer.HistoryRequested{ID: id, Limit: params.Limit.Or(defaultHistory)}
 	})
 	if err != nil {
 		return nil, err
@@ -162,7 +162,7 @@
 }
 
 func (o *Operators) stop(ctx context.Context, begin bool) (*operatorserver.StopProgress, error) {
-	effect, err := ask(ctx, o.core, func(id uint64) reducer.Event { return reducer.StopAsked{ID: id, Begin: begin} })
+	effect, err := ask(ctx, o.core, func(id uint64) reducer.Event { return reducer.StopRequested{ID: id, Begin: begin} })
 	if err != nil {
 		return nil, err
 	}
@@ -174,7 +174,7 @@
 
 // GetStatus answers with the system as this entry sees it.
 func (o *Operators) GetStatus(ctx context.Context) (*operatorserver.Status, error) {
-	effect, err := ask(ctx, o.core, func(id uint64) reducer.Event { return reducer.StatusAsked{ID: id} })
+	effect, err := ask(ctx, o.core, func(id uint64) reducer.Event { return reducer.StatusRequested{ID: id} })
 	if err != nil {
 		return nil, err
 	}
--- a/receiver/receiver.go
+++ b/receiver/receiver.go
@@ -26,7 +26,7 @@
 	for {
 		select {
 		case <-ctx.Done():
-			core.Post(reducer.CallerGone{ID: id})
+			core.Post(reducer.CallerDisconnected{ID: id})
 			return nil, ctx.Err()
 		case <-reply.Signal():
 			if effects := reply.Take(); len(effects) > 0 {
--- a/reducer/ask.go
+++ b/reducer/ask.go
@@ -35,7 +35,7 @@
 	notRunBy []string
 }
 
-func (c *Core) takeAddressesAsked(e AddressesAsked, _ time.Time) {
+func (c *Core) takeAddressesAsked(e AddressesRequested, _ time.Time) {
 	if _, failure := c.authenticate(e.Credentials); failure != nil {
 		c.refuse(e.ID, "", *failure)
 		return
@@ -45,12 +45,12 @@
 
 // takeOutcomeAsked answers by what this entry knows, else by what its peers know. That a request ended here
 // without an answer is not final: its caller may have sent it again to another entry, where it ran.
-func (c *Core) takeOutcomeAsked(e OutcomeAsked, now time.Time) {
+func (c *Core) takeOutcomeAsked(e OutcomeRequested, now time.Time) {
 	if _, failure := c.authenticate(e.Credentials); failure != nil {
 		c.refuse(e.ID, e.Key, *failure)
 		return
 	}
-	c.counters.OutcomesAsked++
+	c.counters.OutcomesRequested++
 	key := claimer.Key{Account: e.Credentials.Account, Key: e.Key}
 	outcome := c.localOutcome(key)
 	if outcome.State == StateAnswered || outcome.State == StateRunning {
--- a/reducer/callergone_test.go
+++ b/reducer/callergone_test.go
@@ -41,7 +41,7 @@
 			callers[1] = w.send(0, s.pipeline, key, "wall 7", deadline).id
 			waiting := map[uint64]bool{callers[0]: true, callers[1]: true}
 			for _, i := range s.leave {
-				w.give(0, CallerGone{ID: callers[i]})
+				w.give(0, CallerDisconnected{ID: callers[i]})
 				w.run(2 * stepTime)
 				delete(waiting, callers[i])
 			}
--- a/reducer/change_bench_test.go
+++ b/reducer/change_bench_test.go
@@ -63,7 +63,7 @@
 	core := reducer.New(reducer.Config{
 		Entry: "entry-1", Incarnation: 1, Zone: "zone-a", CallerAddress: benchAddress(1), PeerAddress: benchAddress(2),
 		HeartbeatEvery: time.Hour, SuspectAfter: time.Hour, DeadAfter: time.Hour, AddressTTL: time.Second,
-		KeyHorizon: time.Hour, MaxDeadline: benchTimeout, StageTimeout: benchTimeout, OutcomesKept: 1000,
+		KeyHorizon: time.Hour, MaxDeadline: benchTimeout, StageTimeout: benchTimeout, MaxOutcomes: 1000,
 	}, benchEpoch)
 	core.Reduce(reducer.LogRead{Stream: reducer.StreamConfig, Records: benchConfiguration(accounts), AtEnd: true}, benchEpoch)
 	core.Reduce(reducer.VMsListed{Endpoints: []router.VM{{Address: benchAddress(3), Pool: benchPool, Zone: "zone-a"}}}, benchEpoch)
--- a/reducer/config.go
+++ b/reducer/config.go
@@ -78,7 +78,7 @@
 }
 
 // takeChange checks an operator's change and appends it. The log's order decides about it.
-func (c *Core) takeChange(e ChangeAsked, now time.Time) {
+func (c *Core) takeChange(e ChangeRequested, now time.Time) {
 	if verdict, decided := c.fold.Verdict(e.Change.OperationID); decided {
 		c.emit(SendVerdict{ID: e.ID, Verdict: verdictOf(verdict)})
 		return
@@ -149,7 +149,7 @@
 	}
 }
 
-func (c *Core) takeOperationAsked(e OperationAsked) {
+func (c *Core) takeOperationAsked(e OperationRequested) {
 	verdict, decided := c.fold.Verdict(e.OperationID)
 	if !decided {
 		c.emit(SendRefusal{ID: e.ID, Code: "unknownOperation", Message: "no change with this operation id has been read from the log"})
@@ -158,7 +158,7 @@
 	c.emit(SendVerdict{ID: e.ID, Verdict: verdictOf(verdict)})
 }
 
-func (c *Core) takeConfigAsked(e ConfigAsked) {
+func (c *Core) takeConfigAsked(e ConfigRequested) {
 	view := operatorserver.ConfigView{Offset: c.fold.Offset(), Objects: []operatorserver.ConfigObject{}}
 	for _, object := range c.fold.Objects(e.ObjectKind, e.Name) {
 		view.Objects = append(view.Objects, operatorserver.ConfigObject{
@@ -171,7 +171,7 @@
 	c.emit(SendConfig{ID: e.ID, View: view})
 }
 
-func (c *Core) takeHistoryAsked(e HistoryAsked) {
+func (c *Core) takeHistoryAsked(e HistoryRequested) {
 	history := operatorserver.ConfigHistory{Changes: []operatorserver.ConfigVerdict{}}
 	for _, verdict := range c.fold.History(e.Limit) {
 		history.Changes = append(history.Changes, verdictOf(verdict))
--- a/reducer/core.go
+++ b/reducer/core.go
@@ -52,7 +52,7 @@
 	// StageTimeout bounds the wait for an endpoint's next part.
 	StageTimeout time.Duration
 	// OutcomesKept bounds the outcomes that callers may still ask for.
-	OutcomesKept int
+	MaxOutcomes int
 
 	// Router, Retrier and Quarantiner set these deciders up; their zero values take the defaults.
 	Router      router.Config
@@ -184,7 +184,7 @@
 		applied:   map[string]*publisher.Contract{},
 		running:   map[claimer.Key]*request{},
 		claiming:  map[uint64]*request{},
-		outcomes:  newOutcomeStore(cfg.OutcomesKept),
+		outcomes:  newOutcomeStore(cfg.MaxOutcomes),
 		asked:     map[uint64]*pendingAsk{},
 		publishes: map[string]*pendingChange{},
 		logs: map[Stream]*logHealth{
@@ -225,11 +225,11 @@
 		c.takePart(e, now)
 	case StageFailed:
 		c.takeFault(e, now)
-	case CallerGone:
+	case CallerDisconnected:
 		c.takeCallerGone(e, now)
-	case AddressesAsked:
+	case AddressesRequested:
 		c.takeAddressesAsked(e, now)
-	case OutcomeAsked:
+	case OutcomeRequested:
 		c.takeOutcomeAsked(e, now)
 	case LogRead:
 		c.takeLogRead(e, now)
@@ -241,27 +241,27 @@
 		c.takePeerMessage(e, now)
 	case VMsListed:
 		c.takeVMs(e, now)
-	case PeerRefused:
+	case PeerConnectionRefused:
 		c.takeTransitions(c.detector.ConnectionRefused(e.Address, now), now)
-	case EndpointRefused:
+	case EndpointConnectionRefused:
 		c.takeEndpointRefused(e, now)
 	case LoadReported:
 		c.router.UpdateLoad(e.Address, e.Report, now)
 	case CacheEventsRead:
 		c.router.ApplyCacheEvents(e.Address, e.Events, e.Next, now)
-	case ChangeAsked:
+	case ChangeRequested:
 		c.takeChange(e, now)
-	case OperationAsked:
+	case OperationRequested:
 		c.takeOperationAsked(e)
-	case ConfigAsked:
+	case ConfigRequested:
 		c.takeConfigAsked(e)
-	case HistoryAsked:
+	case HistoryRequested:
 		c.takeHistoryAsked(e)
-	case StatusAsked:
+	case StatusRequested:
 		c.emit(SendStatus{ID: e.ID, Status: c.status(now)})
-	case StopAsked:
+	case StopRequested:
 		c.takeStopAsked(e, now)
-	case StopSignalled:
+	case StopSignalReceived:
 		c.beginStop(now)
 	case AssignmentRead:
 		c.takeAssignment(e, now)
--- a/reducer/counters.go
+++ b/reducer/counters.go
@@ -34,7 +34,7 @@
 	StageRetries      uint64
 	StageHedges       uint64
 	StageResumes      uint64
-	PartsForeign      uint64
+	PartsMisdelivered      uint64
 	PartsLate         uint64
 	PartsOverlapping  uint64
 	PartsAfterGap     uint64
@@ -42,20 +42,20 @@
 	ClaimsWon         uint64
 	ClaimsLost        uint64
 	ClaimsLate        uint64
-	ClaimsRecordsBad  uint64
-	ConfigRecordsBad  uint64
+	ClaimRecordsInvalid  uint64
+	ConfigRecordsInvalid  uint64
 	ConfigAccepted    uint64
 	ConfigConflicts   uint64
 	ConfigInvalid     uint64
-	OutcomesAsked     uint64
+	OutcomesRequested     uint64
 	OutcomesHandedOff uint64
-	PoisonRefused     uint64
+	RequestsQuarantined     uint64
 	ConfigFromPeers   uint64
 	HeartbeatsSent    uint64
-	HeartbeatsTaken   uint64
-	PausesNoticed     uint64
+	HeartbeatsReceived   uint64
+	PausesDetected     uint64
 	EndpointsEjected  uint64
-	PoisonFound       uint64
+	ContentsQuarantined       uint64
 	OrdersSent        uint64
 	OrdersRefused     uint64
 	OrdersUncertain   uint64
--- a/reducer/effect.go
+++ b/reducer/effect.go
@@ -146,7 +146,7 @@
 	Pool    string
 	Address string
 	// Asked is from before the question is sent.
-	Asked time.Time
+	RequestedAt time.Time
 }
 
 // OrderEngine has an engine ordered to a state.
@@ -156,7 +156,7 @@
 	State   placer.Assignment
 	// Until is when the order must be over, inside the orderer's lease. It is an instant and not a span: a pause
 	// of the process between this effect and the sending would lengthen a span past the lease.
-	Until time.Time
+	Deadline time.Time
 }
 
 // LogChange has a change of state written to the log of this process.
--- a/reducer/end.go
+++ b/reducer/end.go
@@ -115,7 +115,7 @@
 
 // takeCallerGone cancels work that nobody waits for. A request with side effects goes on:
 // its caller may ask for its outcome by the key.
-func (c *Core) takeCallerGone(e CallerGone, now time.Time) {
+func (c *Core) takeCallerGone(e CallerDisconnected, now time.Time) {
 	r, running := c.requests[e.ID]
 	if first, joined := c.joined[e.ID]; joined {
 		delete(c.joined, e.ID)
--- a/reducer/event.go
+++ b/reducer/event.go
@@ -36,16 +36,16 @@
 }
 
 // CallerGone tells that the caller of a request has closed its connection.
-type CallerGone struct{ ID uint64 }
+type CallerDisconnected struct{ ID uint64 }
 
 // AddressesAsked is a caller's question which entries to use.
-type AddressesAsked struct {
+type AddressesRequested struct {
 	ID          uint64
 	Credentials Credentials
 }
 
 // OutcomeAsked is a caller's question for the outcome of a request by its key.
-type OutcomeAsked struct {
+type OutcomeRequested struct {
 	ID          uint64
 	Credentials Credentials
 	Key         string
@@ -77,11 +77,11 @@
 	// FaultStaleFence means that the endpoint refused because it saw a newer claim.
 	FaultStaleFence
 	// FaultBadCall means that the endpoint refuses the call wherever it is sent.
-	FaultBadCall
+	FaultInvalidCall
 	// FaultFailed means that the endpoint may have acted on the call and answered an error.
-	FaultFailed
+	FaultError
 	// FaultCut means that the connection ended after the call was sent.
-	FaultCut
+	FaultConnectionLost
 	// FaultTimeout means that the endpoint did not answer within the stage's budget.
 	FaultTimeout
 )
@@ -154,54 +154,54 @@
 }
 
 // PeerRefused tells that no process listens at a peer address.
-type PeerRefused struct{ Address string }
+type PeerConnectionRefused struct{ Address string }
 
 // EndpointRefused tells that nothing serves at an endpoint's address: it refused the question for its load.
-type EndpointRefused struct{ Address string }
+type EndpointConnectionRefused struct{ Address string }
 
 // ChangeAsked is an operator's change of configuration.
-type ChangeAsked struct {
+type ChangeRequested struct {
 	ID     uint64
 	Change publisher.Change
 }
 
 // OperationAsked is an operator's question for the verdict on an earlier change.
-type OperationAsked struct {
+type OperationRequested struct {
 	ID          uint64
 	OperationID string
 }
 
 // ConfigAsked is an operator's question for the objects in force.
-type ConfigAsked struct {
+type ConfigRequested struct {
 	ID         uint64
 	ObjectKind string
 	Name       string
 }
 
 // HistoryAsked is an operator's question for recent changes.
-type HistoryAsked struct {
+type HistoryRequested struct {
 	ID    uint64
 	Limit int
 }
 
 // StatusAsked is an operator's question for the system as this entry sees it.
-type StatusAsked struct{ ID uint64 }
+type StatusRequested struct{ ID uint64 }
 
 // StopAsked starts a planned stop, or only asks for its progress.
-type StopAsked struct {
+type StopRequested struct {
 	ID    uint64
 	Begin bool
 }
 
 // StopSignalled is the process's signal to stop as planned.
-type StopSignalled struct{}
+type StopSignalReceived struct{}
 
 // AssignmentRead is what an engine of a placed pool holds.
 type AssignmentRead struct {
 	Pool    string
 	Address string
 	// Asked is that of the effect ReadAssignment.
-	Asked time.Time
+	RequestedAt time.Time
 	State placer.Assignment
 }
 
@@ -216,9 +216,9 @@
 type Ticked struct{}
 
 func (*RequestArrived) event()    {}
-func (CallerGone) event()         {}
-func (AddressesAsked) event()     {}
-func (OutcomeAsked) event()       {}
+func (CallerDisconnected) event()         {}
+func (AddressesRequested) event()     {}
+func (OutcomeRequested) event()       {}
 func (*StagePartArrived) event()  {}
 func (StageFailed) event()        {}
 func (LogRead) event()            {}
@@ -226,17 +226,17 @@
 func (Appended) event()           {}
 func (PeerMessageArrived) event() {}
 func (VMsListed) event()          {}
-func (PeerRefused) event()        {}
-func (EndpointRefused) event()    {}
+func (PeerConnectionRefused) event()        {}
+func (EndpointConnectionRefused) event()    {}
 func (LoadReported) event()       {}
 func (CacheEventsRead) event()    {}
-func (ChangeAsked) event()        {}
-func (OperationAsked) event()     {}
-func (ConfigAsked) event()        {}
-func (HistoryAsked) event()       {}
-func (StatusAsked) event()        {}
-func (StopAsked) event()          {}
-func (StopSignalled) event()      {}
+func (ChangeRequested) event()        {}
+func (OperationRequested) event()     {}
+func (ConfigRequested) event()        {}
+func (HistoryRequested) event()       {}
+func (StatusRequested) event()        {}
+func (StopRequested) event()          {}
+func (StopSignalReceived) event()      {}
 func (AssignmentRead) event()     {}
 func (OrderEnded) event()         {}
 func (Ticked) event()             {}
--- a/reducer/fault.go
+++ b/reducer/fault.go
@@ -23,9 +23,9 @@
 		// The endpoint took the call before it was cut. That it is unreachable, or does not know the
 		// stream, when the reply is read on must not pass for "not run": a stage that must not be
 		// repeated would be run again. It is what a cut without resuming is.
-		e.Fault.Kind = FaultCut
+		e.Fault.Kind = FaultConnectionLost
 	}
-	if e.Fault.Kind == FaultCut && c.countCrash(r, address, now) {
+	if e.Fault.Kind == FaultConnectionLost && c.countCrash(r, address, now) {
 		return
 	}
 	hedgesLeft := len(r.calls) > 1
@@ -41,7 +41,7 @@
 	r.calls = slices.Delete(r.calls, at, at+1)
 	r.tried = append(r.tried, address)
 	pool := r.stageConfig().Pool
-	if e.Fault.Kind == FaultFailed {
+	if e.Fault.Kind == FaultError {
 		c.readAgain(pool, address, now)
 	}
 	if !hedgesLeft {
@@ -53,7 +53,7 @@
 // resume reads the rest of a cut stream at its endpoint. It runs nothing again, so it may be done
 // for stages that must not be repeated too.
 func (c *Core) resume(r *request, k *call, e StageFailed, now time.Time) bool {
-	if e.Fault.Kind != FaultCut || k.streamID == "" || r.resumes >= maxResumes {
+	if e.Fault.Kind != FaultConnectionLost || k.streamID == "" || r.resumes >= maxResumes {
 		return false
 	}
 	r.resumes++
@@ -68,7 +68,7 @@
 // surelyNotRun tells whether the endpoint certainly did not act on the call.
 func surelyNotRun(kind FaultKind) bool {
 	switch kind {
-	case FaultNotSent, FaultLeaving, FaultBusy, FaultStaleFence, FaultBadCall:
+	case FaultNotSent, FaultLeaving, FaultBusy, FaultStaleFence, FaultInvalidCall:
 		return true
 	default:
 		return false
@@ -83,7 +83,7 @@
 		return router.Unreachable
 	case FaultBusy:
 		return router.RefusedBusy
-	case FaultStaleFence, FaultBadCall:
+	case FaultStaleFence, FaultInvalidCall:
 		return router.Cancelled
 	default:
 		return router.Failed
@@ -94,7 +94,7 @@
 func (c *Core) decideAfterFault(r *request, fault StageFault, now time.Time) {
 	stage := r.stageConfig()
 	switch {
-	case fault.Kind == FaultBadCall || fault.Kind == FaultStaleFence:
+	case fault.Kind == FaultInvalidCall || fault.Kind == FaultStaleFence:
 		c.fail(r, CodeStageFailed, "an endpoint refused the call: "+fault.Message, 0, now)
 	case !surelyNotRun(fault.Kind) && !stage.Repeatable:
 		// The endpoint may have acted, and a second call might act twice.
@@ -103,7 +103,7 @@
 		// A leaving endpoint's refusal is no sign of trouble in the pool, so it costs no retry. Nor does a
 		// refused connection: it is no work for the pool, and the endpoint is out of use after it.
 		c.enqueue(r, now)
-	case fault.Kind == FaultCut && r.attempts < maxLoneTries:
+	case fault.Kind == FaultConnectionLost && r.attempts < maxLoneTries:
 		// The next try runs alone, and few at a time do, so it needs no budget against a storm.
 		c.counters.StageRetries++
 		c.enqueue(r, now)
@@ -130,7 +130,7 @@
 }
 
 // takeEndpointRefused takes a sign that an endpoint is down which no call of a request had to find out.
-func (c *Core) takeEndpointRefused(e EndpointRefused, now time.Time) {
+func (c *Core) takeEndpointRefused(e EndpointConnectionRefused, now time.Time) {
 	if c.router.MarkUnreachable(e.Address, now) {
 		c.noteEjected(e.Address)
 	}
--- a/reducer/log.go
+++ b/reducer/log.go
@@ -47,7 +47,7 @@
 			c.takeClaimDecision(decision, now)
 		}
 	}
-	c.counters.ClaimsRecordsBad = uint64(c.table.Bad())
+	c.counters.ClaimRecordsInvalid = uint64(c.table.Bad())
 }
 
 // takeLogFailed notes that a stream can't be read now.
@@ -76,7 +76,7 @@
 			c.takeVerdict(verdict)
 		}
 	}
-	c.counters.ConfigRecordsBad = uint64(c.fold.Bad())
+	c.counters.ConfigRecordsInvalid = uint64(c.fold.Bad())
 	if incomplete {
 		c.applyAll(now)
 	}
--- a/reducer/order.go
+++ b/reducer/order.go
@@ -102,7 +102,7 @@
 	right := placer.Lease{Fence: lease.Fence, Granted: lease.Granted}
 	for _, order := range o.placer.Orders(placement, c.modelsInUse(o.pool), right, now) {
 		c.countOrder(&order)
-		c.emit(OrderEngine{Pool: o.pool, Address: order.Address, State: order.State, Until: now.Add(min(lease.Left, orderTimeout))})
+		c.emit(OrderEngine{Pool: o.pool, Address: order.Address, State: order.State, Deadline: now.Add(min(lease.Left, orderTimeout))})
 	}
 }
 
@@ -129,7 +129,7 @@
 			continue
 		}
 		asked[address] = now
-		c.emit(ReadAssignment{Pool: o.pool, Address: address, Asked: now})
+		c.emit(ReadAssignment{Pool: o.pool, Address: address, RequestedAt: now})
 	}
 	o.asked = asked
 }
@@ -192,7 +192,7 @@
 
 func (c *Core) takeAssignment(e AssignmentRead, now time.Time) {
 	if o, placed := c.orderings[e.Pool]; placed {
-		o.placer.ObserveState(e.Address, e.State, e.Asked, now)
+		o.placer.ObserveState(e.Address, e.State, e.RequestedAt, now)
 		c.pump(e.Pool, now)
 	}
 }
--- a/reducer/order_test.go
+++ b/reducer/order_test.go
@@ -110,7 +110,7 @@
 	}
 	switch e := at.effect.(type) {
 	case ReadAssignment:
-		f.back(at, AssignmentRead{Pool: e.Pool, Address: e.Address, Asked: e.Asked, State: f.engines[e.Address].read(f.now)})
+		f.back(at, AssignmentRead{Pool: e.Pool, Address: e.Address, RequestedAt: e.RequestedAt, State: f.engines[e.Address].read(f.now)})
 	case OrderEngine:
 		if f.freeze {
 			f.freeze = false
@@ -120,7 +120,7 @@
 			return false
 		}
 		var result placer.Result = placer.Refused{}
-		if f.late || f.now.Before(e.Until) {
+		if f.late || f.now.Before(e.Deadline) {
 			result = f.engines[e.Address].take(at.node, e.State, f.now)
 		}
 		f.back(at, OrderEnded{Pool: e.Pool, Address: e.Address, Result: result})
@@ -141,7 +141,7 @@
 	state := f.engines[e.Address].read(f.now)
 	if state.Model != e.Body.Model.Value || state.Loading {
 		f.misplaced++
-		f.back(at, StageFailed{Call: e.Call, Fault: StageFault{Kind: FaultFailed}})
+		f.back(at, StageFailed{Call: e.Call, Fault: StageFault{Kind: FaultError}})
 		return false
 	}
 	f.running = append(f.running, runningCall{call: at, ends: f.now.Add(callTime)})
--- a/reducer/peer.go
+++ b/reducer/peer.go
@@ -39,7 +39,7 @@
 }
 
 func (c *Core) takeHeartbeat(message *carrier.Heartbeat, now time.Time) {
-	c.counters.HeartbeatsTaken++
+	c.counters.HeartbeatsReceived++
 	c.takeTransitions(c.detector.Receive(message, now), now)
 	c.ownerReplaced(message.From.Name, message.From.Incarnation)
 	c.router.UpdatePeerLoads(message.From.Name, message.Endpoints, now)
@@ -119,7 +119,7 @@
 func (c *Core) takeTransitions(transitions []detector.Transition, now time.Time) {
 	for _, t := range transitions {
 		if t.Resumed() {
-			c.counters.PausesNoticed++
+			c.counters.PausesDetected++
 		}
 		c.emit(LogChange{Message: "entry", Subject: t.Member.Name, From: t.From.String(), To: t.To.String()})
 		if t.Member.Name == c.cfg.Entry {
--- a/reducer/publish_test.go
+++ b/reducer/publish_test.go
@@ -65,7 +65,7 @@
 	}
 	w.run(100 * time.Millisecond)
 	id := w.id()
-	w.give(1, OperationAsked{ID: id, OperationID: "lost-1"})
+	w.give(1, OperationRequested{ID: id, OperationID: "lost-1"})
 	require.Equal(t, operatorserver.ConfigVerdictVerdictAccepted, w.verdict(id).Verdict)
 	require.Equal(t, operatorserver.ConfigVerdictVerdictAccepted, w.verdict(w.change(1, "lost-1", contract(5), base)).Verdict)
 	require.Contains(t, []operatorserver.ConfigVerdictVerdict{operatorserver.ConfigVerdictVerdictAccepted, operatorserver.ConfigVerdictVerdictPending},
@@ -220,14 +220,14 @@
 		held = append(held, f)
 		return false
 	}
-	w.give(0, StopSignalled{})
+	w.give(0, StopSignalReceived{})
 	for i := uint16(0); !w.nodes[0].dead; i++ {
 		if w.now.Sub(begun) < time.Second {
 			sent = append(sent, w.send(0, ticket, keyAt(w.now, i), fmt.Sprintf("wall %d", i), deadline))
 			sent = append(sent, w.send(0, summary, fmt.Sprintf("case-%d", i), fmt.Sprintf("case %d", i), deadline))
 		}
 		if w.now.Sub(begun) == 500*time.Millisecond {
-			w.give(0, StopSignalled{})
+			w.give(0, StopSignalReceived{})
 		}
 		if w.now.Sub(begun) > 2*time.Second {
 			w.queue = append(w.queue, held...)
--- a/reducer/quarantine.go
+++ b/reducer/quarantine.go
@@ -50,11 +50,11 @@
 
 // quarantine ends all requests with the content.
 func (c *Core) quarantine(digest [32]byte, now time.Time) {
-	c.counters.PoisonFound++
+	c.counters.ContentsQuarantined++
 	for _, id := range slices.Sorted(maps.Keys(c.requests)) {
 		r := c.requests[id]
 		if r.digest == digest {
-			c.counters.PoisonRefused++
+			c.counters.RequestsQuarantined++
 			c.fail(r, CodeQuarantined, "the endpoints that ran this content were lost; it is not run again", 0, now)
 		}
 	}
@@ -75,7 +75,7 @@
 func (c *Core) divert(r *request, now time.Time) bool {
 	switch c.quarantiner.Verdict(r.digest, now) {
 	case quarantiner.Quarantined:
-		c.counters.PoisonRefused++
+		c.counters.RequestsQuarantined++
 		c.fail(r, CodeQuarantined, "the endpoints that ran this content were lost; it is not run again", 0, now)
 		return true
 	case quarantiner.Suspect:
--- a/reducer/reply_test.go
+++ b/reducer/reply_test.go
@@ -70,8 +70,8 @@
 		{"connection refused", FaultNotSent},
 		{"endpoint busy", FaultBusy},
 		{"endpoint leaving", FaultLeaving},
-		{"stream unknown", FaultBadCall},
-		{"cut again", FaultCut},
+		{"stream unknown", FaultInvalidCall},
+		{"cut again", FaultConnectionLost},
 	} {
 		t.Run(s.testName, func(t *testing.T) {
 			w := serving(t, 2)
@@ -158,7 +158,7 @@
 		part, is := f.event.(*StagePartArrived)
 		if is && late == nil && part.Part.Stage == "draft" && part.Part.Final {
 			late = part
-			w.back(f, StageFailed{Call: part.Call, Fault: StageFault{Kind: FaultFailed}})
+			w.back(f, StageFailed{Call: part.Call, Fault: StageFault{Kind: FaultError}})
 			return false
 		}
 		return true
--- a/reducer/serving_test.go
+++ b/reducer/serving_test.go
@@ -30,7 +30,7 @@
 		change.Kind, change.Name = publisher.KindPlacement, o.Name
 	}
 	id := w.id()
-	w.give(i, ChangeAsked{ID: id, Change: change})
+	w.give(i, ChangeRequested{ID: id, Change: change})
 	return id
 }
 
--- a/reducer/simendpoint_test.go
+++ b/reducer/simendpoint_test.go
@@ -48,7 +48,7 @@
 		p.fault(e, stage.Call, reducer.FaultNotSent)
 		return
 	case p.failing:
-		p.fault(e, stage.Call, reducer.FaultFailed)
+		p.fault(e, stage.Call, reducer.FaultError)
 		return
 	}
 	call := &simCall{entry: e, stage: stage}
@@ -122,7 +122,7 @@
 }
 
 func (p *simEndpoint) resume(e *simEntry, f reducer.ResumeStage) {
-	kind := reducer.FaultFailed
+	kind := reducer.FaultError
 	if p.dead {
 		kind = reducer.FaultNotSent
 	}
@@ -140,6 +140,6 @@
 	p.calls, p.queue, p.running = nil, nil, 0
 	for _, call := range lost {
 		call.gone = true
-		p.fault(call.entry, call.stage.Call, reducer.FaultCut)
+		p.fault(call.entry, call.stage.Call, reducer.FaultConnectionLost)
 	}
 }
--- a/reducer/stage.go
+++ b/reducer/stage.go
@@ -212,8 +212,8 @@
 	// endpoint. Taking it would show one account another's data, so it is dropped, and the call has
 	// failed: its own reply is not going to come on this connection.
 	if e.Part.RequestId != r.name || e.Part.Stage != r.stageConfig().Name || e.Part.Attempt != k.attempt {
-		c.counters.PartsForeign++
-		c.takeFault(StageFailed{Call: e.Call, Fault: StageFault{Kind: FaultFailed, Message: "the reply was another call's"}}, now)
+		c.counters.PartsMisdelivered++
+		c.takeFault(StageFailed{Call: e.Call, Fault: StageFault{Kind: FaultError, Message: "the reply was another call's"}}, now)
 		return
 	}
 	k.lastPart = now
@@ -236,7 +236,7 @@
 		k.early = map[int]endpointserver.StagePart{}
 	}
 	if len(k.early) >= maxReordered {
-		c.takeFault(StageFailed{Call: e.Call, Fault: StageFault{Kind: FaultCut, Message: "parts are missing"}}, now)
+		c.takeFault(StageFailed{Call: e.Call, Fault: StageFault{Kind: FaultConnectionLost, Message: "parts are missing"}}, now)
 		return
 	}
 	k.early[e.Part.Seq] = e.Part
@@ -282,16 +282,16 @@
 	k := &r.calls[at]
 	id := CallID{Request: r.id, Stage: r.stage, Attempt: k.attempt}
 	if part.Error.Value != "" {
-		c.takeFault(StageFailed{Call: id, Fault: StageFault{Kind: FaultFailed, Message: part.Error.Value}}, now)
+		c.takeFault(StageFailed{Call: id, Fault: StageFault{Kind: FaultError, Message: part.Error.Value}}, now)
 		return
 	}
 	if part.Total.Value != k.nextSeq {
-		c.takeFault(StageFailed{Call: id, Fault: StageFault{Kind: FaultFailed, Message: "the reply's total differs from its parts"}}, now)
+		c.takeFault(StageFailed{Call: id, Fault: StageFault{Kind: FaultError, Message: "the reply's total differs from its parts"}}, now)
 		return
 	}
 	text := k.text.whole()
 	if !strings.HasPrefix(text, r.sent) {
-		c.takeFault(StageFailed{Call: id, Fault: StageFault{Kind: FaultFailed, Message: "the reply differs from what was sent"}}, now)
+		c.takeFault(StageFailed{Call: id, Fault: StageFault{Kind: FaultError, Message: "the reply differs from what was sent"}}, now)
 		return
 	}
 	c.forward(r, k, now)
--- a/reducer/stop.go
+++ b/reducer/stop.go
@@ -28,7 +28,7 @@
 	c.beat(now)
 }
 
-func (c *Core) takeStopAsked(e StopAsked, now time.Time) {
+func (c *Core) takeStopAsked(e StopRequested, now time.Time) {
 	if e.Begin {
 		c.beginStop(now)
 	}
--- a/reducer/system_test.go
+++ b/reducer/system_test.go
@@ -328,7 +328,7 @@
 func (s *system) ejected(pool string) float64 {
 	most := 0.0
 	for _, e := range s.entries {
-		s.give(e, reducer.StatusAsked{})
+		s.give(e, reducer.StatusRequested{})
 		all, out := 0, 0
 		for _, endpoint := range s.status.Endpoints {
 			if endpoint.Pool != pool {
--- a/reducer/world_test.go
+++ b/reducer/world_test.go
@@ -263,10 +263,10 @@
 	switch how {
 	case "silent":
 	case "cutAfterRun":
-		w.back(f, StageFailed{Call: e.Call, Fault: StageFault{Kind: FaultCut}})
+		w.back(f, StageFailed{Call: e.Call, Fault: StageFault{Kind: FaultConnectionLost}})
 	case "cutMidway":
 		w.sendParts(f, e.Call, []endpointserver.StagePart{head})
-		w.back(f, StageFailed{Call: e.Call, Fault: StageFault{Kind: FaultCut}})
+		w.back(f, StageFailed{Call: e.Call, Fault: StageFault{Kind: FaultConnectionLost}})
 	case "foreign":
 		head.RequestId, head.Text = "entry-9.1.1", "foreign"
 		w.sendParts(f, e.Call, []endpointserver.StagePart{head, tail})
@@ -357,7 +357,7 @@
 // ask asks a node for the outcome of a key.
 func (w *world) ask(i int, key string) uint64 {
 	id := w.id()
-	w.give(i, OutcomeAsked{ID: id, Credentials: Credentials{Account: account, Hash: hash}, Key: key})
+	w.give(i, OutcomeRequested{ID: id, Credentials: Credentials{Account: account, Hash: hash}, Key: key})
 	return id
 }
 
