--- a/reducer/aside.go
+++ b/reducer/aside.go
@@ -8,39 +8,39 @@
 )
 
 // maxSetAside bounds the items that one pump passes over for want of an endpoint with their model.
-const maxSetAside = 32
+const maxDeferredItems = 32
 
 // setAside holds the items that found no endpoint while a pump looks for items of other models.
-type setAside struct {
+type deferredItems struct {
 	items []scheduler.Item
 	// models are those that no free endpoint holds, so that each is looked for once in a pump.
-	models []string
+	unavailableModels []string
 }
 
 // choose names an endpoint for the request's present stage.
-func (c *Core) choose(r *request, aside *setAside, now time.Time) (string, bool) {
-	model := r.stageConfig().Model
-	if slices.Contains(aside.models, model) {
+func (c *Core) chooseEndpoint(r *request, deferred *deferredItems, now time.Time) (string, bool) {
+	model := r.currentStage().Model
+	if slices.Contains(deferred.unavailableModels, model) {
 		return "", false
 	}
-	address, found := c.router.Choose(c.askOf(r), now)
+	address, found := c.router.Choose(c.routerQuery(r), now)
 	if !found {
-		aside.models = append(aside.models, model)
+		deferred.unavailableModels = append(deferred.unavailableModels, model)
 	}
 	return address, found
 }
 
 // setAside tells whether the pump may look for items of other models behind one that found no endpoint.
-func (c *Core) setAside(pool string, item scheduler.Item, aside *setAside) bool {
-	aside.items = append(aside.items, item)
-	if _, placed := c.orderings[pool]; !placed {
+func (c *Core) deferItem(pool string, item scheduler.Item, deferred *deferredItems) bool {
+	deferred.items = append(deferred.items, item)
+	if _, placed := c.placedPools[pool]; !placed {
 		return false
 	}
-	return len(aside.items) < maxSetAside
+	return len(deferred.items) < maxDeferredItems
 }
 
-func (c *Core) putBack(pool string, aside *setAside, now time.Time) {
-	for _, item := range aside.items {
+func (c *Core) requeueDeferred(pool string, deferred *deferredItems, now time.Time) {
+	for _, item := range deferred.items {
 		c.scheduler.Push(pool, item, now)
 	}
 }
--- a/reducer/config.go
+++ b/reducer/config.go
@@ -16,7 +16,7 @@
 
 const (
 	// recordsKept bounds the configuration records that are passed on to peers one by one.
-	recordsKept = 1024
+	maxConfigRecords = 1024
 	// changeTimeout is how long an operator waits for the verdict on a change.
 	changeTimeout = 5 * time.Second
 )
@@ -45,7 +45,7 @@
 }
 
 // restart forgets all records: those past the floor that are added from now on are whole again.
-func (r *recordRing) restart(floor int64) {
+func (r *recordRing) reset(floor int64) {
 	r.floor = floor
 	r.records = nil
 }
@@ -63,12 +63,12 @@
 
 // pendingChange is an operator's change whose verdict has not been read back.
 type pendingChange struct {
-	asks    []uint64
+	waiters []uint64
 	change  publisher.Change
 	batchID uint64
 }
 
-func limitsOf(contract *publisher.Contract) limiter.Limits {
+func contractLimits(contract *publisher.Contract) limiter.Limits {
 	return limiter.Limits{
 		RatePerSecond: contract.RatePerSecond,
 		Burst:         contract.Burst,
@@ -78,13 +78,13 @@
 }
 
 // takeChange checks an operator's change and appends it. The log's order decides about it.
-func (c *Core) takeChange(e ChangeRequested, now time.Time) {
+func (c *Core) handleChangeRequested(e ChangeRequested, now time.Time) {
 	if verdict, decided := c.fold.Verdict(e.Change.OperationID); decided {
-		c.emit(SendVerdict{ID: e.ID, Verdict: verdictOf(verdict)})
+		c.emit(SendVerdict{ID: e.ID, Verdict: verdictToAPI(verdict)})
 		return
 	}
-	if pending, waiting := c.publishes[e.Change.OperationID]; waiting {
-		pending.asks = append(pending.asks, e.ID)
+	if pending, waiting := c.pendingChanges[e.Change.OperationID]; waiting {
+		pending.waiters = append(pending.waiters, e.ID)
 		return
 	}
 	if faults := c.fold.CheckChange(e.Change); len(faults) > 0 {
@@ -97,48 +97,48 @@
 		c.emit(SendRefusal{ID: e.ID, Code: "invalidConfiguration", Message: err.Error()})
 		return
 	}
-	c.nextBatch++
-	c.publishes[e.Change.OperationID] = &pendingChange{asks: []uint64{e.ID}, change: e.Change, batchID: c.nextBatch}
-	c.emit(Append{Stream: StreamConfig, BatchID: c.nextBatch, Data: data})
+	c.lastBatchID++
+	c.pendingChanges[e.Change.OperationID] = &pendingChange{waiters: []uint64{e.ID}, change: e.Change, batchID: c.lastBatchID}
+	c.emit(Append{Stream: StreamConfig, BatchID: c.lastBatchID, Data: data})
 	c.schedule(timer{at: now.Add(changeTimeout), kind: timerChange, name: e.Change.OperationID})
 }
 
 // takeVerdict answers the operators that wait for the verdict.
-func (c *Core) takeVerdict(verdict publisher.Verdict) {
-	pending, waiting := c.publishes[verdict.OperationID]
+func (c *Core) answerVerdict(verdict publisher.Verdict) {
+	pending, waiting := c.pendingChanges[verdict.OperationID]
 	if !waiting {
 		return
 	}
-	delete(c.publishes, verdict.OperationID)
-	for _, id := range pending.asks {
-		c.emit(SendVerdict{ID: id, Verdict: verdictOf(verdict)})
+	delete(c.pendingChanges, verdict.OperationID)
+	for _, id := range pending.waiters {
+		c.emit(SendVerdict{ID: id, Verdict: verdictToAPI(verdict)})
 	}
 }
 
 // takeConfigAppended refuses a change that surely is not in the log. One that may be in it waits on.
-func (c *Core) takeConfigAppended(e Appended, _ time.Time) {
+func (c *Core) handleConfigAppended(e Appended, _ time.Time) {
 	if _, refused := e.Result.(claimer.AppendRefused); !refused {
 		return
 	}
-	for operation, pending := range c.publishes {
+	for operation, pending := range c.pendingChanges {
 		if pending.batchID != e.BatchID {
 			continue
 		}
-		delete(c.publishes, operation)
-		for _, id := range pending.asks {
+		delete(c.pendingChanges, operation)
+		for _, id := range pending.waiters {
 			c.emit(SendRefusal{ID: id, Code: string(CodeLogUnavailable), Message: "the log refused the change; nothing was published"})
 		}
 	}
 }
 
 // passChangeTimeout tells the operator that the verdict is not known yet.
-func (c *Core) passChangeTimeout(operation string, _ time.Time) {
-	pending, waiting := c.publishes[operation]
+func (c *Core) handleChangeTimeout(operation string, _ time.Time) {
+	pending, waiting := c.pendingChanges[operation]
 	if !waiting {
 		return
 	}
-	delete(c.publishes, operation)
-	for _, id := range pending.asks {
+	delete(c.pendingChanges, operation)
+	for _, id := range pending.waiters {
 		c.emit(SendVerdict{ID: id, Verdict: operatorserver.ConfigVerdict{
 			OperationId: operation,
 			Verdict:     operatorserver.ConfigVerdictVerdictPending,
@@ -149,16 +149,16 @@
 	}
 }
 
-func (c *Core) takeOperationAsked(e OperationRequested) {
+func (c *Core) handleOperationRequested(e OperationRequested) {
 	verdict, decided := c.fold.Verdict(e.OperationID)
 	if !decided {
 		c.emit(SendRefusal{ID: e.ID, Code: "unknownOperation", Message: "no change with this operation id has been read from the log"})
 		return
 	}
-	c.emit(SendVerdict{ID: e.ID, Verdict: verdictOf(verdict)})
+	c.emit(SendVerdict{ID: e.ID, Verdict: verdictToAPI(verdict)})
 }
 
-func (c *Core) takeConfigAsked(e ConfigRequested) {
+func (c *Core) handleConfigRequested(e ConfigRequested) {
 	view := operatorserver.ConfigView{Offset: c.fold.Offset(), Objects: []operatorserver.ConfigObject{}}
 	for _, object := range c.fold.Objects(e.ObjectKind, e.Name) {
 		view.Objects = append(view.Objects, operatorserver.ConfigObject{
@@ -171,18 +171,18 @@
 	c.emit(SendConfig{ID: e.ID, View: view})
 }
 
-func (c *Core) takeHistoryAsked(e HistoryRequested) {
+func (c *Core) handleHistoryRequested(e HistoryRequested) {
 	history := operatorserver.ConfigHistory{Changes: []operatorserver.ConfigVerdict{}}
 	for _, verdict := range c.fold.History(e.Limit) {
-		history.Changes = append(history.Changes, verdictOf(verdict))
+		history.Changes = append(history.Changes, verdictToAPI(verdict))
 	}
 	c.emit(SendHistory{ID: e.ID, History: history})
 }
 
-func verdictOf(verdict publisher.Verdict) operatorserver.ConfigVerdict {
+func verdictToAPI(verdict publisher.Verdict) operatorserver.ConfigVerdict {
 	answer := operatorserver.ConfigVerdict{
 		OperationId: verdict.OperationID,
-		Verdict:     verdictStateOf(verdict.State),
+		Verdict:     verdictStateToAPI(verdict.State),
 		Kind:        verdict.Kind,
 		Name:        verdict.Name,
 		Version:     verdict.Version,
@@ -195,7 +195,7 @@
 	return answer
 }
 
-func verdictStateOf(state publisher.VerdictState) operatorserver.ConfigVerdictVerdict {
+func verdictStateToAPI(state publisher.VerdictState) operatorserver.ConfigVerdictVerdict {
 	switch state {
 	case publisher.Accepted:
 		return operatorserver.ConfigVerdictVerdictAccepted
--- a/reducer/core.go
+++ b/reducer/core.go
@@ -95,60 +95,60 @@
 
 	quarantiner *quarantiner.Quarantiner
 	// lone are the runs of suspect requests by pool.
-	lone map[string][]loneRun
+	isolatedRuns map[string][]isolatedRun
 
 	leaser *leaser.Leaser
 	// orderings are the pools that a placement names.
-	orderings map[string]*ordering
-	orderAt   time.Time
+	placedPools map[string]*placedPool
+	nextOrders  time.Time
 
 	// requests are those in flight, by the id of their first caller; running are the same by their key.
 	requests map[uint64]*request
 	running  map[claimer.Key]*request
 	// joined leads the callers that joined a running request to its first caller's id.
-	joined map[uint64]uint64
+	joinedCallers map[uint64]uint64
 	// claiming are the requests whose claim has not been read back, by claim id.
 	claiming map[uint64]*request
 	// claimMean is how long recent claims took from the request's arrival until they were read back.
-	claimMean time.Duration
+	meanClaimDelay time.Duration
 	// outcomes are those of ended requests that callers may still ask for.
 	outcomes *outcomeStore
 	// asked are the questions that peers have not answered yet, by call id.
-	asked  map[uint64]*pendingAsk
-	timers timerHeap
+	peerQueries map[uint64]*peerQuery
+	timers      timerHeap
 
 	// plans are worked out of the pipelines in force, by name.
 	plans map[string]*plan
 	// applied are the contracts that the limiter was given, by account.
-	applied map[string]*publisher.Contract
+	appliedContracts map[string]*publisher.Contract
 	// publishes are the operators' changes whose verdict has not been read back, by operation id.
-	publishes map[string]*pendingChange
+	pendingChanges map[string]*pendingChange
 	// logs is what is known of each stream's health, configs the newest configuration records for peers.
-	logs    map[Stream]*logHealth
-	configs *recordRing
+	streams       map[Stream]*streamHealth
+	configRecords *recordRing
 	// appending counts the appends to the claims stream that have not ended.
-	appending int
+	claimAppendsInFlight int
 	// snapshotDue is since when a snapshot of the configuration has been due; zero while none is.
-	snapshotDue time.Time
+	snapshotDueSince time.Time
 
 	// liveEntries counts the entries that share the pools, this one included.
 	liveEntries int
 	// silent are the entries that are taken for dead by their silence alone.
-	silent      map[string]silentEntry
-	heartbeatAt time.Time
-	billsAt     time.Time
-	lastTick    time.Time
+	silentEntries map[string]silentEntry
+	nextHeartbeat time.Time
+	nextBills     time.Time
+	lastTick      time.Time
 	// recordsCalled is when a peer was last asked for configuration, recordsCall the name of that call, unlike
 	// those of other processes.
-	recordsCalled time.Time
-	recordsCall   uint64
+	recordsRequestedAt time.Time
+	recordsCallID      uint64
 	// stopped tells that the planned stop is done.
 	stopped bool
 
-	nextClaim    uint64
-	nextBatch    uint64
-	nextPeerCall uint64
-	counters     Counters
+	lastClaimID    uint64
+	lastBatchID    uint64
+	lastPeerCallID uint64
+	counters       Counters
 	// effects is the slice that Reduce gives; it is used again for the next event.
 	effects []Effect
 }
@@ -172,30 +172,30 @@
 		retrier:   retrier.New(cfg.Retrier),
 		biller:    biller.New(),
 
-		quarantiner: quarantiner.New(cfg.Quarantiner),
-		lone:        map[string][]loneRun{},
+		quarantiner:  quarantiner.New(cfg.Quarantiner),
+		isolatedRuns: map[string][]isolatedRun{},
 
-		leaser:    leaser.New(leaserConfig(cfg)),
-		orderings: map[string]*ordering{},
+		leaser:      leaser.New(leaserConfig(cfg)),
+		placedPools: map[string]*placedPool{},
 
-		requests:  map[uint64]*request{},
-		joined:    map[uint64]uint64{},
-		plans:     map[string]*plan{},
-		applied:   map[string]*publisher.Contract{},
-		running:   map[claimer.Key]*request{},
-		claiming:  map[uint64]*request{},
-		outcomes:  newOutcomeStore(cfg.MaxOutcomes),
-		asked:     map[uint64]*pendingAsk{},
-		publishes: map[string]*pendingChange{},
-		logs: map[Stream]*logHealth{
+		requests:         map[uint64]*request{},
+		joinedCallers:    map[uint64]uint64{},
+		plans:            map[string]*plan{},
+		appliedContracts: map[string]*publisher.Contract{},
+		running:          map[claimer.Key]*request{},
+		claiming:         map[uint64]*request{},
+		outcomes:         newOutcomeStore(cfg.MaxOutcomes),
+		peerQueries:      map[uint64]*peerQuery{},
+		pendingChanges:   map[string]*pendingChange{},
+		streams: map[Stream]*streamHealth{
 			StreamConfig: {},
 			StreamClaims: {},
 			StreamLeases: {},
 		},
-		configs:     newRecordRing(recordsKept),
-		lastTick:    now,
-		liveEntries: 1,
-		silent:      map[string]silentEntry{},
+		configRecords: newRecordRing(maxConfigRecords),
+		lastTick:      now,
+		liveEntries:   1,
+		silentEntries: map[string]silentEntry{},
 	}
 	c.detector = detector.New(detector.Config{
 		Self: carrier.Member{
@@ -220,57 +220,57 @@
 	c.effects = c.effects[:0]
 	switch e := event.(type) {
 	case *RequestArrived:
-		c.takeRequest(e, now)
+		c.handleRequest(e, now)
 	case *StagePartArrived:
-		c.takePart(e, now)
+		c.handlePart(e, now)
 	case StageFailed:
-		c.takeFault(e, now)
+		c.handleStageFailed(e, now)
 	case CallerDisconnected:
-		c.takeCallerGone(e, now)
+		c.handleCallerDisconnected(e, now)
 	case AddressesRequested:
-		c.takeAddressesAsked(e, now)
+		c.handleAddressesRequested(e, now)
 	case OutcomeRequested:
-		c.takeOutcomeAsked(e, now)
+		c.handleOutcomeRequested(e, now)
 	case LogRead:
-		c.takeLogRead(e, now)
+		c.handleLogRead(e, now)
 	case LogFailed:
-		c.takeLogFailed(e, now)
+		c.handleLogFailed(e, now)
 	case Appended:
-		c.takeAppended(e, now)
+		c.handleAppended(e, now)
 	case PeerMessageArrived:
-		c.takePeerMessage(e, now)
+		c.handlePeerMessage(e, now)
 	case VMsListed:
-		c.takeVMs(e, now)
+		c.handleVMsListed(e, now)
 	case PeerConnectionRefused:
-		c.takeTransitions(c.detector.ConnectionRefused(e.Address, now), now)
+		c.handleTransitions(c.detector.ConnectionRefused(e.Address, now), now)
 	case EndpointConnectionRefused:
-		c.takeEndpointRefused(e, now)
+		c.handleEndpointConnectionRefused(e, now)
 	case LoadReported:
 		c.router.UpdateLoad(e.Address, e.Report, now)
 	case CacheEventsRead:
 		c.router.ApplyCacheEvents(e.Address, e.Events, e.Next, now)
 	case ChangeRequested:
-		c.takeChange(e, now)
+		c.handleChangeRequested(e, now)
 	case OperationRequested:
-		c.takeOperationAsked(e)
+		c.handleOperationRequested(e)
 	case ConfigRequested:
-		c.takeConfigAsked(e)
+		c.handleConfigRequested(e)
 	case HistoryRequested:
-		c.takeHistoryAsked(e)
+		c.handleHistoryRequested(e)
 	case StatusRequested:
 		c.emit(SendStatus{ID: e.ID, Status: c.status(now)})
 	case StopRequested:
-		c.takeStopAsked(e, now)
+		c.handleStopRequested(e, now)
 	case StopSignalReceived:
 		c.beginStop(now)
 	case AssignmentRead:
-		c.takeAssignment(e, now)
+		c.handleAssignmentRead(e, now)
 	case OrderEnded:
-		c.takeOrderEnded(e, now)
+		c.handleOrderEnded(e, now)
 	case Ticked:
 		c.tick(now)
 	}
-	c.pumpClaims(now)
+	c.appendDueClaims(now)
 	return c.effects
 }
 
--- a/reducer/counters.go
+++ b/reducer/counters.go
@@ -4,7 +4,7 @@
 
 // Busy tells whether any caller waits for this entry or anything is to be appended, so that time matters.
 func (c *Core) Busy() bool {
-	return len(c.requests) > 0 || len(c.asked) > 0 || len(c.publishes) > 0 || c.appending > 0 || c.batcher.Waiting() > 0 ||
+	return len(c.requests) > 0 || len(c.peerQueries) > 0 || len(c.pendingChanges) > 0 || c.claimAppendsInFlight > 0 || c.batcher.Waiting() > 0 ||
 		c.drainer.Phase() != drainer.Serving
 }
 
@@ -28,36 +28,36 @@
 
 // Counters are this core's counts since its start. The performer copies them into the metrics registry.
 type Counters struct {
-	RequestsAnswered  uint64
-	RequestsJoined    uint64
-	StageCalls        uint64
-	StageRetries      uint64
-	StageHedges       uint64
-	StageResumes      uint64
-	PartsMisdelivered      uint64
-	PartsLate         uint64
-	PartsOverlapping  uint64
-	PartsAfterGap     uint64
-	ClaimsSent        uint64
-	ClaimsWon         uint64
-	ClaimsLost        uint64
-	ClaimsLate        uint64
+	RequestsAnswered     uint64
+	RequestsJoined       uint64
+	StageCalls           uint64
+	StageRetries         uint64
+	StageHedges          uint64
+	StageResumes         uint64
+	PartsMisdelivered    uint64
+	PartsLate            uint64
+	PartsOverlapping     uint64
+	PartsAfterGap        uint64
+	ClaimsSent           uint64
+	ClaimsWon            uint64
+	ClaimsLost           uint64
+	ClaimsLate           uint64
 	ClaimRecordsInvalid  uint64
-	ConfigRecordsInvalid  uint64
-	ConfigAccepted    uint64
-	ConfigConflicts   uint64
-	ConfigInvalid     uint64
-	OutcomesRequested     uint64
-	OutcomesHandedOff uint64
-	RequestsQuarantined     uint64
-	ConfigFromPeers   uint64
-	HeartbeatsSent    uint64
+	ConfigRecordsInvalid uint64
+	ConfigAccepted       uint64
+	ConfigConflicts      uint64
+	ConfigInvalid        uint64
+	OutcomesRequested    uint64
+	OutcomesHandedOff    uint64
+	RequestsQuarantined  uint64
+	ConfigFromPeers      uint64
+	HeartbeatsSent       uint64
 	HeartbeatsReceived   uint64
-	PausesDetected     uint64
-	EndpointsEjected  uint64
-	ContentsQuarantined       uint64
-	OrdersSent        uint64
-	OrdersRefused     uint64
-	OrdersUncertain   uint64
-	LoadsOrdered      uint64
+	PausesDetected       uint64
+	EndpointsEjected     uint64
+	ContentsQuarantined  uint64
+	OrdersSent           uint64
+	OrdersRefused        uint64
+	OrdersUncertain      uint64
+	LoadsOrdered         uint64
 }
--- a/reducer/end.go
+++ b/reducer/end.go
@@ -30,7 +30,7 @@
 		return
 	}
 	result := biller.Unknown
-	if r.possible == 0 {
+	if r.possibleRuns == 0 {
 		failure.State = StateNotRun
 		result = biller.NotRun
 	}
@@ -42,7 +42,7 @@
 // callers are told what is true of the key.
 func (c *Core) failUnclaimed(r *request, failure Failure, now time.Time) {
 	failure.State = StateNotRun
-	c.unjoin(r)
+	c.removeJoinedCallers(r)
 	callers := r.joined
 	if !r.callerGone {
 		callers = append(callers, r.id)
@@ -56,37 +56,37 @@
 func (c *Core) end(r *request, outcome Outcome, now time.Time) {
 	c.cancelCalls(r, now)
 	if r.phase == phaseQueued {
-		c.scheduler.Remove(r.stageConfig().Pool, r.id)
+		c.scheduler.Remove(r.currentStage().Pool, r.id)
 	}
-	c.forget(r)
+	c.removeRequest(r)
 	c.outcomes.put(r.key, outcome)
-	c.limiter.Release(r.key.Account, r.estimated, r.cost, now)
-	c.endClaim(r, outcome)
+	c.limiter.Release(r.key.Account, r.estimatedCost, r.measuredCost, now)
+	c.recordClaimEnd(r, outcome)
 	if !r.callerGone {
 		c.sendOutcome(r.id, r.key, outcome)
 	}
 	for _, id := range r.joined {
 		c.sendOutcome(id, r.key, outcome)
 	}
-	for _, waiter := range r.peers {
+	for _, waiter := range r.peerWaiters {
 		c.sendPeerOutcome(waiter.address, waiter.callID, r.key, outcome, now)
 	}
 }
 
 // forget takes a request out of this entry's state.
-func (c *Core) forget(r *request) {
+func (c *Core) removeRequest(r *request) {
 	for i := range r.plan.pipeline.Stages {
-		c.withdraw(r, i)
+		c.withdrawStage(r, i)
 	}
-	c.unjoin(r)
+	c.removeJoinedCallers(r)
 	delete(c.requests, r.id)
 	delete(c.running, r.key)
 }
 
 // unjoin forgets who joined the request.
-func (c *Core) unjoin(r *request) {
+func (c *Core) removeJoinedCallers(r *request) {
 	for _, id := range r.joined {
-		delete(c.joined, id)
+		delete(c.joinedCallers, id)
 	}
 }
 
@@ -105,7 +105,7 @@
 }
 
 // passDeadline ends a request whose deadline has come.
-func (c *Core) passDeadline(id uint64, now time.Time) {
+func (c *Core) handleDeadline(id uint64, now time.Time) {
 	r, running := c.requests[id]
 	if !running {
 		return
@@ -115,25 +115,25 @@
 
 // takeCallerGone cancels work that nobody waits for. A request with side effects goes on:
 // its caller may ask for its outcome by the key.
-func (c *Core) takeCallerGone(e CallerDisconnected, now time.Time) {
+func (c *Core) handleCallerDisconnected(e CallerDisconnected, now time.Time) {
 	r, running := c.requests[e.ID]
-	if first, joined := c.joined[e.ID]; joined {
-		delete(c.joined, e.ID)
+	if first, joined := c.joinedCallers[e.ID]; joined {
+		delete(c.joinedCallers, e.ID)
 		r, running = c.requests[first]
 	}
 	if !running {
-		c.forgetAsk(e.ID)
+		c.dropQueries(e.ID)
 		return
 	}
-	r.leave(e.ID)
-	if !r.callerGone || r.plan.sideEffect || len(r.joined) > 0 || len(r.peers) > 0 {
+	r.removeCaller(e.ID)
+	if !r.callerGone || r.plan.sideEffect || len(r.joined) > 0 || len(r.peerWaiters) > 0 {
 		return
 	}
 	c.fail(r, CodeCallerGone, "the caller closed its connection", 0, now)
 }
 
 // leave takes a caller out of those that wait for the request.
-func (r *request) leave(id uint64) {
+func (r *request) removeCaller(id uint64) {
 	if id == r.id {
 		r.callerGone = true
 		return
--- a/reducer/event.go
+++ b/reducer/event.go
@@ -202,7 +202,7 @@
 	Address string
 	// Asked is that of the effect ReadAssignment.
 	RequestedAt time.Time
-	State placer.Assignment
+	State       placer.Assignment
 }
 
 // OrderEnded tells how an order to an engine ended.
@@ -215,28 +215,28 @@
 // Ticked lets time pass.
 type Ticked struct{}
 
-func (*RequestArrived) event()    {}
-func (CallerDisconnected) event()         {}
-func (AddressesRequested) event()     {}
-func (OutcomeRequested) event()       {}
-func (*StagePartArrived) event()  {}
-func (StageFailed) event()        {}
-func (LogRead) event()            {}
-func (LogFailed) event()          {}
-func (Appended) event()           {}
-func (PeerMessageArrived) event() {}
-func (VMsListed) event()          {}
-func (PeerConnectionRefused) event()        {}
-func (EndpointConnectionRefused) event()    {}
-func (LoadReported) event()       {}
-func (CacheEventsRead) event()    {}
-func (ChangeRequested) event()        {}
-func (OperationRequested) event()     {}
-func (ConfigRequested) event()        {}
-func (HistoryRequested) event()       {}
-func (StatusRequested) event()        {}
-func (StopRequested) event()          {}
-func (StopSignalReceived) event()      {}
-func (AssignmentRead) event()     {}
-func (OrderEnded) event()         {}
-func (Ticked) event()             {}
+func (*RequestArrived) event()           {}
+func (CallerDisconnected) event()        {}
+func (AddressesRequested) event()        {}
+func (OutcomeRequested) event()          {}
+func (*StagePartArrived) event()         {}
+func (StageFailed) event()               {}
+func (LogRead) event()                   {}
+func (LogFailed) event()                 {}
+func (Appended) event()                  {}
+func (PeerMessageArrived) event()        {}
+func (VMsListed) event()                 {}
+func (PeerConnectionRefused) event()     {}
+func (EndpointConnectionRefused) event() {}
+func (LoadReported) event()              {}
+func (CacheEventsRead) event()           {}
+func (ChangeRequested) event()           {}
+func (OperationRequested) event()        {}
+func (ConfigRequested) event()           {}
+func (HistoryRequested) event()          {}
+func (StatusRequested) event()           {}
+func (StopRequested) event()             {}
+func (StopSignalReceived) event()        {}
+func (AssignmentRead) event()            {}
+func (OrderEnded) event()                {}
+func (Ticked) event()                    {}
--- a/reducer/fault.go
+++ b/reducer/fault.go
@@ -8,65 +8,65 @@
 )
 
 // takeFault takes the failure of one call and decides what becomes of its stage.
-func (c *Core) takeFault(e StageFailed, now time.Time) {
-	r, at := c.find(e.Call)
+func (c *Core) handleStageFailed(e StageFailed, now time.Time) {
+	r, at := c.findCall(e.Call)
 	if r == nil {
 		return
 	}
-	k := &r.calls[at]
-	if c.resume(r, k, e, now) {
+	call := &r.calls[at]
+	if c.resumeStream(r, call, e, now) {
 		return
 	}
-	address := k.address
-	result := resultOf(e.Fault.Kind)
-	if k.resumed {
+	address := call.address
+	result := routerResult(e.Fault.Kind)
+	if call.resumed {
 		// The endpoint took the call before it was cut. That it is unreachable, or does not know the
 		// stream, when the reply is read on must not pass for "not run": a stage that must not be
 		// repeated would be run again. It is what a cut without resuming is.
 		e.Fault.Kind = FaultConnectionLost
 	}
-	if e.Fault.Kind == FaultConnectionLost && c.countCrash(r, address, now) {
+	if e.Fault.Kind == FaultConnectionLost && c.recordCrash(r, address, now) {
 		return
 	}
 	hedgesLeft := len(r.calls) > 1
-	if surelyNotRun(e.Fault.Kind) {
-		r.possible--
+	if certainlyNotRun(e.Fault.Kind) {
+		r.possibleRuns--
 	} else {
-		c.waste(r, k, now)
+		c.recordWaste(r, call, now)
 	}
 	if e.Fault.Kind == FaultTimeout {
-		c.emit(CancelStage{Call: e.Call, Address: address, StreamID: k.streamID})
+		c.emit(CancelStage{Call: e.Call, Address: address, StreamID: call.streamID})
 	}
-	c.endCall(address, router.CallEnd{Result: result}, now)
+	c.recordCallEnd(address, router.CallEnd{Result: result}, now)
 	r.calls = slices.Delete(r.calls, at, at+1)
-	r.tried = append(r.tried, address)
-	pool := r.stageConfig().Pool
+	r.triedAddresses = append(r.triedAddresses, address)
+	pool := r.currentStage().Pool
 	if e.Fault.Kind == FaultError {
-		c.readAgain(pool, address, now)
+		c.rereadAssignments(pool, address, now)
 	}
 	if !hedgesLeft {
-		c.decideAfterFault(r, e.Fault, now)
+		c.retryOrFail(r, e.Fault, now)
 	}
-	c.pump(pool, now)
+	c.dispatchQueued(pool, now)
 }
 
 // resume reads the rest of a cut stream at its endpoint. It runs nothing again, so it may be done
 // for stages that must not be repeated too.
-func (c *Core) resume(r *request, k *call, e StageFailed, now time.Time) bool {
-	if e.Fault.Kind != FaultConnectionLost || k.streamID == "" || r.resumes >= maxResumes {
+func (c *Core) resumeStream(r *request, call *callState, e StageFailed, now time.Time) bool {
+	if e.Fault.Kind != FaultConnectionLost || call.streamID == "" || r.resumes >= maxResumes {
 		return false
 	}
 	r.resumes++
-	k.resumed = true
+	call.resumed = true
 	c.counters.StageResumes++
-	clear(k.early)
-	k.lastPart = now
-	c.emit(ResumeStage{Call: e.Call, Address: k.address, StreamID: k.streamID, From: k.nextSeq})
+	clear(call.outOfOrder)
+	call.lastPart = now
+	c.emit(ResumeStage{Call: e.Call, Address: call.address, StreamID: call.streamID, From: call.nextSeq})
 	return true
 }
 
 // surelyNotRun tells whether the endpoint certainly did not act on the call.
-func surelyNotRun(kind FaultKind) bool {
+func certainlyNotRun(kind FaultKind) bool {
 	switch kind {
 	case FaultNotSent, FaultLeaving, FaultBusy, FaultStaleFence, FaultInvalidCall:
 		return true
@@ -75,7 +75,7 @@
 	}
 }
 
-func resultOf(kind FaultKind) router.Result {
+func routerResult(kind FaultKind) router.Result {
 	switch kind {
 	case FaultLeaving:
 		return router.RefusedLeaving
@@ -91,19 +91,19 @@
 }
 
 // decideAfterFault tries the stage again where that is allowed, and else ends the request at once.
-func (c *Core) decideAfterFault(r *request, fault StageFault, now time.Time) {
-	stage := r.stageConfig()
+func (c *Core) retryOrFail(r *request, fault StageFault, now time.Time) {
+	stage := r.currentStage()
 	switch {
 	case fault.Kind == FaultInvalidCall || fault.Kind == FaultStaleFence:
 		c.fail(r, CodeStageFailed, "an endpoint refused the call: "+fault.Message, 0, now)
-	case !surelyNotRun(fault.Kind) && !stage.Repeatable:
+	case !certainlyNotRun(fault.Kind) && !stage.Repeatable:
 		// The endpoint may have acted, and a second call might act twice.
 		c.fail(r, CodeStageFailed, "the outcome of a stage that must not be repeated is not known", 0, now)
-	case (fault.Kind == FaultLeaving || fault.Kind == FaultNotSent) && len(r.tried) < maxFreeTries:
+	case (fault.Kind == FaultLeaving || fault.Kind == FaultNotSent) && len(r.triedAddresses) < maxUnchargedAttempts:
 		// A leaving endpoint's refusal is no sign of trouble in the pool, so it costs no retry. Nor does a
 		// refused connection: it is no work for the pool, and the endpoint is out of use after it.
 		c.enqueue(r, now)
-	case fault.Kind == FaultConnectionLost && r.attempts < maxLoneTries:
+	case fault.Kind == FaultConnectionLost && r.attempts < maxIsolatedAttempts:
 		// The next try runs alone, and few at a time do, so it needs no budget against a storm.
 		c.counters.StageRetries++
 		c.enqueue(r, now)
@@ -117,26 +117,26 @@
 
 const (
 	// maxFreeTries bounds the tries of a stage that are no work for the pool.
-	maxFreeTries = 8
+	maxUnchargedAttempts = 8
 	// maxLoneTries bounds the attempts of a stage whose calls were cut.
-	maxLoneTries = 3
+	maxIsolatedAttempts = 3
 )
 
 // endCall tells the router of a call's end.
-func (c *Core) endCall(address string, end router.CallEnd, now time.Time) {
+func (c *Core) recordCallEnd(address string, end router.CallEnd, now time.Time) {
 	if c.router.CallEnded(address, end, now) {
-		c.noteEjected(address)
+		c.recordEjection(address)
 	}
 }
 
 // takeEndpointRefused takes a sign that an endpoint is down which no call of a request had to find out.
-func (c *Core) takeEndpointRefused(e EndpointConnectionRefused, now time.Time) {
+func (c *Core) handleEndpointConnectionRefused(e EndpointConnectionRefused, now time.Time) {
 	if c.router.MarkUnreachable(e.Address, now) {
-		c.noteEjected(e.Address)
+		c.recordEjection(e.Address)
 	}
 }
 
-func (c *Core) noteEjected(address string) {
+func (c *Core) recordEjection(address string) {
 	c.counters.EndpointsEjected++
 	c.emit(LogChange{Message: "endpoint", Subject: address, From: "live", To: "ejected"})
 }
--- a/reducer/log.go
+++ b/reducer/log.go
@@ -10,18 +10,18 @@
 )
 
 // takeLogRead folds the records of a page, in order.
-func (c *Core) takeLogRead(e LogRead, now time.Time) {
-	health := c.logs[e.Stream]
+func (c *Core) handleLogRead(e LogRead, now time.Time) {
+	health := c.streams[e.Stream]
 	if health.failing {
 		c.emit(LogChange{Message: "log stream", Subject: string(e.Stream), From: "failing", To: "readable"})
 	}
 	health.failing = false
-	before := health.renewed
-	health.takeEra(e.Era)
-	if health.renewed && !before {
+	before := health.eraChanged
+	health.observeEra(e.Era)
+	if health.eraChanged && !before {
 		c.emit(LogChange{Message: "the log has returned from an older copy", Subject: string(e.Stream), To: strconv.FormatInt(e.Era, 10)})
 	}
-	health.readAt = now
+	health.lastRead = now
 	health.caughtUp = health.caughtUp || e.AtEnd
 	switch e.Stream {
 	case StreamConfig:
@@ -36,7 +36,7 @@
 func (c *Core) foldClaims(e LogRead, now time.Time) {
 	if c.table.Renew(e.Era) {
 		c.batcher.Add(claimer.Mark{Era: e.Era})
-		c.logs[StreamClaims].caughtUp = e.AtEnd
+		c.streams[StreamClaims].caughtUp = e.AtEnd
 		c.emit(LogChange{Message: "claims are proved from a mark of the log's era on", Subject: string(StreamClaims), To: strconv.FormatInt(e.Era, 10)})
 	}
 	if c.table.Gap(e.First) {
@@ -44,15 +44,15 @@
 	}
 	for _, record := range e.Records {
 		for _, decision := range c.table.Apply(record) {
-			c.takeClaimDecision(decision, now)
+			c.handleClaimDecision(decision, now)
 		}
 	}
 	c.counters.ClaimRecordsInvalid = uint64(c.table.Bad())
 }
 
 // takeLogFailed notes that a stream can't be read now.
-func (c *Core) takeLogFailed(e LogFailed, _ time.Time) {
-	health := c.logs[e.Stream]
+func (c *Core) handleLogFailed(e LogFailed, _ time.Time) {
+	health := c.streams[e.Stream]
 	if !health.failing {
 		c.emit(LogChange{Message: "log stream", Subject: string(e.Stream), From: "readable", To: "failing"})
 	}
@@ -63,22 +63,22 @@
 // foldConfig applies configuration records from the log or from a peer.
 func (c *Core) foldConfig(records []recorder.Record, first int64, now time.Time) {
 	if first > 0 && c.fold.Gap(first) && len(records) > 0 {
-		c.configs.restart(first - 1)
+		c.configRecords.reset(first - 1)
 		c.emit(LogChange{Message: "the log lost configuration that no snapshot covers", Subject: string(StreamConfig)})
 	}
 	incomplete := !c.fold.Complete()
 	for _, record := range records {
 		verdicts := c.fold.Apply(record)
-		c.configs.add(record)
+		c.configRecords.add(record)
 		for _, verdict := range verdicts {
 			c.countVerdict(verdict)
-			c.apply(verdict, now)
-			c.takeVerdict(verdict)
+			c.applyVerdict(verdict, now)
+			c.answerVerdict(verdict)
 		}
 	}
 	c.counters.ConfigRecordsInvalid = uint64(c.fold.Bad())
 	if incomplete {
-		c.applyAll(now)
+		c.applyWholeConfig(now)
 	}
 }
 
@@ -95,7 +95,7 @@
 
 // apply hands on what an accepted change has put in force. Going through all contracts at each change would sort
 // the 43,000 of a large system again for every one of its 62,000 changes a day.
-func (c *Core) apply(verdict publisher.Verdict, now time.Time) {
+func (c *Core) applyVerdict(verdict publisher.Verdict, now time.Time) {
 	if verdict.State != publisher.Accepted {
 		return
 	}
@@ -108,11 +108,11 @@
 }
 
 // applyAll hands on everything in force, after a snapshot has taken the place of what was.
-func (c *Core) applyAll(now time.Time) {
+func (c *Core) applyWholeConfig(now time.Time) {
 	for _, contract := range c.fold.Contracts() {
 		c.applyContract(contract.Account, now)
 	}
-	for account := range c.applied {
+	for account := range c.appliedContracts {
 		c.applyContract(account, now)
 	}
 	for _, pool := range c.fold.Pools() {
@@ -126,10 +126,10 @@
 	switch {
 	case !known:
 		c.limiter.RemoveAccount(account)
-		delete(c.applied, account)
-	case c.applied[account] != contract:
-		c.applied[account] = contract
-		c.limiter.SetLimits(account, limitsOf(contract), now)
+		delete(c.appliedContracts, account)
+	case c.appliedContracts[account] != contract:
+		c.appliedContracts[account] = contract
+		c.limiter.SetLimits(account, contractLimits(contract), now)
 	}
 }
 
--- a/reducer/order.go
+++ b/reducer/order.go
@@ -17,28 +17,28 @@
 
 const (
 	// orderEvery is how often the orders to engines are decided.
-	orderEvery = 500 * time.Millisecond
+	orderInterval = 500 * time.Millisecond
 	// readAssignmentEvery is how often an engine is asked what it holds.
-	readAssignmentEvery = 2 * time.Second
+	readAssignmentInterval = 2 * time.Second
 	// readAgainEvery bounds the readings of all engines after failed calls.
-	readAgainEvery = 200 * time.Millisecond
+	minRereadInterval = 200 * time.Millisecond
 	// orderTimeout bounds one order, and leastOrderTime is what must be left of the lease to begin one.
-	orderTimeout   = 2 * time.Second
-	leastOrderTime = 500 * time.Millisecond
+	orderTimeout = 2 * time.Second
+	minOrderTime = 500 * time.Millisecond
 	// demandKept is how long the demand that a peer tells is believed.
-	demandKept = 5 * time.Second
+	peerDemandTTL = 5 * time.Second
 )
 
 // ordering is what the core knows of a pool whose engines a placement places.
-type ordering struct {
+type placedPool struct {
 	pool   string
 	placer *placer.Placer
 	// lacks is the placer's, kept so that no choice of an endpoint has to make it.
-	lacks func(address, model string, now time.Time) bool
-	asked map[string]time.Time
+	cannotServe func(address, model string, now time.Time) bool
+	lastReads   map[string]time.Time
 	// doubted is when a failed call last had all engines read.
-	doubted time.Time
-	peers   map[string]peerDemand
+	lastReread  time.Time
+	peerDemands map[string]peerDemand
 }
 
 type peerDemand struct {
@@ -53,50 +53,50 @@
 	return lease
 }
 
-func (c *Core) newOrdering(pool string) *ordering {
-	o := &ordering{pool: pool, placer: placer.New(c.cfg.Placer), asked: map[string]time.Time{}, peers: map[string]peerDemand{}}
-	o.lacks = o.placer.CannotServe
+func (c *Core) newPlacedPool(pool string) *placedPool {
+	o := &placedPool{pool: pool, placer: placer.New(c.cfg.Placer), lastReads: map[string]time.Time{}, peerDemands: map[string]peerDemand{}}
+	o.cannotServe = o.placer.CannotServe
 	return o
 }
 
 // stepOrders reads engines back, keeps the lease on each placed pool and gives the orders that are due.
-func (c *Core) stepOrders(now time.Time) {
-	if now.Before(c.orderAt) {
+func (c *Core) updatePlacedPools(now time.Time) {
+	if now.Before(c.nextOrders) {
 		return
 	}
-	c.orderAt = now.Add(orderEvery)
+	c.nextOrders = now.Add(orderInterval)
 	placed := map[string]bool{}
 	for _, placement := range c.fold.Placements() {
 		if placed[placement.Pool] {
 			continue
 		}
 		placed[placement.Pool] = true
-		o, known := c.orderings[placement.Pool]
+		o, known := c.placedPools[placement.Pool]
 		if !known {
-			o = c.newOrdering(placement.Pool)
-			c.orderings[placement.Pool] = o
+			o = c.newPlacedPool(placement.Pool)
+			c.placedPools[placement.Pool] = o
 		}
-		c.stepOrdering(o, placement, now)
+		c.updatePlacedPool(o, placement, now)
 	}
-	for pool, o := range c.orderings {
+	for pool, o := range c.placedPools {
 		o.placer.SetPoolCount(len(placed))
 		if !placed[pool] {
-			delete(c.orderings, pool)
+			delete(c.placedPools, pool)
 		}
 	}
 }
 
-func (c *Core) stepOrdering(o *ordering, placement *publisher.Placement, now time.Time) {
-	c.readBack(o, now)
+func (c *Core) updatePlacedPool(o *placedPool, placement *publisher.Placement, now time.Time) {
+	c.readAssignments(o, now)
 	c.bidForLease(o.pool, now)
 	own := c.modelDemand(o.pool)
 	lease, held := c.leaser.Held(o.pool, now)
 	if !held {
-		c.tellDemand(o.pool, own)
+		c.sendDemand(o.pool, own)
 		return
 	}
-	o.placer.ObserveDemand(o.total(own, now), now)
-	if lease.Left < leastOrderTime || c.drainer.Phase() != drainer.Serving {
+	o.placer.ObserveDemand(o.totalDemand(own, now), now)
+	if lease.Left < minOrderTime || c.drainer.Phase() != drainer.Serving {
 		return
 	}
 	right := placer.Lease{Fence: lease.Fence, Granted: lease.Granted}
@@ -114,52 +114,52 @@
 }
 
 // readBack asks engines what they hold: each now and then, and at once where an order's end is uncertain.
-func (c *Core) readBack(o *ordering, now time.Time) {
+func (c *Core) readAssignments(o *placedPool, now time.Time) {
 	addresses := c.router.PoolAddresses(o.pool)
 	o.placer.SetEngines(addresses)
 	for _, address := range o.placer.Unsettled() {
-		if now.Sub(o.asked[address]) > orderEvery {
-			o.asked[address] = time.Time{}
+		if now.Sub(o.lastReads[address]) > orderInterval {
+			o.lastReads[address] = time.Time{}
 		}
 	}
 	asked := make(map[string]time.Time, len(addresses))
 	for _, address := range addresses {
-		asked[address] = o.asked[address]
-		if now.Sub(asked[address]) < readAssignmentEvery || o.placer.OrderInFlight(address) {
+		asked[address] = o.lastReads[address]
+		if now.Sub(asked[address]) < readAssignmentInterval || o.placer.OrderInFlight(address) {
 			continue
 		}
 		asked[address] = now
 		c.emit(ReadAssignment{Pool: o.pool, Address: address, RequestedAt: now})
 	}
-	o.asked = asked
+	o.lastReads = asked
 }
 
 // readAgain has a pool's engines read back at once when one of them failed a call: it may hold another model than it
 // did, and the model that the call needs may be elsewhere. Until it is read the engine gets no calls: a stage that is
 // tried again would go to it, be refused and have no tries left before the truth is known.
-func (c *Core) readAgain(pool, address string, now time.Time) {
-	o, placed := c.orderings[pool]
+func (c *Core) rereadAssignments(pool, address string, now time.Time) {
+	o, placed := c.placedPools[pool]
 	if !placed {
 		return
 	}
 	o.placer.MarkDoubtful(address)
-	o.asked[address] = time.Time{}
-	if now.Sub(o.doubted) < readAgainEvery {
+	o.lastReads[address] = time.Time{}
+	if now.Sub(o.lastReread) < minRereadInterval {
 		return
 	}
-	o.doubted = now
-	clear(o.asked)
-	c.readBack(o, now)
+	o.lastReread = now
+	clear(o.lastReads)
+	c.readAssignments(o, now)
 }
 
 // bidForLease appends to the leases stream if a bid or a renewal is due. An entry that can't read the stream would
 // not see its own record, and one that is stopping leaves the lease to others.
 func (c *Core) bidForLease(pool string, now time.Time) {
-	health := c.logs[StreamLeases]
+	health := c.streams[StreamLeases]
 	if !health.caughtUp || health.failing || c.drainer.Phase() != drainer.Serving {
 		return
 	}
-	data, id, due := c.leaser.Bid(pool, c.orderRank(pool), now)
+	data, id, due := c.leaser.Bid(pool, c.leaseRank(pool), now)
 	if due {
 		c.emit(Append{Stream: StreamLeases, BatchID: id, Data: data})
 	}
@@ -167,7 +167,7 @@
 
 // orderRank is this entry's place among the live ones for a pool, by rendezvous hash, so that pools have different
 // orderers. Entries that differ about who lives only bid at the same time; the log decides.
-func (c *Core) orderRank(pool string) int {
+func (c *Core) leaseRank(pool string) int {
 	own := xxhash.Sum64String(pool + "/" + c.cfg.Entry)
 	rank := 0
 	for _, member := range c.detector.Members() {
@@ -184,27 +184,27 @@
 	}
 	for _, record := range e.Records {
 		change, changed := c.leaser.Apply(record, now)
-		if changed && c.logs[StreamLeases].caughtUp {
+		if changed && c.streams[StreamLeases].caughtUp {
 			c.emit(LogChange{Message: "orderer", Subject: change.Pool, To: change.Entry})
 		}
 	}
 }
 
-func (c *Core) takeAssignment(e AssignmentRead, now time.Time) {
-	if o, placed := c.orderings[e.Pool]; placed {
+func (c *Core) handleAssignmentRead(e AssignmentRead, now time.Time) {
+	if o, placed := c.placedPools[e.Pool]; placed {
 		o.placer.ObserveState(e.Address, e.State, e.RequestedAt, now)
-		c.pump(e.Pool, now)
+		c.dispatchQueued(e.Pool, now)
 	}
 }
 
-func (c *Core) takeOrderEnded(e OrderEnded, now time.Time) {
+func (c *Core) handleOrderEnded(e OrderEnded, now time.Time) {
 	switch e.Result.(type) {
 	case placer.Refused:
 		c.counters.OrdersRefused++
 	case placer.Uncertain:
 		c.counters.OrdersUncertain++
 	}
-	if o, placed := c.orderings[e.Pool]; placed {
+	if o, placed := c.placedPools[e.Pool]; placed {
 		o.placer.RecordResult(e.Address, e.Result, now)
 	}
 }
@@ -225,7 +225,7 @@
 }
 
 // tellDemand tells the pool's orderer what waits here. It alone needs to know, so it is not in the heartbeats.
-func (c *Core) tellDemand(pool string, own map[string]int64) {
+func (c *Core) sendDemand(pool string, own map[string]int64) {
 	holder, _ := c.leaser.Holder(pool)
 	member, known := c.detector.Member(holder)
 	if !known || member.State != detector.Live || holder == c.cfg.Entry || len(own) == 0 {
@@ -238,21 +238,21 @@
 	c.emit(SendPeer{Address: member.PeerAddress, Message: message})
 }
 
-func (c *Core) takeDemand(from string, message *carrier.Demand, now time.Time) {
-	if o, placed := c.orderings[message.Pool]; placed {
-		o.peers[from] = peerDemand{models: message.Models, at: now}
+func (c *Core) handleDemand(from string, message *carrier.Demand, now time.Time) {
+	if o, placed := c.placedPools[message.Pool]; placed {
+		o.peerDemands[from] = peerDemand{models: message.Models, at: now}
 	}
 }
 
 // total adds the peers' demand to this entry's own.
-func (o *ordering) total(own map[string]int64, now time.Time) map[string]float64 {
+func (o *placedPool) totalDemand(own map[string]int64, now time.Time) map[string]float64 {
 	total := map[string]float64{}
 	for model, millis := range own {
 		total[model] = float64(millis)
 	}
-	for from, demand := range o.peers {
-		if now.Sub(demand.at) > demandKept {
-			delete(o.peers, from)
+	for from, demand := range o.peerDemands {
+		if now.Sub(demand.at) > peerDemandTTL {
+			delete(o.peerDemands, from)
 			continue
 		}
 		for _, model := range demand.models {
--- a/reducer/order_test.go
+++ b/reducer/order_test.go
@@ -240,7 +240,7 @@
 			f.freeze = true
 			f.until("an order", func() bool { return f.nodes[old].frozen })
 			f.until("another orderer", func() bool { return f.orderer() >= 0 })
-			f.run(2 * readAssignmentEvery)
+			f.run(2 * readAssignmentInterval)
 			before := f.orders(old)
 			f.late = s.late
 			f.nodes[old].frozen = false
@@ -277,7 +277,7 @@
 	c.Pipelines = []string{ticket, summary, "long-" + ticket, "long-" + summary}
 	version := f.nodes[0].core.fold.Objects(publisher.KindContract, account)[0].Version
 	f.accept(f.change(0, "contract", c, version))
-	f.run(2 * readAssignmentEvery)
+	f.run(2 * readAssignmentInterval)
 }
 
 // An account whose requests are served by an entry that is not the orderer surges. The orderer hears of the demand and
@@ -345,7 +345,7 @@
 	g0, g1 := f.engines["g0"], f.engines["g1"]
 	g0.state.Model, g1.state.Model = g1.state.Model, g0.state.Model
 	asked := f.send(0, "long-"+summary, keyAt(f.now, 1), "text", time.Minute)
-	for f.now.Before(asked.sent.Add(2 * orderEvery)) {
+	for f.now.Before(asked.sent.Add(2 * orderInterval)) {
 		f.serve()
 		for _, at := range slow {
 			carry(at)
--- a/reducer/outcome.go
+++ b/reducer/outcome.go
@@ -16,20 +16,20 @@
 }
 
 const (
-	defaultOutcomesKept = 4096
-	maxOutcomeBytes     = 16 << 20
+	defaultMaxOutcomes = 4096
+	maxOutcomeBytes    = 16 << 20
 )
 
 func newOutcomeStore(limit int) *outcomeStore {
 	if limit <= 0 {
-		limit = defaultOutcomesKept
+		limit = defaultMaxOutcomes
 	}
 	return &outcomeStore{limit: limit, byKey: map[claimer.Key]Outcome{}}
 }
 
 func (s *outcomeStore) put(key claimer.Key, outcome Outcome) {
-	known, again := s.byKey[key]
-	if !again {
+	known, exists := s.byKey[key]
+	if !exists {
 		s.order = append(s.order, key)
 	}
 	s.bytes += outcome.size() - known.size()
--- a/reducer/peer.go
+++ b/reducer/peer.go
@@ -11,53 +11,53 @@
 
 const (
 	// recordsCallEvery bounds how often peers are asked for configuration.
-	recordsCallEvery = 250 * time.Millisecond
+	recordsCallInterval = 250 * time.Millisecond
 	// recordsPerMessage bounds the records of one message.
 	recordsPerMessage = 256
 )
 
 // takePeerMessage takes a message of another entry.
-func (c *Core) takePeerMessage(e PeerMessageArrived, now time.Time) {
+func (c *Core) handlePeerMessage(e PeerMessageArrived, now time.Time) {
 	switch message := e.Message.(type) {
 	case *carrier.Heartbeat:
-		c.takeHeartbeat(message, now)
+		c.handleHeartbeat(message, now)
 	case *carrier.RecordsCall:
-		c.takeRecordsCall(e.From, message, now)
+		c.handleRecordsCall(e.From, message, now)
 	case *carrier.Records:
-		c.takeRecords(message, now)
+		c.handleRecords(message, now)
 	case *carrier.OutcomeCall:
-		c.takeOutcomeCall(e.From, message, now)
+		c.handleOutcomeCall(e.From, message, now)
 	case *carrier.Outcome:
-		c.takePeerOutcome(e.From, message, now)
+		c.handlePeerOutcome(e.From, message, now)
 	case *carrier.Handover:
-		c.takeHandover(message, now)
+		c.handleHandover(message, now)
 	case *carrier.Bills:
-		c.takeBills(message)
+		c.handleBills(message)
 	case *carrier.Demand:
-		c.takeDemand(e.From, message, now)
+		c.handleDemand(e.From, message, now)
 	}
 }
 
-func (c *Core) takeHeartbeat(message *carrier.Heartbeat, now time.Time) {
+func (c *Core) handleHeartbeat(message *carrier.Heartbeat, now time.Time) {
 	c.counters.HeartbeatsReceived++
-	c.takeTransitions(c.detector.Receive(message, now), now)
-	c.ownerReplaced(message.From.Name, message.From.Incarnation)
+	c.handleTransitions(c.detector.Receive(message, now), now)
+	c.failQueriesToEarlierOwner(message.From.Name, message.From.Incarnation)
 	c.router.UpdatePeerLoads(message.From.Name, message.Endpoints, now)
-	c.takeCrashes(message.Crashes, now)
+	c.handleCrashMarks(message.Crashes, now)
 	c.limiter.UpdatePeerUsage(message.From.Name, message.Accounts, now)
-	c.callForRecords(message.From, now)
+	c.requestRecords(message.From, now)
 }
 
 // callForRecords asks a peer for configuration that this entry has not read from the log. The log comes
 // first; a peer is asked while the log fails or this entry knows nothing yet, so that a change is in
 // force also at an entry that is cut from the log.
-func (c *Core) callForRecords(from carrier.Member, now time.Time) {
-	if from.ConfigOffset <= c.fold.Offset() || now.Sub(c.recordsCalled) < recordsCallEvery {
+func (c *Core) requestRecords(from carrier.Member, now time.Time) {
+	if from.ConfigOffset <= c.fold.Offset() || now.Sub(c.recordsRequestedAt) < recordsCallInterval {
 		return
 	}
-	c.recordsCalled = now
-	c.recordsCall = c.rand.Uint64()
-	c.emit(SendPeer{Address: from.PeerAddress, Message: &carrier.RecordsCall{CallID: c.recordsCall, Stream: string(StreamConfig), From: c.recordsFrom()}})
+	c.recordsRequestedAt = now
+	c.recordsCallID = c.rand.Uint64()
+	c.emit(SendPeer{Address: from.PeerAddress, Message: &carrier.RecordsCall{CallID: c.recordsCallID, Stream: string(StreamConfig), From: c.firstMissingOffset()}})
 }
 
 // wholeSnapshot is the offset to ask from for a snapshot in place of records.
@@ -65,7 +65,7 @@
 
 // recordsFrom gives the offset to ask peers from. Behind a gap the fold has read records past what it lacks, so
 // it would pass over the older ones if they were sent: only a snapshot closes the gap.
-func (c *Core) recordsFrom() int64 {
+func (c *Core) firstMissingOffset() int64 {
 	if !c.fold.Complete() {
 		return wholeSnapshot
 	}
@@ -73,14 +73,14 @@
 }
 
 // takeRecordsCall passes configuration on: the records if they are still kept, else a snapshot.
-func (c *Core) takeRecordsCall(from string, call *carrier.RecordsCall, now time.Time) {
+func (c *Core) handleRecordsCall(from string, call *carrier.RecordsCall, now time.Time) {
 	member, known := c.detector.Member(from)
 	if !known || call.Stream != string(StreamConfig) || c.fold.Offset() < call.From {
 		return
 	}
 	answer := &carrier.Records{CallID: call.CallID, Stream: call.Stream, Next: c.fold.Offset() + 1}
-	records, whole := c.configs.after(call.From - 1)
-	if !whole || call.From == wholeSnapshot {
+	records, complete := c.configRecords.after(call.From - 1)
+	if !complete || call.From == wholeSnapshot {
 		snapshot, err := c.fold.Snapshot(now)
 		if err != nil {
 			return
@@ -96,8 +96,8 @@
 
 // takeRecords folds what a peer passes on. An answer to the process that had this address before is dropped: its
 // records begin past what this process has, and the fold would pass over the missing ones for good.
-func (c *Core) takeRecords(message *carrier.Records, now time.Time) {
-	if message.Stream != string(StreamConfig) || message.CallID != c.recordsCall {
+func (c *Core) handleRecords(message *carrier.Records, now time.Time) {
+	if message.Stream != string(StreamConfig) || message.CallID != c.recordsCallID {
 		return
 	}
 	records := make([]recorder.Record, 0, len(message.Records))
@@ -106,8 +106,8 @@
 	}
 	before := c.fold.Offset()
 	if len(message.Snapshot) > 0 && c.fold.Restore(message.Snapshot, now) {
-		c.configs.restart(c.fold.Offset())
-		c.applyAll(now)
+		c.configRecords.reset(c.fold.Offset())
+		c.applyWholeConfig(now)
 	}
 	c.foldConfig(records, 0, now)
 	if c.fold.Offset() > before {
@@ -116,38 +116,38 @@
 }
 
 // takeTransitions acts on what the detector has found out about members.
-func (c *Core) takeTransitions(transitions []detector.Transition, now time.Time) {
+func (c *Core) handleTransitions(transitions []detector.Transition, now time.Time) {
 	for _, t := range transitions {
 		if t.Resumed() {
 			c.counters.PausesDetected++
 		}
 		c.emit(LogChange{Message: "entry", Subject: t.Member.Name, From: t.From.String(), To: t.To.String()})
 		if t.Member.Name == c.cfg.Entry {
-			c.takeOwnTransition(t, now)
+			c.handleOwnTransition(t, now)
 			continue
 		}
-		c.keepPart(t, now)
+		c.retainShare(t, now)
 		if t.To != detector.Dead && t.To != detector.Stopped {
 			continue
 		}
 		c.router.RemovePeer(t.Member.Name)
-		c.ownerDied(t.Member.Name)
+		c.failOwnerQueries(t.Member.Name)
 	}
 	if len(transitions) > 0 {
-		c.countEntries(now)
+		c.updateEntryCount(now)
 	}
 }
 
 // takeOwnTransition acts on what the detector says of this entry itself. Dead means that a newer process serves
 // under its name: the VM was replaced while this process lived on. Two of one name would each take the other's
 // heartbeats, claims and shares for its own, so the older one stops, as planned, and cuts nothing.
-func (c *Core) takeOwnTransition(t detector.Transition, now time.Time) {
+func (c *Core) handleOwnTransition(t detector.Transition, now time.Time) {
 	if t.To == detector.Dead {
 		c.beginStop(now)
 	}
 }
 
-func (c *Core) countEntries(now time.Time) {
+func (c *Core) updateEntryCount(now time.Time) {
 	live, index := 0, 0
 	for _, member := range c.detector.Members() {
 		if member.State == detector.Live || member.State == detector.Suspect {
@@ -158,12 +158,12 @@
 		}
 	}
 	c.liveEntries = max(live, 1)
-	c.limiter.SetEntryCount(c.liveEntries+len(c.silent), now)
+	c.limiter.SetEntryCount(c.liveEntries+len(c.silentEntries), now)
 	c.router.SetEntries(index, c.liveEntries)
 }
 
 // beat sends a heartbeat to the peers that the detector names.
-func (c *Core) beat(now time.Time) {
+func (c *Core) sendHeartbeats(now time.Time) {
 	c.detector.SetSelf(c.memberState(), c.fold.Offset(), int32(len(c.requests)))
 	message := c.detector.Heartbeat(now)
 	message.Endpoints = c.router.LocalLoads(now)
@@ -176,11 +176,11 @@
 }
 
 // takeHandover keeps outcomes that a stopping peer's callers may still ask for.
-func (c *Core) takeHandover(message *carrier.Handover, now time.Time) {
+func (c *Core) handleHandover(message *carrier.Handover, now time.Time) {
 	for i := range message.Outcomes {
 		wire := &message.Outcomes[i]
 		key := claimer.Key{Account: wire.Account, Key: wire.Key}
 		known, _ := c.outcomes.get(key)
-		c.outcomes.put(key, better(known, outcomeOfWire(wire, now)))
+		c.outcomes.put(key, moreConclusive(known, outcomeFromWire(wire, now)))
 	}
 }
--- a/reducer/refusal.go
+++ b/reducer/refusal.go
@@ -10,7 +10,7 @@
 )
 
 // refusalWait bounds how long peers may take to say whether a key has run at them.
-const refusalWait = 300 * time.Millisecond
+const refusalQueryTimeout = 300 * time.Millisecond
 
 // refuseKey answers callers whose request with side effects is refused or given up before its claim was won.
 //
@@ -21,12 +21,12 @@
 func (c *Core) refuseKey(ids []uint64, refused refusedKey, failure Failure, now time.Time) {
 	failure.Key = refused.key.Key
 	for _, id := range ids {
-		if failure.State != StateNotRun || c.claimsCurrent(now) && c.provable(refused.key) {
-			c.tellRefusal(id, refused, failure)
+		if failure.State != StateNotRun || c.claimsCurrent(now) && c.claimsComplete(refused.key) {
+			c.answerRefusal(id, refused, failure)
 			continue
 		}
-		ask := &pendingAsk{id: id, key: refused.key, refused: refused, refusal: &failure, lost: c.lostSince(refused.key)}
-		c.askPeers(ask, now.Add(refusalWait), now)
+		query := &peerQuery{id: id, key: refused.key, refusedRequest: refused, refusal: &failure, peerLost: c.peerLostSince(refused.key)}
+		c.queryPeers(query, now.Add(refusalQueryTimeout), now)
 	}
 }
 
@@ -38,7 +38,7 @@
 }
 
 // tellRefusal answers a refused request and counts it as what its caller was told.
-func (c *Core) tellRefusal(id uint64, refused refusedKey, failure Failure) {
+func (c *Core) answerRefusal(id uint64, refused refusedKey, failure Failure) {
 	result := biller.NotRun
 	if failure.State == StateUnknown {
 		result = biller.Unknown
@@ -49,23 +49,23 @@
 
 // claimsCurrent tells whether the table holds the claims of all other entries, but for the newest.
 func (c *Core) claimsCurrent(now time.Time) bool {
-	health := c.logs[StreamClaims]
-	return health.caughtUp && !health.failing && now.Sub(health.readAt) < claimsAge
+	health := c.streams[StreamClaims]
+	return health.caughtUp && !health.failing && now.Sub(health.lastRead) < maxClaimsAge
 }
 
 // provable tells whether no claim for the key can have been missed: an entry that started at a log whose oldest
 // records were cut does not know the claims of that time.
-func (c *Core) provable(key claimer.Key) bool {
+func (c *Core) claimsComplete(key claimer.Key) bool {
 	birth, err := claimer.Birth(key.Key)
 	return err == nil && c.table.CheckProvable(birth) == nil
 }
 
 // claimsAge is the longest time since the claims stream was last read to its end. A reading waits a second
 // for a record, so a healthy stream is never older than that by much.
-const claimsAge = 1500 * time.Millisecond
+const maxClaimsAge = 1500 * time.Millisecond
 
 // lostSince tells whether an entry that can't be asked any more was alive when the key may have been used.
-func (c *Core) lostSince(key claimer.Key) bool {
+func (c *Core) peerLostSince(key claimer.Key) bool {
 	birth, err := claimer.Birth(key.Key)
 	if err != nil {
 		return false
@@ -79,19 +79,19 @@
 }
 
 // endRefusal answers a refused request by what the peers have said.
-func (c *Core) endRefusal(ask *pendingAsk) {
-	best := ask.best
+func (c *Core) finishRefusal(query *peerQuery) {
+	best := query.best
 	switch {
-	case best.State == StateAnswered && best.Digest != ask.refused.digest:
-		c.refuse(ask.id, ask.key.Key, keyReused())
+	case best.State == StateAnswered && best.Digest != query.refusedRequest.digest:
+		c.refuse(query.id, query.key.Key, keyReusedFailure())
 	case best.State == StateAnswered:
-		c.sendOutcome(ask.id, ask.key, best)
-	case best.State == StateRunning || best.State == StateUnknown || ask.lost || ask.waiting > 0:
-		c.tellRefusal(ask.id, ask.refused, mayHaveRun(ask.key, ask.refusal.RetryAfter))
-	case c.beforeEra(ask.key):
-		c.tellRefusal(ask.id, ask.refused, mayHaveRun(ask.key, ask.refusal.RetryAfter))
+		c.sendOutcome(query.id, query.key, best)
+	case best.State == StateRunning || best.State == StateUnknown || query.peerLost || query.pendingReplies > 0:
+		c.answerRefusal(query.id, query.refusedRequest, mayHaveRunFailure(query.key, query.refusal.RetryAfter))
+	case c.beforeEra(query.key):
+		c.answerRefusal(query.id, query.refusedRequest, mayHaveRunFailure(query.key, query.refusal.RetryAfter))
 	default:
-		c.tellRefusal(ask.id, ask.refused, *ask.refusal)
+		c.answerRefusal(query.id, query.refusedRequest, *query.refusal)
 	}
 }
 
@@ -102,7 +102,7 @@
 }
 
 // mayHaveRun is the truth about a refused key that another entry may have served.
-func mayHaveRun(key claimer.Key, retryAfter time.Duration) Failure {
+func mayHaveRunFailure(key claimer.Key, retryAfter time.Duration) Failure {
 	return Failure{
 		Code:       CodeMayHaveRun,
 		Message:    "this attempt did not run, but another entry may have served the key, and the log can't be read to tell",
--- a/reducer/refusal_test.go
+++ b/reducer/refusal_test.go
@@ -41,7 +41,7 @@
 			state, code, _ := w.awaitEnd(w.send(1, ticket, key, "wall 7", deadline).id)
 			require.Equal(t, s.want, state)
 			require.Equal(t, s.code, code)
-			require.LessOrEqual(t, w.now.Sub(sent), refusalWait+stepTime, "given up means answered at once")
+			require.LessOrEqual(t, w.now.Sub(sent), refusalQueryTimeout+stepTime, "given up means answered at once")
 			w.check()
 		})
 	}
--- a/reducer/request.go
+++ b/reducer/request.go
@@ -50,27 +50,27 @@
 	stage int
 	input string
 	// prefix is that of input, for the choice of an endpoint.
-	prefix   router.Prefix
-	attempts int
-	tried    []string
+	prefix         router.Prefix
+	attempts       int
+	triedAddresses []string
 	// announced is the cost of each stage to come that the scheduler was told of; 0 for none.
-	announced [publisher.MaxStages]float64
-	calls     []call
+	announcedCosts [publisher.MaxStages]float64
+	calls          []callState
 	// firstCall is the memory of calls while there is but one.
-	firstCall [1]call
-	queuedAt  time.Time
+	inlineCall [1]callState
+	queuedAt   time.Time
 	// possible counts the calls that an endpoint may have acted on.
-	possible int
+	possibleRuns int
 	// sent is the text of the last stage that the caller has been sent already.
-	sent      string
-	estimated float64
-	cost      float64
-	resumes   int
+	sentText      string
+	estimatedCost float64
+	measuredCost  float64
+	resumes       int
 
 	// callerGone tells that nobody listens at id any more.
-	callerGone bool
-	joined     []uint64
-	peers      []peerWaiter
+	callerGone  bool
+	joined      []uint64
+	peerWaiters []peerWaiter
 }
 
 // peerWaiter is an entry that waits for a request's end on behalf of a caller.
@@ -79,23 +79,23 @@
 	callID  uint64
 }
 
-func (r *request) stageConfig() *publisher.Stage {
+func (r *request) currentStage() *publisher.Stage {
 	return &r.plan.pipeline.Stages[r.stage]
 }
 
-func (r *request) last() bool {
+func (r *request) onLastStage() bool {
 	return r.stage == len(r.plan.pipeline.Stages)-1
 }
 
 // takeRequest admits a request or answers it at once.
-func (c *Core) takeRequest(e *RequestArrived, now time.Time) {
+func (c *Core) handleRequest(e *RequestArrived, now time.Time) {
 	contract, failure := c.authenticate(e.Credentials)
 	if failure != nil {
-		c.refuse(e.ID, e.Key, notKnown(*failure, e.Key))
+		c.refuse(e.ID, e.Key, qualifyNotReady(*failure, e.Key))
 		return
 	}
 	key := claimer.Key{Account: e.Credentials.Account, Key: e.Key}
-	plan, failure := c.planOf(contract, e.Pipeline)
+	plan, failure := c.findPlan(contract, e.Pipeline)
 	if failure == nil {
 		failure = c.checkDeadline(e.Deadline)
 	}
@@ -103,11 +103,11 @@
 		c.refuse(e.ID, e.Key, *failure)
 		return
 	}
-	if c.answerKnown(e, key, plan, now) {
+	if c.answerFromKey(e, key, plan, now) {
 		return
 	}
 	if failure := c.checkAdmission(e, contract, plan, now); failure != nil {
-		c.refuseAdmission(e, key, plan, urgencyOf(contract, e.Pipeline), *failure, now)
+		c.refuseAdmission(e, key, plan, contractUrgency(contract, e.Pipeline), *failure, now)
 		return
 	}
 	c.admit(e, key, contract, plan, now)
@@ -115,7 +115,7 @@
 
 // notKnown makes the refusal of an entry that has no configuration yet true of the key too: it can't tell whether
 // the pipeline has side effects, nor whether another entry has run them under a key that allows them.
-func notKnown(failure Failure, key string) Failure {
+func qualifyNotReady(failure Failure, key string) Failure {
 	if _, err := claimer.Birth(key); failure.Code == CodeNotReady && err == nil {
 		failure.State = StateUnknown
 		failure.Message += "; this attempt did not run"
@@ -135,7 +135,7 @@
 
 // authenticate finds the contract that the credentials prove.
 func (c *Core) authenticate(credentials Credentials) (*publisher.Contract, *Failure) {
-	if !c.ready() {
+	if !c.hasConfig() {
 		return nil, &Failure{Code: CodeNotReady, Message: "this entry has no configuration yet", State: StateNotRun, RetryAfter: time.Second}
 	}
 	contract, known := c.fold.Contract(credentials.Account)
@@ -148,7 +148,7 @@
 	return contract, nil
 }
 
-func (c *Core) ready() bool {
+func (c *Core) hasConfig() bool {
 	return c.fold.Offset() > 0
 }
 
@@ -165,20 +165,20 @@
 }
 
 // answerKnown answers a request whose key is known already, and tells whether it was.
-func (c *Core) answerKnown(e *RequestArrived, key claimer.Key, plan *plan, now time.Time) bool {
+func (c *Core) answerFromKey(e *RequestArrived, key claimer.Key, plan *plan, now time.Time) bool {
 	if r, running := c.running[key]; running {
 		if r.digest != e.Digest {
-			c.refuse(e.ID, e.Key, keyReused())
+			c.refuse(e.ID, e.Key, keyReusedFailure())
 			return true
 		}
 		c.counters.RequestsJoined++
 		r.joined = append(r.joined, e.ID)
-		c.joined[e.ID] = r.id
+		c.joinedCallers[e.ID] = r.id
 		return true
 	}
 	if outcome, known := c.outcomes.get(key); known && (outcome.State == StateAnswered || plan.sideEffect && outcome.State != StateNotRun) {
 		if outcome.Digest != e.Digest {
-			c.refuse(e.ID, e.Key, keyReused())
+			c.refuse(e.ID, e.Key, keyReusedFailure())
 			return true
 		}
 		c.sendOutcome(e.ID, key, outcome)
@@ -191,11 +191,11 @@
 	if !known || !holding.Held {
 		return false
 	}
-	c.answerHeld(e.ID, key, e.Digest, holding, now.Add(e.Deadline), now)
+	c.answerClaimed(e.ID, key, e.Digest, holding, now.Add(e.Deadline), now)
 	return true
 }
 
-func keyReused() Failure {
+func keyReusedFailure() Failure {
 	return Failure{Code: CodeKeyReused, Message: "the key was used for another request; nothing ran for this one", State: StateNotRun}
 }
 
@@ -212,11 +212,11 @@
 			return failure
 		}
 	}
-	asks := c.asks(plan, contract, 0, now)
-	if refused, no := c.admitter.Admit(asks, now.Add(e.Deadline), now).(admitter.Refused); no {
+	stages := c.pendingStages(plan, contract, 0, now)
+	if refused, isRefused := c.admitter.Admit(stages, now.Add(e.Deadline), now).(admitter.Refused); isRefused {
 		return &Failure{Code: CodeCannotFinish, Message: "the stages cannot end by the deadline", State: StateNotRun, RetryAfter: refused.RetryAfter}
 	}
-	if refused, no := c.limiter.Admit(contract.Account, c.expectedCost(plan), now).(limiter.Refused); no {
+	if refused, isRefused := c.limiter.Admit(contract.Account, c.expectedCost(plan), now).(limiter.Refused); isRefused {
 		return &Failure{Code: limitCode(refused.Reason), Message: "the contract's limit is reached", State: StateNotRun, RetryAfter: refused.RetryAfter}
 	}
 	return nil
@@ -242,9 +242,9 @@
 		return &Failure{Code: CodeUnsupportedKey, Message: "a request with side effects needs a UUIDv7 as its key", State: StateNotRun}
 	}
 	if err := claimer.CheckAge(birth, now, c.cfg.KeyHorizon); err != nil {
-		return ageFailure(err)
+		return keyAgeFailure(err)
 	}
-	if !c.claimsReady(now) {
+	if !c.canClaim(now) {
 		return &Failure{Code: CodeLogUnavailable, Message: "the log can't be read, so the request can't be claimed", State: StateNotRun, RetryAfter: logRetryAfter}
 	}
 	if err := c.table.CheckProvable(birth); err != nil {
@@ -262,26 +262,26 @@
 // admit starts a request.
 func (c *Core) admit(e *RequestArrived, key claimer.Key, contract *publisher.Contract, plan *plan, now time.Time) {
 	r := &request{
-		id:        e.ID,
-		name:      c.requestName(e.ID),
-		key:       key,
-		digest:    e.Digest,
-		plan:      plan,
-		contract:  contract,
-		urgency:   urgencyOf(contract, plan.pipeline.Name),
-		arrived:   now,
-		deadline:  now.Add(e.Deadline),
-		stream:    e.Stream,
-		input:     e.Input,
-		estimated: c.expectedCost(plan),
+		id:            e.ID,
+		name:          c.requestName(e.ID),
+		key:           key,
+		digest:        e.Digest,
+		plan:          plan,
+		contract:      contract,
+		urgency:       contractUrgency(contract, plan.pipeline.Name),
+		arrived:       now,
+		deadline:      now.Add(e.Deadline),
+		stream:        e.Stream,
+		input:         e.Input,
+		estimatedCost: c.expectedCost(plan),
 	}
-	r.calls = r.firstCall[:0]
+	r.calls = r.inlineCall[:0]
 	c.requests[r.id] = r
 	c.running[key] = r
 	c.schedule(timer{at: r.deadline, kind: timerDeadline, subject: r.id})
-	c.announce(r)
+	c.announceStages(r)
 	if plan.sideEffect {
-		c.claim(r, now)
+		c.appendClaim(r, now)
 		return
 	}
 	c.enqueue(r, now)
@@ -298,7 +298,7 @@
 	return b.String()
 }
 
-func urgencyOf(contract *publisher.Contract, pipeline string) scheduler.Urgency {
+func contractUrgency(contract *publisher.Contract, pipeline string) scheduler.Urgency {
 	name := contract.Urgency
 	if own, set := contract.PipelineUrgency[pipeline]; set {
 		name = own
@@ -313,6 +313,6 @@
 	}
 }
 
-func (r *request) callOf(attempt int) int {
-	return slices.IndexFunc(r.calls, func(k call) bool { return k.attempt == attempt })
+func (r *request) callIndex(attempt int) int {
+	return slices.IndexFunc(r.calls, func(call callState) bool { return call.attempt == attempt })
 }
--- a/reducer/status.go
+++ b/reducer/status.go
@@ -16,7 +16,7 @@
 		Entry:        c.cfg.Entry,
 		Zone:         c.cfg.Zone,
 		Phase:        phaseName(c.drainer.Phase()),
-		Ready:        c.ready(),
+		Ready:        c.hasConfig(),
 		ConfigOffset: c.fold.Offset(),
 		ClaimsOffset: c.table.Offset(),
 		Entries:      c.entryStatus(now),
@@ -30,7 +30,7 @@
 // ordererStatus names who gives orders to the engines of each placed pool.
 func (c *Core) ordererStatus() []operatorserver.OrdererStatus {
 	var all []operatorserver.OrdererStatus
-	for _, pool := range slices.Sorted(maps.Keys(c.orderings)) {
+	for _, pool := range slices.Sorted(maps.Keys(c.placedPools)) {
 		entry, _ := c.leaser.Holder(pool)
 		all = append(all, operatorserver.OrdererStatus{Pool: pool, Entry: entry})
 	}
@@ -39,7 +39,7 @@
 
 // assignmentStatus tells what an engine of a placed pool holds, as far as this entry has read it.
 func (c *Core) assignmentStatus(pool, address string) operatorserver.OptString {
-	o, placed := c.orderings[pool]
+	o, placed := c.placedPools[pool]
 	if !placed {
 		return operatorserver.OptString{}
 	}
@@ -101,12 +101,12 @@
 	for _, contract := range c.fold.Contracts() {
 		share, _, inFlight := c.limiter.Share(contract.Account, now)
 		bill := bills[contract.Account]
-		all = append(all, accountStatusOf(contract, share, inFlight, bill))
+		all = append(all, newAccountStatus(contract, share, inFlight, bill))
 	}
 	return all
 }
 
-func accountStatusOf(contract *publisher.Contract, share float64, inFlight int, bill biller.Bill) operatorserver.AccountStatus {
+func newAccountStatus(contract *publisher.Contract, share float64, inFlight int, bill biller.Bill) operatorserver.AccountStatus {
 	counts := bill.Counts()
 	status := operatorserver.AccountStatus{
 		Account:       contract.Account,
@@ -130,24 +130,24 @@
 // alarms are the states that an operator should act on; docs/OPERATING.md says how.
 func (c *Core) alarms(now time.Time) []string {
 	alarms := []string{}
-	for stream, health := range c.logs {
+	for stream, health := range c.streams {
 		if health.failing {
 			alarms = append(alarms, "log stream "+string(stream)+" can't be read: "+health.reason)
 		}
 	}
-	if !c.ready() {
+	if !c.hasConfig() {
 		alarms = append(alarms, "this entry has no configuration")
 	}
 	if c.table.Lapsed() {
 		alarms = append(alarms, "the log cut claims before this entry read them: it serves no side effects until its process is replaced")
 	}
-	if c.logs[StreamConfig].renewed {
+	if c.streams[StreamConfig].eraChanged {
 		alarms = append(alarms, "the log has returned from an older copy: changes at offsets that this entry has read before are not in force")
 	}
 	if !c.fold.Complete() {
 		alarms = append(alarms, "the log cut configuration that no snapshot covers: newer changes wait for a snapshot")
 	}
-	if !c.claimsReady(now) {
+	if !c.canClaim(now) {
 		alarms = append(alarms, "requests with side effects are refused: the claims stream is not readable")
 	}
 	return alarms
--- a/reducer/stop.go
+++ b/reducer/stop.go
@@ -11,9 +11,9 @@
 
 const (
 	// handoverAge is how old an outcome may be to be handed over at a planned stop.
-	handoverAge = 2 * time.Minute
+	maxHandoverAge = 2 * time.Minute
 	// handoverBytes bounds the answers of one message, well under the frame limit.
-	handoverBytes = 256 << 10
+	maxHandoverBytes = 256 << 10
 	// handoverCopies is how many peers keep a stopping entry's outcomes.
 	handoverCopies = 2
 )
@@ -25,10 +25,10 @@
 	}
 	c.drainer.Begin(now)
 	c.emit(LogChange{Message: "planned stop", Subject: c.cfg.Entry, From: phaseName(drainer.Serving), To: phaseName(c.drainer.Phase())})
-	c.beat(now)
+	c.sendHeartbeats(now)
 }
 
-func (c *Core) takeStopAsked(e StopRequested, now time.Time) {
+func (c *Core) handleStopRequested(e StopRequested, now time.Time) {
 	if e.Begin {
 		c.beginStop(now)
 	}
@@ -40,13 +40,13 @@
 }
 
 // stepStop takes the planned stop on, as far as requests in flight and address answers allow.
-func (c *Core) stepStop(now time.Time) {
+func (c *Core) advanceStop(now time.Time) {
 	before := c.drainer.Phase()
 	if before == drainer.Serving || c.stopped {
 		return
 	}
-	unhanded := c.batcher.Waiting() + c.appending
-	after := c.drainer.Step(len(c.requests)+len(c.asked), unhanded, now)
+	unhanded := c.batcher.Waiting() + c.claimAppendsInFlight
+	after := c.drainer.Step(len(c.requests)+len(c.peerQueries), unhanded, now)
 	if after == before {
 		return
 	}
@@ -56,9 +56,9 @@
 		c.handOver(now)
 	case drainer.Done:
 		c.stopped = true
-		c.billsAt = time.Time{}
-		c.tellBills(now)
-		c.beat(now)
+		c.nextBills = time.Time{}
+		c.broadcastBills(now)
+		c.sendHeartbeats(now)
 		c.emit(Exit{})
 	}
 }
@@ -67,12 +67,12 @@
 func (c *Core) handOver(now time.Time) {
 	message := &carrier.Handover{}
 	size := 0
-	for _, key := range c.outcomes.recent(now.Add(-handoverAge)) {
+	for _, key := range c.outcomes.recent(now.Add(-maxHandoverAge)) {
 		outcome, _ := c.outcomes.get(key)
 		c.counters.OutcomesHandedOff++
 		size += len(outcome.Answer) + len(outcome.Failure.Message)
-		message.Outcomes = append(message.Outcomes, *wireOutcome(0, key, outcome, now))
-		if size >= handoverBytes {
+		message.Outcomes = append(message.Outcomes, *outcomeToWire(0, key, outcome, now))
+		if size >= maxHandoverBytes {
 			c.sendHandover(message)
 			message, size = &carrier.Handover{}, 0
 		}
--- a/reducer/text.go
+++ b/reducer/text.go
@@ -4,12 +4,12 @@
 
 // partsText is the text of a reply's parts so far. A reply of one part needs no memory of its own.
 // The builder is held by pointer, since a call moves in memory when another is begun beside it.
-type partsText struct {
+type replyText struct {
 	first string
 	rest  *strings.Builder
 }
 
-func (t *partsText) write(text string) {
+func (t *replyText) write(text string) {
 	if t.rest == nil && t.first == "" {
 		t.first = text
 		return
@@ -21,14 +21,14 @@
 	t.rest.WriteString(text)
 }
 
-func (t *partsText) size() int {
+func (t *replyText) length() int {
 	if t.rest == nil {
 		return len(t.first)
 	}
 	return t.rest.Len()
 }
 
-func (t *partsText) whole() string {
+func (t *replyText) content() string {
 	if t.rest == nil {
 		return t.first
 	}
--- a/reducer/tick.go
+++ b/reducer/tick.go
@@ -9,47 +9,47 @@
 // tick lets time pass: timers, heartbeats, the planned stop, snapshots.
 func (c *Core) tick(now time.Time) {
 	c.lastTick = now
-	c.takeTransitions(c.detector.Tick(now), now)
+	c.handleTransitions(c.detector.Tick(now), now)
 	c.runTimers(now)
-	c.pumpAll(now)
-	if !now.Before(c.heartbeatAt) {
-		c.heartbeatAt = now.Add(c.cfg.HeartbeatEvery)
-		c.beat(now)
-		c.snapshot(now)
-		c.tellBills(now)
+	c.dispatchAllPools(now)
+	if !now.Before(c.nextHeartbeat) {
+		c.nextHeartbeat = now.Add(c.cfg.HeartbeatEvery)
+		c.sendHeartbeats(now)
+		c.appendSnapshot(now)
+		c.broadcastBills(now)
 	}
-	c.stepOrders(now)
-	c.stepStop(now)
+	c.updatePlacedPools(now)
+	c.advanceStop(now)
 }
 
-func (c *Core) pumpAll(now time.Time) {
+func (c *Core) dispatchAllPools(now time.Time) {
 	for _, pool := range c.fold.Pools() {
-		c.pump(pool.Name, now)
+		c.dispatchQueued(pool.Name, now)
 	}
 }
 
 // snapshot appends the whole configuration well before the log drops its oldest records.
-func (c *Core) snapshot(now time.Time) {
-	health := c.logs[StreamConfig]
+func (c *Core) appendSnapshot(now time.Time) {
+	health := c.streams[StreamConfig]
 	if health.failing || !health.caughtUp || !c.fold.SnapshotDue(now) {
-		c.snapshotDue = time.Time{}
+		c.snapshotDueSince = time.Time{}
 		return
 	}
-	if c.snapshotDue.IsZero() {
-		c.snapshotDue = now
+	if c.snapshotDueSince.IsZero() {
+		c.snapshotDueSince = now
 	}
-	if now.Sub(c.snapshotDue) < time.Duration(c.rank())*snapshotStagger {
+	if now.Sub(c.snapshotDueSince) < time.Duration(c.liveRank())*snapshotStagger {
 		return
 	}
-	c.snapshotDue = time.Time{}
+	c.snapshotDueSince = time.Time{}
 	parts, err := c.fold.Snapshot(now)
 	if err != nil {
 		c.emit(LogChange{Message: "the snapshot can't be encoded", Subject: err.Error()})
 		return
 	}
 	for _, part := range parts {
-		c.nextBatch++
-		c.emit(Append{Stream: StreamConfig, BatchID: c.nextBatch, Data: part})
+		c.lastBatchID++
+		c.emit(Append{Stream: StreamConfig, BatchID: c.lastBatchID, Data: part})
 	}
 }
 
@@ -58,7 +58,7 @@
 const snapshotStagger = 2 * time.Second
 
 // rank is this entry's place among the live ones, by name.
-func (c *Core) rank() int {
+func (c *Core) liveRank() int {
 	rank := 0
 	for _, member := range c.detector.Members() {
 		if member.Name < c.cfg.Entry && member.State == detector.Live {
@@ -69,7 +69,7 @@
 }
 
 // takeVMs takes the platform's lagging list.
-func (c *Core) takeVMs(e VMsListed, now time.Time) {
+func (c *Core) handleVMsListed(e VMsListed, now time.Time) {
 	c.router.UpdateVMs(e.Endpoints, now)
 	for _, hint := range e.Entries {
 		if hint.PeerAddress == c.cfg.PeerAddress {
@@ -77,5 +77,5 @@
 		}
 		c.detector.AddHint(hint.PeerAddress, hint.Zone, hint.Leaving, now)
 	}
-	c.endParts(e.Entries, now)
+	c.releaseShares(e.Entries, now)
 }
--- a/reducer/timer.go
+++ b/reducer/timer.go
@@ -11,7 +11,7 @@
 	timerDeadline timerKind = iota
 	timerClaim
 	timerStage
-	timerAsk
+	timerQuery
 	timerChange
 )
 
@@ -52,13 +52,13 @@
 	s[last] = timer{}
 	*h = s[:last]
 	if last > 0 {
-		h.sink(moved)
+		h.siftDown(moved)
 	}
 	return first
 }
 
 // sink puts a timer in the place of the first and takes it down to its own.
-func (h *timerHeap) sink(t timer) {
+func (h *timerHeap) siftDown(t timer) {
 	s := *h
 	i := 0
 	for {
@@ -88,15 +88,15 @@
 		t := c.timers.pop()
 		switch t.kind {
 		case timerDeadline:
-			c.passDeadline(t.subject, now)
+			c.handleDeadline(t.subject, now)
 		case timerClaim:
-			c.passClaimTimeout(t.subject, now)
+			c.handleClaimTimeout(t.subject, now)
 		case timerStage:
-			c.passWatch(t.call, now)
-		case timerAsk:
-			c.passAskTimeout(t.subject, now)
+			c.handleCallTimer(t.call, now)
+		case timerQuery:
+			c.handleQueryTimeout(t.subject, now)
 		case timerChange:
-			c.passChangeTimeout(t.name, now)
+			c.handleChangeTimeout(t.name, now)
 		}
 	}
 }
