--- a/reducer/event.go
+++ b/reducer/event.go
@@ -82,7 +82,7 @@
 	FaultError
 	// FaultConnectionLost means that the connection ended after the call was sent.
 	FaultConnectionLost
-	// FaultTimeout means that the endpoint did not answer in time.
+	// FaultTimeout means that the endpoint did not answer within the time allowed for the stage.
 	FaultTimeout
 )
 
--- a/reducer/log.go
+++ b/reducer/log.go
@@ -9,7 +9,7 @@
 	"geraniumline/recorder"
 )
 
-// takeLogRead folds the records of a page, in order.
+// handleLogRead applies the records of a page in order.
 func (c *Core) handleLogRead(e LogRead, now time.Time) {
 	health := c.streams[e.Stream]
 	if health.failing {
@@ -33,6 +33,7 @@
 	}
 }
 
+// foldClaims applies the records of a page to the claims table and handles the decisions that follow.
 func (c *Core) foldClaims(e LogRead, now time.Time) {
 	if c.table.Renew(e.Era) {
 		c.batcher.Add(claimer.Mark{Era: e.Era})
@@ -50,7 +51,7 @@
 	c.counters.ClaimRecordsInvalid = uint64(c.table.Bad())
 }
 
-// takeLogFailed notes that a stream can't be read now.
+// handleLogFailed records that a stream can't currently be read.
 func (c *Core) handleLogFailed(e LogFailed, _ time.Time) {
 	health := c.streams[e.Stream]
 	if !health.failing {
@@ -82,6 +83,7 @@
 	}
 }
 
+// countVerdict counts a change by its verdict.
 func (c *Core) countVerdict(verdict publisher.Verdict) {
 	switch verdict.State {
 	case publisher.Accepted:
@@ -93,8 +95,8 @@
 	}
 }
 
-// apply hands on what an accepted change has put in force. Going through all contracts at each change would sort
-// the 43,000 of a large system again for every one of its 62,000 changes a day.
+// applyVerdict applies the object of an accepted change to the limiter or router. Applying all contracts at each
+// change would sort the 43,000 contracts of a large system again for each of its 62,000 changes a day.
 func (c *Core) applyVerdict(verdict publisher.Verdict, now time.Time) {
 	if verdict.State != publisher.Accepted {
 		return
@@ -107,7 +109,7 @@
 	}
 }
 
-// applyAll hands on everything in force, after a snapshot has taken the place of what was.
+// applyWholeConfig applies all objects in force, after a snapshot has replaced the configuration.
 func (c *Core) applyWholeConfig(now time.Time) {
 	for _, contract := range c.fold.Contracts() {
 		c.applyContract(contract.Account, now)
@@ -120,7 +122,7 @@
 	}
 }
 
-// applyContract brings the limiter to an account's contract in force, or to none.
+// applyContract sets the limiter to an account's contract in force, or removes the account if it has none.
 func (c *Core) applyContract(account string, now time.Time) {
 	contract, known := c.fold.Contract(account)
 	switch {
@@ -133,6 +135,7 @@
 	}
 }
 
+// applyPool sets the router to a pool's configuration in force.
 func (c *Core) applyPool(name string) {
 	if pool, known := c.fold.Pool(name); known {
 		c.router.SetPool(name, pool.SlotsPerEndpoint, pool.Kind == publisher.PoolEngine)
--- a/reducer/order.go
+++ b/reducer/order.go
@@ -16,31 +16,32 @@
 )
 
 const (
-	// orderEvery is how often the orders to engines are decided.
+	// orderInterval is the time between two decisions on orders to engines.
 	orderInterval = 500 * time.Millisecond
-	// readAssignmentEvery is how often an engine is asked what it holds.
+	// readAssignmentInterval is the time between two reads of an engine's assignment.
 	readAssignmentInterval = 2 * time.Second
-	// readAgainEvery bounds the readings of all engines after failed calls.
+	// minRereadInterval is the least time between two reads of all engines that failed calls cause.
 	minRereadInterval = 200 * time.Millisecond
-	// orderTimeout bounds one order, and leastOrderTime is what must be left of the lease to begin one.
+	// orderTimeout bounds one order. minOrderTime is the least time that must be left of the lease to begin one.
 	orderTimeout = 2 * time.Second
 	minOrderTime = 500 * time.Millisecond
-	// demandKept is how long the demand that a peer tells is believed.
+	// peerDemandTTL is how long a peer's reported demand is used.
 	peerDemandTTL = 5 * time.Second
 )
 
-// ordering is what the core knows of a pool whose engines a placement places.
+// placedPool is the state of a pool whose engines are assigned models by a placement.
 type placedPool struct {
 	pool   string
 	placer *placer.Placer
-	// lacks is the placer's, kept so that no choice of an endpoint has to make it.
+	// cannotServe is the placer's method value, kept to avoid an allocation at each choice of an endpoint.
 	cannotServe func(address, model string, now time.Time) bool
 	lastReads   map[string]time.Time
-	// doubted is when a failed call last had all engines read.
+	// lastReread is when a failed call last caused a read of all engines.
 	lastReread  time.Time
 	peerDemands map[string]peerDemand
 }
 
+// peerDemand is the demand for a pool's models that a peer reported last.
 type peerDemand struct {
 	models []carrier.ModelDemand
 	at     time.Time
@@ -59,7 +60,8 @@
 	return o
 }
 
-// stepOrders reads engines back, keeps the lease on each placed pool and gives the orders that are due.
+// updatePlacedPools reads the engines' assignments, bids for or renews the lease on each pool with a placement and
+// sends the orders that are due.
 func (c *Core) updatePlacedPools(now time.Time) {
 	if now.Before(c.nextOrders) {
 		return
@@ -113,7 +115,7 @@
 	}
 }
 
-// readBack asks engines what they hold: each now and then, and at once where an order's end is uncertain.
+// readAssignments reads the engines' assignments: each at intervals, and sooner where an order's result is uncertain.
 func (c *Core) readAssignments(o *placedPool, now time.Time) {
 	addresses := c.router.PoolAddresses(o.pool)
 	o.placer.SetEngines(addresses)
@@ -134,9 +136,9 @@
 	o.lastReads = asked
 }
 
-// readAgain has a pool's engines read back at once when one of them failed a call: it may hold another model than it
-// did, and the model that the call needs may be elsewhere. Until it is read the engine gets no calls: a stage that is
-// tried again would go to it, be refused and have no tries left before the truth is known.
+// rereadAssignments reads all assignments of a pool when one of its engines failed a call: that engine may hold
+// another model than before, and the model that the call needs may be elsewhere. The engine gets no calls until its
+// assignment is read: a stage that is tried again could otherwise use up its attempts there before that.
 func (c *Core) rereadAssignments(pool, address string, now time.Time) {
 	o, placed := c.placedPools[pool]
 	if !placed {
@@ -152,8 +154,8 @@
 	c.readAssignments(o, now)
 }
 
-// bidForLease appends to the leases stream if a bid or a renewal is due. An entry that can't read the stream would
-// not see its own record, and one that is stopping leaves the lease to others.
+// bidForLease appends to the leases stream if a bid or a renewal is due. An entry that can't read the stream does
+// not bid, since it would not see its own record. Neither does one that is stopping, which leaves the lease to others.
 func (c *Core) bidForLease(pool string, now time.Time) {
 	health := c.streams[StreamLeases]
 	if !health.caughtUp || health.failing || c.drainer.Phase() != drainer.Serving {
@@ -165,8 +167,9 @@
 	}
 }
 
-// orderRank is this entry's place among the live ones for a pool, by rendezvous hash, so that pools have different
-// orderers. Entries that differ about who lives only bid at the same time; the log decides.
+// leaseRank returns this entry's rank among the live entries for a pool by rendezvous hashing, so that different
+// entries send the orders of different pools. If entries disagree about which ones live, they may only bid at
+// the same time; the log then decides.
 func (c *Core) leaseRank(pool string) int {
 	own := xxhash.Sum64String(pool + "/" + c.cfg.Entry)
 	rank := 0
@@ -178,6 +181,7 @@
 	return rank
 }
 
+// foldLeases applies the records of a page to the leases.
 func (c *Core) foldLeases(e LogRead, now time.Time) {
 	if c.leaser.Gap(e.First, now) {
 		c.emit(LogChange{Message: "the log cut leases before they were read", Subject: string(StreamLeases)})
@@ -209,8 +213,8 @@
 	}
 }
 
-// modelDemand is the work that this entry's requests still have for the pool's models, in endpoint milliseconds.
-// It is summed up in whole numbers: the order of a map would show in the last digits of a sum of fractions.
+// modelDemand returns the remaining work of this entry's requests for the pool's models, in endpoint milliseconds.
+// It is summed in integers, since a floating-point sum would depend on the iteration order of the map.
 func (c *Core) modelDemand(pool string) map[string]int64 {
 	demand := map[string]int64{}
 	for _, r := range c.requests {
@@ -224,7 +228,8 @@
 	return demand
 }
 
-// tellDemand tells the pool's orderer what waits here. It alone needs to know, so it is not in the heartbeats.
+// sendDemand sends this entry's demand to the holder of the pool's lease. No other entry needs it, so it is not
+// part of the heartbeats.
 func (c *Core) sendDemand(pool string, own map[string]int64) {
 	holder, _ := c.leaser.Holder(pool)
 	member, known := c.detector.Member(holder)
@@ -238,13 +243,14 @@
 	c.emit(SendPeer{Address: member.PeerAddress, Message: message})
 }
 
+// handleDemand stores the demand that a peer reported.
 func (c *Core) handleDemand(from string, message *carrier.Demand, now time.Time) {
 	if o, placed := c.placedPools[message.Pool]; placed {
 		o.peerDemands[from] = peerDemand{models: message.Models, at: now}
 	}
 }
 
-// total adds the peers' demand to this entry's own.
+// totalDemand returns the sum of this entry's demand and the recent demand of peers, by model.
 func (o *placedPool) totalDemand(own map[string]int64, now time.Time) map[string]float64 {
 	total := map[string]float64{}
 	for model, millis := range own {
@@ -262,8 +268,8 @@
 	return total
 }
 
-// modelsInUse are the models of the pool that a pipeline in force names. Demand alone would not tell: an account
-// whose requests other entries serve may need a model that this one never saw in use.
+// modelsInUse returns the models of the pool that a pipeline in force names. Demand alone does not show them: an
+// account whose requests other entries serve may need a model for which this entry has had no request.
 func (c *Core) modelsInUse(pool string) map[string]bool {
 	used := map[string]bool{}
 	for _, pipeline := range c.fold.Pipelines() {
--- a/reducer/outcome.go
+++ b/reducer/outcome.go
@@ -6,8 +6,8 @@
 	"geraniumline/claimer"
 )
 
-// outcomeStore keeps the outcomes of ended requests that callers may still ask for, the oldest going first.
-// It is bounded in count and in bytes: a few thousand long summaries would else fill a small VM.
+// outcomeStore keeps the outcomes of ended requests for callers to request, and evicts the oldest first.
+// It is bounded in count and in bytes: a few thousand long summaries would otherwise fill the memory of a small VM.
 type outcomeStore struct {
 	limit int
 	bytes int
@@ -27,6 +27,7 @@
 	return &outcomeStore{limit: limit, byKey: map[claimer.Key]Outcome{}}
 }
 
+// put stores or replaces the outcome of a key and evicts the oldest outcomes above the limits.
 func (s *outcomeStore) put(key claimer.Key, outcome Outcome) {
 	known, exists := s.byKey[key]
 	if !exists {
@@ -46,7 +47,7 @@
 	s.order = s.order[1:]
 }
 
-// size is the bytes of an outcome's texts.
+// size returns the size of an outcome's texts in bytes.
 func (o Outcome) size() int {
 	return len(o.Answer) + len(o.Failure.Message)
 }
@@ -56,6 +57,7 @@
 	return outcome, known
 }
 
+// recent returns the keys of the outcomes that ended at or after a time.
 func (s *outcomeStore) recent(since time.Time) []claimer.Key {
 	var keys []claimer.Key
 	for _, key := range s.order {
--- a/reducer/peer.go
+++ b/reducer/peer.go
@@ -10,13 +10,13 @@
 )
 
 const (
-	// recordsCallEvery bounds how often peers are asked for configuration.
+	// recordsCallInterval is the least time between two requests to peers for configuration records.
 	recordsCallInterval = 250 * time.Millisecond
-	// recordsPerMessage bounds the records of one message.
+	// recordsPerMessage bounds the records in one message.
 	recordsPerMessage = 256
 )
 
-// takePeerMessage takes a message of another entry.
+// handlePeerMessage handles a message from another entry.
 func (c *Core) handlePeerMessage(e PeerMessageArrived, now time.Time) {
 	switch message := e.Message.(type) {
 	case *carrier.Heartbeat:
@@ -38,6 +38,7 @@
 	}
 }
 
+// handleHeartbeat applies a peer's state, loads, crash marks and usage.
 func (c *Core) handleHeartbeat(message *carrier.Heartbeat, now time.Time) {
 	c.counters.HeartbeatsReceived++
 	c.handleTransitions(c.detector.Receive(message, now), now)
@@ -48,9 +49,8 @@
 	c.requestRecords(message.From, now)
 }
 
-// callForRecords asks a peer for configuration that this entry has not read from the log. The log comes
-// first; a peer is asked while the log fails or this entry knows nothing yet, so that a change is in
-// force also at an entry that is cut from the log.
+// requestRecords requests configuration records from a peer that has read further than this entry, at most once
+// per recordsCallInterval. Changes thus come into force also at an entry that can't reach the log.
 func (c *Core) requestRecords(from carrier.Member, now time.Time) {
 	if from.ConfigOffset <= c.fold.Offset() || now.Sub(c.recordsRequestedAt) < recordsCallInterval {
 		return
@@ -60,11 +60,11 @@
 	c.emit(SendPeer{Address: from.PeerAddress, Message: &carrier.RecordsCall{CallID: c.recordsCallID, Stream: string(StreamConfig), From: c.firstMissingOffset()}})
 }
 
-// wholeSnapshot is the offset to ask from for a snapshot in place of records.
+// wholeSnapshot is the offset that requests a snapshot instead of records.
 const wholeSnapshot = 0
 
-// recordsFrom gives the offset to ask peers from. Behind a gap the fold has read records past what it lacks, so
-// it would pass over the older ones if they were sent: only a snapshot closes the gap.
+// firstMissingOffset returns the offset from which to request records. If there is a gap, the fold has already read
+// records after it and would skip the older ones if they were sent: only a snapshot closes the gap.
 func (c *Core) firstMissingOffset() int64 {
 	if !c.fold.Complete() {
 		return wholeSnapshot
@@ -72,7 +72,7 @@
 	return c.fold.Offset() + 1
 }
 
-// takeRecordsCall passes configuration on: the records if they are still kept, else a snapshot.
+// handleRecordsCall sends configuration to a peer: the records if they are still kept, and otherwise a snapshot.
 func (c *Core) handleRecordsCall(from string, call *carrier.RecordsCall, now time.Time) {
 	member, known := c.detector.Member(from)
 	if !known || call.Stream != string(StreamConfig) || c.fold.Offset() < call.From {
@@ -94,8 +94,8 @@
 	c.emit(SendPeer{Address: member.PeerAddress, Message: answer})
 }
 
-// takeRecords folds what a peer passes on. An answer to the process that had this address before is dropped: its
-// records begin past what this process has, and the fold would pass over the missing ones for good.
+// handleRecords applies the configuration sent by a peer. An answer to an earlier process with this address is
+// dropped: its records begin after what this process has read, and the fold would skip the missing ones for good.
 func (c *Core) handleRecords(message *carrier.Records, now time.Time) {
 	if message.Stream != string(StreamConfig) || message.CallID != c.recordsCallID {
 		return
@@ -115,7 +115,7 @@
 	}
 }
 
-// takeTransitions acts on what the detector has found out about members.
+// handleTransitions handles the changes of members' states that the detector reports.
 func (c *Core) handleTransitions(transitions []detector.Transition, now time.Time) {
 	for _, t := range transitions {
 		if t.Resumed() {
@@ -138,15 +138,17 @@
 	}
 }
 
-// takeOwnTransition acts on what the detector says of this entry itself. Dead means that a newer process serves
-// under its name: the VM was replaced while this process lived on. Two of one name would each take the other's
-// heartbeats, claims and shares for its own, so the older one stops, as planned, and cuts nothing.
+// handleOwnTransition handles a change of this entry's own state. Dead means that a newer process serves under the
+// same name: the VM was replaced while this process continued to run. Two processes of one name would each treat
+// the other's heartbeats, claims and shares as their own, so the older one starts a planned stop, which does not
+// break off requests in flight.
 func (c *Core) handleOwnTransition(t detector.Transition, now time.Time) {
 	if t.To == detector.Dead {
 		c.beginStop(now)
 	}
 }
 
+// updateEntryCount passes the number of entries, and this one's index by name, to the limiter and router.
 func (c *Core) updateEntryCount(now time.Time) {
 	live, index := 0, 0
 	for _, member := range c.detector.Members() {
@@ -162,7 +164,7 @@
 	c.router.SetEntries(index, c.liveEntries)
 }
 
-// beat sends a heartbeat to the peers that the detector names.
+// sendHeartbeats sends a heartbeat to the peers that the detector selects.
 func (c *Core) sendHeartbeats(now time.Time) {
 	c.detector.SetSelf(c.memberState(), c.fold.Offset(), int32(len(c.requests)))
 	message := c.detector.Heartbeat(now)
@@ -175,7 +177,7 @@
 	}
 }
 
-// takeHandover keeps outcomes that a stopping peer's callers may still ask for.
+// handleHandover stores the outcomes that a stopping peer hands over, since its callers may still request them.
 func (c *Core) handleHandover(message *carrier.Handover, now time.Time) {
 	for i := range message.Outcomes {
 		wire := &message.Outcomes[i]
--- a/reducer/plan.go
+++ b/reducer/plan.go
@@ -9,11 +9,11 @@
 	"geraniumline/scheduler"
 )
 
-// plan is what the core works out once of a pipeline in force.
+// plan is the data that the core derives once from a pipeline in force.
 type plan struct {
 	pipeline   *publisher.Pipeline
 	sideEffect bool
-	// stageNames are "pipeline/stage", under which the admitter measures.
+	// stageNames are the names "pipeline/stage" under which the admitter keeps its measurements.
 	stageNames    []string
 	pendingStages []admitter.PendingStage
 }
@@ -30,7 +30,7 @@
 	return p
 }
 
-// planOf finds the plan of a pipeline that the contract allows.
+// findPlan returns the plan of a pipeline, or a failure if it does not exist or the contract does not name it.
 func (c *Core) findPlan(contract *publisher.Contract, name string) (*plan, *Failure) {
 	pipeline, known := c.fold.Pipeline(name)
 	if !known {
@@ -48,7 +48,8 @@
 	return p, nil
 }
 
-// asks describes the stages from a stage on to the admitter. The slice is the plan's own, valid until the next call.
+// pendingStages describes the stages from a given one on for the admitter. The slice belongs to the plan and is valid
+// until the next call.
 func (c *Core) pendingStages(p *plan, contract *publisher.Contract, from int, now time.Time) []admitter.PendingStage {
 	item := scheduler.Item{Account: contract.Account, Weight: contract.Weight, Urgency: contractUrgency(contract, p.pipeline.Name)}
 	for i := from; i < len(p.pendingStages); i++ {
@@ -66,9 +67,9 @@
 	return p.pendingStages[from:]
 }
 
-// capacity is the work in endpoint milliseconds a millisecond that this entry may count on in a pool: what the
-// pool was found to take while stages waited here, else an even part of its slots. When callers come to
-// some entries more than to others, an even part is wrong at each of them.
+// poolCapacity returns the capacity of a pool that this entry can expect to use, in endpoint milliseconds per
+// millisecond: the measured drain rate while stages were queued here, or else an even share of the pool's slots.
+// An even share is wrong at every entry if callers are spread unevenly over the entries.
 func (c *Core) poolCapacity(pool string, now time.Time) float64 {
 	if drain := c.scheduler.DrainRate(pool, now); drain > 0 {
 		return drain
@@ -76,7 +77,7 @@
 	return c.router.Capacity(pool, c.liveEntries, now)
 }
 
-// expectedCost is the cost of all stages, in endpoint milliseconds.
+// expectedCost returns the expected cost of all stages, in endpoint milliseconds.
 func (c *Core) expectedCost(p *plan) float64 {
 	total := 0.0
 	for i := range p.pipeline.Stages {
@@ -85,7 +86,7 @@
 	return total
 }
 
-// expectedStageCost is the cost of one stage, in endpoint milliseconds.
+// expectedStageCost returns the expected cost of one stage, in endpoint milliseconds.
 func (c *Core) expectedStageCost(p *plan, stage int) float64 {
 	return c.admitter.ExpectedCost(p.stageNames[stage], float64(p.pipeline.Stages[stage].ExpectedMillis))
 }
--- a/reducer/quarantine.go
+++ b/reducer/quarantine.go
@@ -9,23 +9,23 @@
 	"geraniumline/quarantiner"
 )
 
-// loneAfter is how long a suspect waits before it runs alone: for what peers have seen of its content to
-// arrive, so that content which ended endpoints at several entries at once is not tried at each again.
+// isolationDelay is how long a suspect request waits before it runs isolated. Peers' crash marks can arrive in that
+// time, so that content which crashed endpoints at several entries at once is not tried again at each of them.
 const isolationDelay = 50 * time.Millisecond
 
-// loneRun is a suspect request that waits for an endpoint of its own, or has it.
+// isolatedRun is a run of a suspect request that has an endpoint reserved for it or waits for one.
 type isolatedRun struct {
 	request uint64
 	stage   int
-	// from is this entry's turn, where entries share an endpoint for such runs.
+	// notBefore is when this entry's turn begins if entries share an endpoint for such runs.
 	notBefore time.Time
-	// address is the endpoint that is kept for it; empty while it has none.
+	// address is the endpoint that is reserved for it; empty while it has none.
 	address string
-	// attempt is the call that runs there; 0 while the endpoint has others to end.
+	// attempt is the call that runs there; 0 while other calls still run at the endpoint.
 	attempt int
 }
 
-// checkQuarantine refuses content that has lost endpoints wherever it ran.
+// checkQuarantine returns a failure if the content is quarantined because the endpoints that ran it were lost.
 func (c *Core) checkQuarantine(digest [32]byte, now time.Time) *Failure {
 	if c.quarantiner.Verdict(digest, now) != quarantiner.Quarantined {
 		return nil
@@ -33,11 +33,12 @@
 	return &Failure{Code: CodeQuarantined, Message: "endpoints that ran this content were lost; it is not run again", State: StateNotRun}
 }
 
-// countCrash counts the loss of an endpoint's connection against the content that ran there, has peers
-// told with the next tick, and tells whether the request has ended by it.
+// recordCrash counts the loss of an endpoint's connection against the content that ran there and schedules a
+// heartbeat for the next tick to inform the peers. It reports whether the content is now quarantined, which has
+// ended the request.
 //
-// A cut connection is taken for a lost endpoint. Waiting for proof would let the content run beside
-// others once more; taking a mere cut for a loss costs a few calls that run alone.
+// A lost connection counts as a lost endpoint. Waiting for proof would let the content run beside other requests
+// once more, while counting a mere connection loss costs only a few isolated calls.
 func (c *Core) recordCrash(r *request, address string, now time.Time) bool {
 	verdict := c.quarantiner.RecordCrash(r.digest, address, now)
 	c.nextHeartbeat = now
@@ -48,7 +49,7 @@
 	return true
 }
 
-// quarantine ends all requests with the content.
+// quarantineContent fails all requests with the content.
 func (c *Core) quarantineContent(digest [32]byte, now time.Time) {
 	c.counters.ContentsQuarantined++
 	for _, id := range slices.Sorted(maps.Keys(c.requests)) {
@@ -60,7 +61,7 @@
 	}
 }
 
-// takeCrashes takes what a peer knows of contents that lose endpoints.
+// handleCrashMarks merges a peer's marks of contents whose runs lost endpoints.
 func (c *Core) handleCrashMarks(marks []carrier.CrashMark, now time.Time) {
 	if len(marks) == 0 {
 		return
@@ -70,8 +71,8 @@
 	}
 }
 
-// divert keeps a request with suspect content out of the common queue, and ends one whose content is
-// not run any more. It tells whether it did either.
+// applyQuarantine keeps a request with suspect content out of the pool's queue and fails one whose content is
+// quarantined. It reports whether it did either.
 func (c *Core) applyQuarantine(r *request, now time.Time) bool {
 	switch c.quarantiner.Verdict(r.digest, now) {
 	case quarantiner.Quarantined:
@@ -91,14 +92,14 @@
 	}
 }
 
-// loneTurn is how long a lone run of a request's present stage usually takes at the most.
+// isolatedTurn returns the time allotted to an isolated run of a request's current stage.
 func (c *Core) isolatedTurn(r *request) time.Duration {
 	_, high := c.stageTime(r)
 	return max(time.Duration(overdueFactor*float64(high)), minSilence)
 }
 
-// pumpLone runs suspects of a pool, each alone at an endpoint that is kept for it, so that the one
-// which loses endpoints loses no other request beside it, and the others are answered and cleared.
+// dispatchIsolated runs the suspect requests of a pool, each alone at an endpoint that is reserved for it. Content
+// that crashes endpoints then affects no other request, and the other suspects are answered and cleared.
 func (c *Core) dispatchIsolated(pool string, now time.Time) {
 	if len(c.isolatedRuns[pool]) == 0 {
 		return
@@ -112,7 +113,7 @@
 	}
 }
 
-// endLone gives back the endpoints of runs that have ended.
+// releaseEndedRuns removes the runs that have ended and releases their endpoints.
 func (c *Core) releaseEndedRuns(pool string) {
 	c.isolatedRuns[pool] = slices.DeleteFunc(c.isolatedRuns[pool], func(run isolatedRun) bool {
 		r, running := c.requests[run.request]
@@ -127,7 +128,7 @@
 	})
 }
 
-// stepLone takes one run as far as it can go now.
+// advanceIsolatedRun reserves an endpoint for a run and dispatches it once the endpoint is idle.
 func (c *Core) advanceIsolatedRun(pool string, i int, now time.Time) {
 	run := &c.isolatedRuns[pool][i]
 	r, running := c.requests[run.request]
@@ -159,8 +160,8 @@
 	c.dispatch(r, run.address, false, now)
 }
 
-// lostBeside tells whether another run of the same content has an endpoint already: two at a time could
-// lose two more.
+// contentHasEndpoint reports whether another run of the same content already has an endpoint: two runs at a time
+// could lose two more endpoints.
 func (c *Core) contentHasEndpoint(pool string, r *request) bool {
 	return slices.ContainsFunc(c.isolatedRuns[pool], func(run isolatedRun) bool {
 		other, running := c.requests[run.request]
--- a/reducer/refusal.go
+++ b/reducer/refusal.go
@@ -9,15 +9,15 @@
 	"geraniumline/scheduler"
 )
 
-// refusalWait bounds how long peers may take to say whether a key has run at them.
+// refusalQueryTimeout bounds the wait for peers' answers on whether a refused key has run there.
 const refusalQueryTimeout = 300 * time.Millisecond
 
 // refuseKey answers callers whose request with side effects is refused or given up before its claim was won.
 //
-// "Not run" speaks of the key, not of this attempt: the caller may have sent the key to another entry
-// before, where it ran. While the claims stream is current the table would show that. While it is not, a
-// caller told notRun would send a new key and have its ticket twice; so the peers are asked, and where one
-// that may have served the key can't answer, the answer is unknown.
+// "Not run" is a statement about the key and not about this attempt: the caller may have sent the key to another
+// entry before, where it ran. While the claims stream is current, the table shows that. While it is not, a caller
+// that receives notRun might send a new key, and a side effect such as logging a ticket would happen twice. The
+// peers are therefore queried, and if one that may have served the key can't answer, the answer is unknown.
 func (c *Core) refuseKey(ids []uint64, refused refusedKey, failure Failure, now time.Time) {
 	failure.Key = refused.key.Key
 	for _, id := range ids {
@@ -30,14 +30,14 @@
 	}
 }
 
-// refusedKey is what is kept of a request that is refused.
+// refusedKey holds the data of a refused request that its answer needs.
 type refusedKey struct {
 	key     claimer.Key
 	digest  [32]byte
 	urgency scheduler.Urgency
 }
 
-// tellRefusal answers a refused request and counts it as what its caller was told.
+// answerRefusal answers a refused request and counts it by the state that its caller receives.
 func (c *Core) answerRefusal(id uint64, refused refusedKey, failure Failure) {
 	result := biller.NotRun
 	if failure.State == StateUnknown {
@@ -47,24 +47,24 @@
 	c.emit(SendFailure{ID: id, Failure: failure})
 }
 
-// claimsCurrent tells whether the table holds the claims of all other entries, but for the newest.
+// claimsCurrent reports whether the table holds the claims of all other entries except the newest.
 func (c *Core) claimsCurrent(now time.Time) bool {
 	health := c.streams[StreamClaims]
 	return health.caughtUp && !health.failing && now.Sub(health.lastRead) < maxClaimsAge
 }
 
-// provable tells whether no claim for the key can have been missed: an entry that started at a log whose oldest
-// records were cut does not know the claims of that time.
+// claimsComplete reports whether no claim for the key can have been missed. An entry that started when the log had
+// already truncated its oldest records does not know the claims of that time.
 func (c *Core) claimsComplete(key claimer.Key) bool {
 	birth, err := claimer.Birth(key.Key)
 	return err == nil && c.table.CheckProvable(birth) == nil
 }
 
-// claimsAge is the longest time since the claims stream was last read to its end. A reading waits a second
-// for a record, so a healthy stream is never older than that by much.
+// maxClaimsAge is the longest time since the last read of the claims stream at which the table counts as current.
+// A read waits up to a second for a record, so a healthy stream is read only a little less often than that.
 const maxClaimsAge = 1500 * time.Millisecond
 
-// lostSince tells whether an entry that can't be asked any more was alive when the key may have been used.
+// peerLostSince reports whether an entry that can't be queried any more was alive when the key may have been used.
 func (c *Core) peerLostSince(key claimer.Key) bool {
 	birth, err := claimer.Birth(key.Key)
 	if err != nil {
@@ -78,7 +78,7 @@
 	return false
 }
 
-// endRefusal answers a refused request by what the peers have said.
+// finishRefusal answers a refused request according to the peers' answers.
 func (c *Core) finishRefusal(query *peerQuery) {
 	best := query.best
 	switch {
@@ -95,13 +95,13 @@
 	}
 }
 
-// beforeEra tells whether the log may have lost a claim of the key when it returned from an older copy.
+// beforeEra reports whether the log may have lost a claim of the key when it was restored from an older copy.
 func (c *Core) beforeEra(key claimer.Key) bool {
 	birth, err := claimer.Birth(key.Key)
 	return err == nil && c.table.BeforeEra(birth)
 }
 
-// mayHaveRun is the truth about a refused key that another entry may have served.
+// mayHaveRunFailure is the failure for a refused key that another entry may have served.
 func mayHaveRunFailure(key claimer.Key, retryAfter time.Duration) Failure {
 	return Failure{
 		Code:       CodeMayHaveRun,
