--- a/reducer/peer.go
+++ b/reducer/peer.go
@@ -49,8 +49,9 @@
 	c.requestRecords(message.From, now)
 }
 
-// requestRecords requests configuration records from a peer that has read further than this entry, at most once
-// per recordsCallInterval. Changes thus come into force also at an entry that can't reach the log.
+// requestRecords requests configuration records from a peer that has read further than this entry. The log is the
+// primary source; peers supply records while the log fails or this entry has read nothing yet, so that changes
+// come into force also at an entry that can't reach the log.
 func (c *Core) requestRecords(from carrier.Member, now time.Time) {
 	if from.ConfigOffset <= c.fold.Offset() || now.Sub(c.recordsRequestedAt) < recordsCallInterval {
 		return
--- a/reducer/request.go
+++ b/reducer/request.go
@@ -16,22 +16,22 @@
 	"geraniumline/scheduler"
 )
 
-// phase tells how far a request has come.
+// phase is the progress of a request.
 type phase uint8
 
 const (
-	// phaseClaiming waits for the request's own claim to be read back.
+	// phaseClaiming means that the request waits for its claim to be read back.
 	phaseClaiming phase = iota
-	// phaseQueued waits for an endpoint of the present stage's pool.
+	// phaseQueued means that the current stage waits for an endpoint of its pool.
 	phaseQueued
-	// phaseRunning has a stage call in flight.
+	// phaseRunning means that a call of the current stage is in flight.
 	phaseRunning
 )
 
-// request is one request that this entry serves.
+// request is a request that this entry serves.
 type request struct {
 	id uint64
-	// name is what endpoints see: unique over all entries and incarnations.
+	// name is the request id sent to endpoints. It is unique among all entries and incarnations.
 	name     string
 	key      claimer.Key
 	digest   [32]byte
@@ -49,36 +49,37 @@
 
 	stage int
 	input string
-	// prefix is that of input, for the choice of an endpoint.
+	// prefix is the prompt prefix of input, which the choice of an endpoint uses.
 	prefix         router.Prefix
 	attempts       int
 	triedAddresses []string
-	// announced is the cost of each stage to come that the scheduler was told of; 0 for none.
+	// announcedCosts are the costs of later stages that were announced to the scheduler; 0 for none.
 	announcedCosts [publisher.MaxStages]float64
 	calls          []callState
-	// firstCall is the memory of calls while there is but one.
+	// inlineCall is the backing array of calls while there is at most one, which saves an allocation.
 	inlineCall [1]callState
 	queuedAt   time.Time
-	// possible counts the calls that an endpoint may have acted on.
+	// possibleRuns counts the calls that an endpoint may have acted on.
 	possibleRuns int
-	// sent is the text of the last stage that the caller has been sent already.
+	// sentText is the text of the last stage that has already been sent to the caller.
 	sentText      string
 	estimatedCost float64
 	measuredCost  float64
 	resumes       int
 
-	// callerGone tells that nobody listens at id any more.
+	// callerGone is set if the first caller has disconnected.
 	callerGone  bool
 	joined      []uint64
 	peerWaiters []peerWaiter
 }
 
-// peerWaiter is an entry that waits for a request's end on behalf of a caller.
+// peerWaiter is a peer that waits for a request's end on behalf of a caller.
 type peerWaiter struct {
 	address string
 	callID  uint64
 }
 
+// currentStage returns the configuration of the current stage.
 func (r *request) currentStage() *publisher.Stage {
 	return &r.plan.pipeline.Stages[r.stage]
 }
@@ -87,7 +88,7 @@
 	return r.stage == len(r.plan.pipeline.Stages)-1
 }
 
-// takeRequest admits a request or answers it at once.
+// handleRequest admits a request or answers it immediately.
 func (c *Core) handleRequest(e *RequestArrived, now time.Time) {
 	contract, failure := c.authenticate(e.Credentials)
 	if failure != nil {
@@ -113,8 +114,8 @@
 	c.admit(e, key, contract, plan, now)
 }
 
-// notKnown makes the refusal of an entry that has no configuration yet true of the key too: it can't tell whether
-// the pipeline has side effects, nor whether another entry has run them under a key that allows them.
+// qualifyNotReady changes the refusal of an entry without configuration from notRun to unknown if the key is valid
+// for side effects: this entry can't tell whether the pipeline has any, nor whether another entry has run them.
 func qualifyNotReady(failure Failure, key string) Failure {
 	if _, err := claimer.Birth(key); failure.Code == CodeNotReady && err == nil {
 		failure.State = StateUnknown
@@ -133,7 +134,7 @@
 	c.refuse(e.ID, e.Key, failure)
 }
 
-// authenticate finds the contract that the credentials prove.
+// authenticate returns the contract of the client account, or a failure if the credentials do not match.
 func (c *Core) authenticate(credentials Credentials) (*publisher.Contract, *Failure) {
 	if !c.hasConfig() {
 		return nil, &Failure{Code: CodeNotReady, Message: "this entry has no configuration yet", State: StateNotRun, RetryAfter: time.Second}
@@ -148,11 +149,12 @@
 	return contract, nil
 }
 
+// hasConfig reports whether this entry has read any configuration.
 func (c *Core) hasConfig() bool {
 	return c.fold.Offset() > 0
 }
 
-// checkDeadline refuses a deadline that no request can have.
+// checkDeadline returns a failure for a deadline that is not positive or exceeds MaxDeadline.
 func (c *Core) checkDeadline(deadline time.Duration) *Failure {
 	if deadline <= 0 || deadline > c.cfg.MaxDeadline {
 		return &Failure{
@@ -164,7 +166,8 @@
 	return nil
 }
 
-// answerKnown answers a request whose key is known already, and tells whether it was.
+// answerFromKey answers a request whose key is already known and reports whether it did: the request joins a running
+// one, or is answered from a stored outcome or by the entry that holds the claim.
 func (c *Core) answerFromKey(e *RequestArrived, key claimer.Key, plan *plan, now time.Time) bool {
 	if r, running := c.running[key]; running {
 		if r.digest != e.Digest {
@@ -199,7 +202,7 @@
 	return Failure{Code: CodeKeyReused, Message: "the key was used for another request; nothing ran for this one", State: StateNotRun}
 }
 
-// checkAdmission refuses what cannot or may not be served now.
+// checkAdmission returns a failure for a request that can't or may not be served now.
 func (c *Core) checkAdmission(e *RequestArrived, contract *publisher.Contract, plan *plan, now time.Time) *Failure {
 	if !c.drainer.AcceptsWork(now) {
 		return &Failure{Code: CodeStopping, Message: "this entry is stopping; ask for addresses again", State: StateNotRun}
@@ -235,7 +238,7 @@
 	}
 }
 
-// checkClaimable refuses a request with side effects whose key could not be claimed in time.
+// checkClaimable returns a failure for a request with side effects whose key can't be claimed in time.
 func (c *Core) checkClaimable(e *RequestArrived, now time.Time) *Failure {
 	birth, err := claimer.Birth(e.Key)
 	if err != nil {
@@ -259,7 +262,7 @@
 	return nil
 }
 
-// admit starts a request.
+// admit starts an admitted request: with its claim if it has side effects, and otherwise with its first stage.
 func (c *Core) admit(e *RequestArrived, key claimer.Key, contract *publisher.Contract, plan *plan, now time.Time) {
 	r := &request{
 		id:            e.ID,
@@ -287,6 +290,7 @@
 	c.enqueue(r, now)
 }
 
+// requestName returns the request id that endpoints receive: entry, incarnation and id, separated by dots.
 func (c *Core) requestName(id uint64) string {
 	var b strings.Builder
 	b.Grow(len(c.cfg.Entry) + 34)
@@ -298,6 +302,7 @@
 	return b.String()
 }
 
+// contractUrgency returns the urgency that a contract sets for a pipeline.
 func contractUrgency(contract *publisher.Contract, pipeline string) scheduler.Urgency {
 	name := contract.Urgency
 	if own, set := contract.PipelineUrgency[pipeline]; set {
@@ -313,6 +318,7 @@
 	}
 }
 
+// callIndex returns the index in calls of an attempt, or -1.
 func (r *request) callIndex(attempt int) int {
 	return slices.IndexFunc(r.calls, func(call callState) bool { return call.attempt == attempt })
 }
--- a/reducer/silence.go
+++ b/reducer/silence.go
@@ -8,15 +8,15 @@
 	"geraniumline/detector"
 )
 
-// silentEntry is an entry that is taken for dead by its silence alone.
+// silentEntry is an entry that is considered dead only because it is silent.
 type silentEntry struct {
 	peerAddress string
 	since       time.Time
 }
 
-// keepPart counts a silent entry on for the limits. It may be on the far side of a cut and serve callers there;
-// were its part taken up here as there, an account would get its whole contract on each side. An entry
-// that has told of the end of its planned stop is gone.
+// retainShare keeps the share of the limits of an entry that is only silent. It may be on the other side of a network
+// partition and serve callers there. If its share were redistributed on both sides, an account would get its
+// whole contract on each. The share of an entry that has reported the end of its planned stop is released.
 func (c *Core) retainShare(t detector.Transition, now time.Time) {
 	name := t.Member.Name
 	switch t.To {
@@ -34,9 +34,9 @@
 	}
 }
 
-// endParts frees the parts of silent entries that the platform's list of VMs does not name either. The list lags
-// and may lack a VM that lives, but hardly one that is old enough to have been heard and is silent. A list
-// that names no entry tells nothing.
+// releaseShares releases the shares of silent entries that the platform's list of VMs does not contain either. The
+// list lags and may lack a live VM, but hardly one that is old enough to have sent heartbeats and is now silent.
+// A list without any entries is ignored.
 func (c *Core) releaseShares(hints []EntryHint, now time.Time) {
 	if len(hints) == 0 {
 		return
--- a/reducer/stage.go
+++ b/reducer/stage.go
@@ -10,13 +10,13 @@
 )
 
 const (
-	// maxResumes bounds how often a request's cut streams are resumed.
+	// maxResumes bounds how often the broken streams of a stage are resumed.
 	maxResumes = 4
-	// maxReordered bounds the parts of one call that wait for an earlier one.
+	// maxReordered bounds the parts of one call that are buffered until an earlier one arrives.
 	maxReordered = 64
 )
 
-// call is one attempt of a request's present stage.
+// callState is the state of one attempt of a request's current stage.
 type callState struct {
 	attempt  int
 	address  string
@@ -25,16 +25,16 @@
 	streamID string
 	nextSeq  int
 	text     replyText
-	// early holds parts that arrived before their predecessor.
+	// outOfOrder holds the parts that arrived before their predecessor, by sequence number.
 	outOfOrder map[int]endpointserver.StagePart
-	// resumed tells that the reply is being read on after a cut: the endpoint has acted on the call,
-	// whatever is said to the resuming.
+	// resumed is set if the reply was resumed after a lost connection. The endpoint has then acted on the call,
+	// whatever the result of resuming is.
 	resumed    bool
 	hedge      bool
 	nextAction silenceAction
 }
 
-// enqueue lets the request's present stage wait for an endpoint.
+// enqueue queues the request's current stage for an endpoint of its pool.
 func (c *Core) enqueue(r *request, now time.Time) {
 	c.withdrawStage(r, r.stage)
 	if c.applyQuarantine(r, now) {
@@ -47,7 +47,7 @@
 	c.dispatchQueued(stage.Pool, now)
 }
 
-// item is the request's present stage as the scheduler sees it.
+// schedulerItem returns the scheduler's item for one of the request's stages.
 func (r *request) schedulerItem(cost float64) scheduler.Item {
 	return scheduler.Item{
 		ID:       r.id,
@@ -59,8 +59,8 @@
 	}
 }
 
-// announce tells the scheduler of the stages to come. Without it all that is admitted while earlier stages
-// are under way would see empty queues, and a burst would be let in that can't end in time.
+// announceStages announces all of the request's stages to the scheduler. Otherwise, requests that are admitted while
+// earlier stages run would see empty queues, and a burst that can't finish in time would be admitted.
 func (c *Core) announceStages(r *request) {
 	for i := range r.plan.pipeline.Stages {
 		r.announcedCosts[i] = c.expectedStageCost(r.plan, i)
@@ -68,7 +68,7 @@
 	}
 }
 
-// withdraw takes the announcement of a stage back, once.
+// withdrawStage withdraws the announcement of a stage. Further calls for the stage do nothing.
 func (c *Core) withdrawStage(r *request, stage int) {
 	if r.announcedCosts[stage] == 0 {
 		return
@@ -77,10 +77,10 @@
 	r.announcedCosts[stage] = 0
 }
 
-// pump hands waiting stages to free endpoints of the pool.
+// dispatchQueued dispatches queued stages to free endpoints of the pool.
 //
-// An item whose model no free endpoint holds is set aside and waits on: were it first in line until one is free, it
-// would hold up the items of other models while their endpoints idle.
+// An item whose model no free endpoint holds is deferred. If it stayed at the head of the queue until such an
+// endpoint is free, it would block the items of other models while their endpoints are idle.
 func (c *Core) dispatchQueued(pool string, now time.Time) {
 	c.dispatchIsolated(pool, now)
 	var deferred deferredItems
@@ -97,7 +97,7 @@
 		}
 		c.admitter.ObserveWait(pool, now.Sub(r.queuedAt), now)
 		stages := c.pendingStages(r.plan, r.contract, r.stage, now)
-		stages[0].WorkAhead = 0 // its turn has come
+		stages[0].WorkAhead = 0 // the item is at the head of the queue
 		if c.admitter.CannotFinish(stages, r.deadline, now) {
 			c.refundCharge(pool, item)
 			c.fail(r, CodeCannotFinish, "the stages that are left cannot end by the deadline", c.retryAfter(pool), now)
@@ -115,12 +115,13 @@
 	}
 }
 
-// chargeBack takes the work of an item back that was popped but not run: it would be counted as done by the pool,
-// and as served to the account.
+// refundCharge reverses the charge for an item that was popped but not run. Its work would otherwise be counted as
+// done by the pool and as served to the account.
 func (c *Core) refundCharge(pool string, item scheduler.Item) {
 	c.scheduler.Charge(pool, item.Account, -item.Cost)
 }
 
+// routerQuery returns the query for an endpoint for the request's current stage.
 func (c *Core) routerQuery(r *request) router.Query {
 	stage := r.currentStage()
 	r.prefix = c.promptPrefix(r)
@@ -132,7 +133,7 @@
 	return query
 }
 
-// retryAfter tells a caller when the backlog of a pool will have been worked off.
+// retryAfter estimates when the backlog of a pool will be cleared; it is at least minRetryAfter.
 func (c *Core) retryAfter(pool string) time.Duration {
 	capacity := max(c.poolCapacity(pool, c.lastTick), 1)
 	wait := time.Duration(c.scheduler.Backlog(pool)/capacity) * time.Millisecond
@@ -141,7 +142,7 @@
 
 const minRetryAfter = 100 * time.Millisecond
 
-// dispatch sends one attempt of the present stage to an endpoint.
+// dispatch sends one attempt of the current stage to an endpoint.
 func (c *Core) dispatch(r *request, address string, hedge bool, now time.Time) {
 	stage := r.currentStage()
 	r.attempts++
@@ -181,13 +182,13 @@
 	c.scheduleFirstAction(r, id, now)
 }
 
-// stageCall is a CallStage and its body in one piece of memory.
+// stageCall holds a CallStage and its body in a single allocation.
 type stageCall struct {
 	CallStage
 	body endpointserver.StageCall
 }
 
-// find gives the request and the index of the call that an id names, if both are still of interest.
+// findCall returns the request and the index of the call with an id. The request is nil if it or the call has ended.
 func (c *Core) findCall(id CallID) (*request, int) {
 	r, running := c.requests[id.Request]
 	if !running || r.stage != id.Stage || r.phase != phaseRunning {
@@ -200,7 +201,7 @@
 	return r, at
 }
 
-// takePart takes one part of a reply.
+// handlePart handles one part of a reply.
 func (c *Core) handlePart(e *StagePartArrived, now time.Time) {
 	r, at := c.findCall(e.Call)
 	if r == nil {
@@ -208,9 +209,9 @@
 		return
 	}
 	call := &r.calls[at]
-	// A reply that names another request, stage or attempt was handed to the wrong caller by the
-	// endpoint. Taking it would show one account another's data, so it is dropped, and the call has
-	// failed: its own reply is not going to come on this connection.
+	// A reply that names another request, stage or attempt was sent to the wrong caller by the
+	// endpoint. Accepting it would disclose one account's data to another, so it is dropped. The
+	// call fails, since its own reply is not going to arrive on this connection.
 	if e.Part.RequestId != r.name || e.Part.Stage != r.currentStage().Name || e.Part.Attempt != call.attempt {
 		c.counters.PartsMisdelivered++
 		c.handleStageFailed(StageFailed{Call: e.Call, Fault: StageFault{Kind: FaultError, Message: "the reply was another call's"}}, now)
@@ -228,7 +229,7 @@
 	}
 }
 
-// holdEarly keeps a part that overtook its predecessor.
+// bufferPart keeps a part that arrived before its predecessor.
 func (c *Core) bufferPart(r *request, at int, e *StagePartArrived, now time.Time) {
 	c.counters.PartsAfterGap++
 	call := &r.calls[at]
@@ -242,7 +243,7 @@
 	call.outOfOrder[e.Part.Seq] = e.Part
 }
 
-// takeInOrder takes the next part of a call and those that waited for it.
+// acceptPart appends the next part of a call and the buffered parts that follow it.
 func (c *Core) acceptPart(r *request, at int, part endpointserver.StagePart, now time.Time) {
 	call := &r.calls[at]
 	for {
@@ -262,9 +263,9 @@
 	c.forwardText(r, call, now)
 }
 
-// forward sends a caller that asked for a stream what it has not got yet of the last stage's text.
-// A second attempt may give other text than the first: what was sent can't be taken back, so only
-// an attempt whose text begins with it may go on, see endStage.
+// forwardText sends a caller that requested a stream the part of the last stage's text that it has not received yet.
+// A second attempt may produce other text than the first. What was sent can't be retracted, so only
+// an attempt whose text begins with it may continue; see handleFinalPart.
 func (c *Core) forwardText(r *request, call *callState, _ time.Time) {
 	if !r.stream || r.callerGone || !r.onLastStage() || call.text.length() <= len(r.sentText) {
 		return
@@ -277,7 +278,8 @@
 	r.sentText = text
 }
 
-// takeFinal takes the last part of a reply.
+// handleFinalPart handles the last part of a reply: it fails the call if the reply is an error, incomplete or
+// inconsistent with what was sent to the caller, and otherwise completes the stage.
 func (c *Core) handleFinalPart(r *request, at int, part endpointserver.StagePart, now time.Time) {
 	call := &r.calls[at]
 	id := CallID{Request: r.id, Stage: r.stage, Attempt: call.attempt}
@@ -298,7 +300,8 @@
 	c.completeStage(r, at, text, part, now)
 }
 
-// endStage takes a stage's result: the first accepted attempt wins, the others are cancelled.
+// completeStage ends a stage with the result of one attempt, cancels the other attempts, and starts the next stage or
+// answers the request.
 func (c *Core) completeStage(r *request, at int, text string, part endpointserver.StagePart, now time.Time) {
 	call := r.calls[at]
 	stage := r.currentStage()
@@ -325,7 +328,7 @@
 	c.dispatchQueued(stage.Pool, now)
 }
 
-// cancelCalls ends the calls that nobody waits for. The work they have done is counted as wasted.
+// cancelCalls cancels all calls of the request's current stage and counts their work as wasted.
 func (c *Core) cancelCalls(r *request, now time.Time) {
 	for i := range r.calls {
 		call := &r.calls[i]
@@ -336,6 +339,7 @@
 	r.calls = r.calls[:0]
 }
 
+// recordWaste bills the time of a call as wasted work.
 func (c *Core) recordWaste(r *request, call *callState, now time.Time) {
 	c.biller.Wasted(r.key.Account, r.currentStage().Name, float64(now.Sub(call.started).Milliseconds()))
 }
--- a/reducer/status.go
+++ b/reducer/status.go
@@ -10,7 +10,7 @@
 	"geraniumline/publisher"
 )
 
-// status is the system as this entry sees it.
+// status returns the system's status as this entry sees it.
 func (c *Core) status(now time.Time) operatorserver.Status {
 	return operatorserver.Status{
 		Entry:        c.cfg.Entry,
@@ -27,7 +27,7 @@
 	}
 }
 
-// ordererStatus names who gives orders to the engines of each placed pool.
+// ordererStatus returns the entry that sends orders to the engines of each pool with a placement.
 func (c *Core) ordererStatus() []operatorserver.OrdererStatus {
 	var all []operatorserver.OrdererStatus
 	for _, pool := range slices.Sorted(maps.Keys(c.placedPools)) {
@@ -37,7 +37,7 @@
 	return all
 }
 
-// assignmentStatus tells what an engine of a placed pool holds, as far as this entry has read it.
+// assignmentStatus returns the last assignment that this entry read from an engine of a pool with a placement.
 func (c *Core) assignmentStatus(pool, address string) operatorserver.OptString {
 	o, placed := c.placedPools[pool]
 	if !placed {
@@ -91,7 +91,7 @@
 	return all
 }
 
-// accountStatus joins the contracts in force with the bills of the whole system, as far as peers have told them.
+// accountStatus combines the contracts in force with the bills of the whole system, as far as peers have sent them.
 func (c *Core) accountStatus(now time.Time) []operatorserver.AccountStatus {
 	bills := map[string]biller.Bill{}
 	for _, bill := range c.biller.Total() {
@@ -127,7 +127,7 @@
 	return status
 }
 
-// alarms are the states that an operator should act on; docs/OPERATING.md says how.
+// alarms returns the conditions that require an operator's action; docs/OPERATING.md describes the actions.
 func (c *Core) alarms(now time.Time) []string {
 	alarms := []string{}
 	for stream, health := range c.streams {
--- a/reducer/stop.go
+++ b/reducer/stop.go
@@ -10,15 +10,15 @@
 )
 
 const (
-	// handoverAge is how old an outcome may be to be handed over at a planned stop.
+	// maxHandoverAge is the maximum age of the outcomes that are handed over at a planned stop.
 	maxHandoverAge = 2 * time.Minute
-	// handoverBytes bounds the answers of one message, well under the frame limit.
+	// maxHandoverBytes is the size of texts in bytes at which a handover message is sent, well below the frame limit.
 	maxHandoverBytes = 256 << 10
-	// handoverCopies is how many peers keep a stopping entry's outcomes.
+	// handoverCopies is the number of peers that receive a stopping entry's outcomes.
 	handoverCopies = 2
 )
 
-// beginStop starts a planned stop. Beginning it again changes nothing.
+// beginStop starts a planned stop. Further calls do nothing.
 func (c *Core) beginStop(now time.Time) {
 	if c.drainer.Phase() != drainer.Serving {
 		return
@@ -39,7 +39,7 @@
 	}})
 }
 
-// stepStop takes the planned stop on, as far as requests in flight and address answers allow.
+// advanceStop advances the planned stop as far as requests in flight and the validity of address answers allow.
 func (c *Core) advanceStop(now time.Time) {
 	before := c.drainer.Phase()
 	if before == drainer.Serving || c.stopped {
@@ -63,7 +63,7 @@
 	}
 }
 
-// handOver gives recent outcomes to live peers, so that a caller that asks after the exit is answered.
+// handOver sends recent outcomes to live peers, so that callers can still request them after this process exits.
 func (c *Core) handOver(now time.Time) {
 	message := &carrier.Handover{}
 	size := 0
@@ -96,6 +96,7 @@
 	}
 }
 
+// memberState returns the state that this entry's heartbeats report.
 func (c *Core) memberState() detector.State {
 	switch c.drainer.Phase() {
 	case drainer.Serving:
--- a/reducer/text.go
+++ b/reducer/text.go
@@ -2,8 +2,8 @@
 
 import "strings"
 
-// partsText is the text of a reply's parts so far. A reply of one part needs no memory of its own.
-// The builder is held by pointer, since a call moves in memory when another is begun beside it.
+// replyText accumulates the text of a reply's parts. A reply of one part needs no allocation.
+// The builder is held by pointer, since it must not be copied and a call moves in memory when another is added.
 type replyText struct {
 	first string
 	rest  *strings.Builder
--- a/reducer/tick.go
+++ b/reducer/tick.go
@@ -6,7 +6,7 @@
 	"geraniumline/detector"
 )
 
-// tick lets time pass: timers, heartbeats, the planned stop, snapshots.
+// tick runs the work that depends on time: timers, heartbeats, snapshots, orders to engines and the planned stop.
 func (c *Core) tick(now time.Time) {
 	c.lastTick = now
 	c.handleTransitions(c.detector.Tick(now), now)
@@ -28,7 +28,7 @@
 	}
 }
 
-// snapshot appends the whole configuration well before the log drops its oldest records.
+// appendSnapshot appends a snapshot of the configuration if one is due, well before the log drops its oldest records.
 func (c *Core) appendSnapshot(now time.Time) {
 	health := c.streams[StreamConfig]
 	if health.failing || !health.caughtUp || !c.fold.SnapshotDue(now) {
@@ -53,11 +53,11 @@
 	}
 }
 
-// snapshotStagger is how long the next entry in order waits for the one before to append the snapshot. One is
-// enough, and all of them at once would take up the log; but the first may be cut from the log.
+// snapshotStagger is how long each entry waits for the one before it in rank to append the snapshot. One snapshot is
+// enough, and all entries appending at once would load the log, but the first may be unable to reach the log.
 const snapshotStagger = 2 * time.Second
 
-// rank is this entry's place among the live ones, by name.
+// liveRank returns this entry's rank among the live entries by name.
 func (c *Core) liveRank() int {
 	rank := 0
 	for _, member := range c.detector.Members() {
@@ -68,7 +68,7 @@
 	return rank
 }
 
-// takeVMs takes the platform's lagging list.
+// handleVMsListed passes the platform's list of VMs to the router and the detector.
 func (c *Core) handleVMsListed(e VMsListed, now time.Time) {
 	c.router.UpdateVMs(e.Endpoints, now)
 	for _, hint := range e.Entries {
--- a/reducer/timer.go
+++ b/reducer/timer.go
@@ -4,7 +4,7 @@
 	"time"
 )
 
-// timerKind says what is due.
+// timerKind is the kind of action that a timer triggers.
 type timerKind uint8
 
 const (
@@ -15,8 +15,8 @@
 	timerChange
 )
 
-// timer names what is due, and for whom. A timer whose subject has gone on is ignored when it is due,
-// so that none has to be taken out of the heap.
+// timer is an action that is due at a time, and its subject. A timer whose subject has ended or progressed is ignored
+// when it is due, so that timers never have to be removed from the heap.
 type timer struct {
 	at      time.Time
 	kind    timerKind
@@ -25,8 +25,8 @@
 	name    string
 }
 
-// timerHeap is a binary heap with the earliest timer first. It is not container/heap, which would
-// allocate for each timer that goes through its interface.
+// timerHeap is a binary heap with the earliest timer first. It does not use container/heap, which would
+// allocate for each timer passed through its interface.
 type timerHeap []timer
 
 func (h *timerHeap) push(t timer) {
@@ -57,7 +57,7 @@
 	return first
 }
 
-// sink puts a timer in the place of the first and takes it down to its own.
+// siftDown puts a timer at the root of the heap and moves it down to its position.
 func (h *timerHeap) siftDown(t timer) {
 	s := *h
 	i := 0
@@ -82,7 +82,7 @@
 	c.timers.push(t)
 }
 
-// runTimers handles all that is due.
+// runTimers runs all timers that are due.
 func (c *Core) runTimers(now time.Time) {
 	for len(c.timers) > 0 && !c.timers[0].at.After(now) {
 		t := c.timers.pop()
