--- a/reducer/ask.go
+++ b/reducer/ask.go
@@ -111,7 +111,7 @@
 }
 
 // answerClaimed answers a request whose key is already claimed. If the claim has not ended, its owner is queried.
-func (c *Core) answerClaimed(id uint64, key claimer.Key, digest [32]byte, holding claimer.Holding, until, now time.Time) {
+func (c *Core) answerClaimed(id uint64, key claimer.Key, digest [32]byte, holding claimer.Holding, deadline, now time.Time) {
 	if holding.Digest != digest {
 		c.refuse(id, key.Key, keyReusedFailure())
 		return
@@ -127,7 +127,7 @@
 		return
 	}
 	query := &peerQuery{id: id, key: key, owner: holding.Entry, incarnation: holding.Incarnation, pendingReplies: 1}
-	c.sendQuery(query, []string{owner.PeerAddress}, until, now)
+	c.sendQuery(query, []string{owner.PeerAddress}, deadline, now)
 }
 
 // ownerLostFailure is the failure for a key whose claim's owner can't be queried: the request may have run, and
@@ -152,7 +152,7 @@
 }
 
 // queryPeers sends the query to all peers that are neither dead nor stopped, or finishes it if there are none.
-func (c *Core) queryPeers(query *peerQuery, until, now time.Time) {
+func (c *Core) queryPeers(query *peerQuery, deadline, now time.Time) {
 	var addresses []string
 	for _, member := range c.detector.Members() {
 		if member.Name == c.cfg.Entry || member.State == detector.Dead || member.State == detector.Stopped {
@@ -165,23 +165,23 @@
 		c.finishQuery(query, now)
 		return
 	}
-	c.sendQuery(query, addresses, until, now)
+	c.sendQuery(query, addresses, deadline, now)
 }
 
 // sendQuery sends the query to the given peers. Only a query for a claimed request asks its owner to wait for the
 // request's end; the others are answered at once.
-func (c *Core) sendQuery(query *peerQuery, addresses []string, until, now time.Time) {
+func (c *Core) sendQuery(query *peerQuery, addresses []string, deadline, now time.Time) {
 	c.lastPeerCallID++
 	id := c.lastPeerCallID
 	c.peerQueries[id] = query
 	wait := int32(0)
 	if !query.outcomeOnly && query.refusal == nil {
-		wait = int32(until.Sub(now).Milliseconds())
+		wait = int32(deadline.Sub(now).Milliseconds())
 	}
 	for _, address := range addresses {
 		c.emit(SendPeer{Address: address, Message: &carrier.OutcomeCall{CallID: id, Account: query.key.Account, Key: query.key.Key, WaitMillis: wait}})
 	}
-	c.schedule(timer{at: until, kind: timerQuery, subject: id})
+	c.schedule(timer{at: deadline, kind: timerQuery, subject: id})
 }
 
 // handleOutcomeCall answers a peer's query, immediately or when the running request has ended.
--- a/reducer/bill.go
+++ b/reducer/bill.go
@@ -11,8 +11,8 @@
 const (
 	// billsInterval is the time between two broadcasts of an entry's bills to its peers.
 	billsInterval = 2 * time.Second
-	// billsPerMessage bounds the accounts in one message.
-	billsPerMessage = 256
+	// maxBillsPerMessage bounds the accounts in one message.
+	maxBillsPerMessage = 256
 )
 
 // Bills returns this entry's own running totals by client account.
@@ -35,11 +35,11 @@
 	}
 }
 
-// sendIncarnationBills sends one incarnation's totals to all live peers, at most billsPerMessage accounts a message.
-func (c *Core) sendIncarnationBills(of biller.Incarnation) {
-	for from := 0; from < len(of.Bills); from += billsPerMessage {
-		message := &carrier.Bills{Entry: of.Entry, Incarnation: of.Incarnation}
-		for _, bill := range of.Bills[from:min(from+billsPerMessage, len(of.Bills))] {
+// sendIncarnationBills sends one incarnation's totals to all live peers, at most maxBillsPerMessage accounts per message.
+func (c *Core) sendIncarnationBills(incarnation biller.Incarnation) {
+	for from := 0; from < len(incarnation.Bills); from += maxBillsPerMessage {
+		message := &carrier.Bills{Entry: incarnation.Entry, Incarnation: incarnation.Incarnation}
+		for _, bill := range incarnation.Bills[from:min(from+maxBillsPerMessage, len(incarnation.Bills))] {
 			message.Accounts = append(message.Accounts, billToWire(bill))
 		}
 		for _, member := range c.detector.Members() {
--- a/reducer/claim.go
+++ b/reducer/claim.go
@@ -90,7 +90,7 @@
 		}
 		data, err := claimer.Encode(batch)
 		if err != nil {
-			c.emit(LogChange{Message: "claims can't be encoded", Subject: err.Error()})
+			c.emit(LogChange{Message: "failed to encode claims", Subject: err.Error()})
 			c.batcher.Appended(batch.BatchID, claimer.AppendDone{}, now)
 			continue
 		}
--- a/reducer/config.go
+++ b/reducer/config.go
@@ -56,10 +56,10 @@
 	if offset < r.floor {
 		return nil, false
 	}
-	at, _ := slices.BinarySearchFunc(r.records, offset+1, func(record recorder.Record, from int64) int {
+	index, _ := slices.BinarySearchFunc(r.records, offset+1, func(record recorder.Record, from int64) int {
 		return cmp.Compare(record.Offset, from)
 	})
-	return r.records[at:], true
+	return r.records[index:], true
 }
 
 // pendingChange is an operator's change whose verdict has not been read back from the log.
--- a/reducer/fault.go
+++ b/reducer/fault.go
@@ -9,11 +9,11 @@
 
 // handleStageFailed handles the failure of one call: it resumes the stream, retries the stage or fails the request.
 func (c *Core) handleStageFailed(e StageFailed, now time.Time) {
-	r, at := c.findCall(e.Call)
+	r, index := c.findCall(e.Call)
 	if r == nil {
 		return
 	}
-	call := &r.calls[at]
+	call := &r.calls[index]
 	if c.resumeStream(r, call, e, now) {
 		return
 	}
@@ -38,7 +38,7 @@
 		c.emit(CancelStage{Call: e.Call, Address: address, StreamID: call.streamID})
 	}
 	c.recordCallEnd(address, router.CallEnd{Result: result}, now)
-	r.calls = slices.Delete(r.calls, at, at+1)
+	r.calls = slices.Delete(r.calls, index, index+1)
 	r.triedAddresses = append(r.triedAddresses, address)
 	pool := r.currentStage().Pool
 	if e.Fault.Kind == FaultError {
--- a/reducer/hedge.go
+++ b/reducer/hedge.go
@@ -93,11 +93,11 @@
 
 // handleCallTimer runs the next action of a call. A call that has received a part can only time out.
 func (c *Core) handleCallTimer(id CallID, now time.Time) {
-	r, at := c.findCall(id)
+	r, index := c.findCall(id)
 	if r == nil {
 		return
 	}
-	call := &r.calls[at]
+	call := &r.calls[index]
 	if call.nextSeq > 0 {
 		call.nextAction = actionTimeOut
 	}
--- a/reducer/log.go
+++ b/reducer/log.go
@@ -19,7 +19,7 @@
 	before := health.eraChanged
 	health.observeEra(e.Era)
 	if health.eraChanged && !before {
-		c.emit(LogChange{Message: "the log has returned from an older copy", Subject: string(e.Stream), To: strconv.FormatInt(e.Era, 10)})
+		c.emit(LogChange{Message: "log was restored from an older copy", Subject: string(e.Stream), To: strconv.FormatInt(e.Era, 10)})
 	}
 	health.lastRead = now
 	health.caughtUp = health.caughtUp || e.AtEnd
@@ -38,10 +38,10 @@
 	if c.table.Renew(e.Era) {
 		c.batcher.Add(claimer.Mark{Era: e.Era})
 		c.streams[StreamClaims].caughtUp = e.AtEnd
-		c.emit(LogChange{Message: "claims are proved from a mark of the log's era on", Subject: string(StreamClaims), To: strconv.FormatInt(e.Era, 10)})
+		c.emit(LogChange{Message: "claims of the new log era are provable from the mark that this entry appends", Subject: string(StreamClaims), To: strconv.FormatInt(e.Era, 10)})
 	}
 	if c.table.Gap(e.First) {
-		c.emit(LogChange{Message: "the log cut claims before they were read", Subject: string(StreamClaims)})
+		c.emit(LogChange{Message: "log truncated claims before they were read", Subject: string(StreamClaims)})
 	}
 	for _, record := range e.Records {
 		for _, decision := range c.table.Apply(record) {
@@ -65,7 +65,7 @@
 func (c *Core) foldConfig(records []recorder.Record, first int64, now time.Time) {
 	if first > 0 && c.fold.Gap(first) && len(records) > 0 {
 		c.configRecords.reset(first - 1)
-		c.emit(LogChange{Message: "the log lost configuration that no snapshot covers", Subject: string(StreamConfig)})
+		c.emit(LogChange{Message: "log truncated configuration that no snapshot covers", Subject: string(StreamConfig)})
 	}
 	incomplete := !c.fold.Complete()
 	for _, record := range records {
--- a/reducer/order.go
+++ b/reducer/order.go
@@ -55,9 +55,9 @@
 }
 
 func (c *Core) newPlacedPool(pool string) *placedPool {
-	o := &placedPool{pool: pool, placer: placer.New(c.cfg.Placer), lastReads: map[string]time.Time{}, peerDemands: map[string]peerDemand{}}
-	o.cannotServe = o.placer.CannotServe
-	return o
+	p := &placedPool{pool: pool, placer: placer.New(c.cfg.Placer), lastReads: map[string]time.Time{}, peerDemands: map[string]peerDemand{}}
+	p.cannotServe = p.placer.CannotServe
+	return p
 }
 
 // updatePlacedPools reads the engines' assignments, bids for or renews the lease on each pool with a placement and
@@ -73,38 +73,38 @@
 			continue
 		}
 		placed[placement.Pool] = true
-		o, known := c.placedPools[placement.Pool]
+		p, known := c.placedPools[placement.Pool]
 		if !known {
-			o = c.newPlacedPool(placement.Pool)
-			c.placedPools[placement.Pool] = o
+			p = c.newPlacedPool(placement.Pool)
+			c.placedPools[placement.Pool] = p
 		}
-		c.updatePlacedPool(o, placement, now)
+		c.updatePlacedPool(p, placement, now)
 	}
-	for pool, o := range c.placedPools {
-		o.placer.SetPoolCount(len(placed))
+	for pool, p := range c.placedPools {
+		p.placer.SetPoolCount(len(placed))
 		if !placed[pool] {
 			delete(c.placedPools, pool)
 		}
 	}
 }
 
-func (c *Core) updatePlacedPool(o *placedPool, placement *publisher.Placement, now time.Time) {
-	c.readAssignments(o, now)
-	c.bidForLease(o.pool, now)
-	own := c.modelDemand(o.pool)
-	lease, held := c.leaser.Held(o.pool, now)
+func (c *Core) updatePlacedPool(p *placedPool, placement *publisher.Placement, now time.Time) {
+	c.readAssignments(p, now)
+	c.bidForLease(p.pool, now)
+	own := c.modelDemand(p.pool)
+	lease, held := c.leaser.Held(p.pool, now)
 	if !held {
-		c.sendDemand(o.pool, own)
+		c.sendDemand(p.pool, own)
 		return
 	}
-	o.placer.ObserveDemand(o.totalDemand(own, now), now)
+	p.placer.ObserveDemand(p.totalDemand(own, now), now)
 	if lease.Left < minOrderTime || c.drainer.Phase() != drainer.Serving {
 		return
 	}
-	right := placer.Lease{Fence: lease.Fence, Granted: lease.Granted}
-	for _, order := range o.placer.Orders(placement, c.modelsInUse(o.pool), right, now) {
+	placerLease := placer.Lease{Fence: lease.Fence, Granted: lease.Granted}
+	for _, order := range p.placer.Orders(placement, c.modelsInUse(p.pool), placerLease, now) {
 		c.countOrder(&order)
-		c.emit(OrderEngine{Pool: o.pool, Address: order.Address, State: order.State, Deadline: now.Add(min(lease.Left, orderTimeout))})
+		c.emit(OrderEngine{Pool: p.pool, Address: order.Address, State: order.State, Deadline: now.Add(min(lease.Left, orderTimeout))})
 	}
 }
 
@@ -116,42 +116,42 @@
 }
 
 // readAssignments reads the engines' assignments: each at intervals, and sooner where an order's result is uncertain.
-func (c *Core) readAssignments(o *placedPool, now time.Time) {
-	addresses := c.router.PoolAddresses(o.pool)
-	o.placer.SetEngines(addresses)
-	for _, address := range o.placer.Unsettled() {
-		if now.Sub(o.lastReads[address]) > orderInterval {
-			o.lastReads[address] = time.Time{}
+func (c *Core) readAssignments(p *placedPool, now time.Time) {
+	addresses := c.router.PoolAddresses(p.pool)
+	p.placer.SetEngines(addresses)
+	for _, address := range p.placer.Unsettled() {
+		if now.Sub(p.lastReads[address]) > orderInterval {
+			p.lastReads[address] = time.Time{}
 		}
 	}
-	asked := make(map[string]time.Time, len(addresses))
+	reads := make(map[string]time.Time, len(addresses))
 	for _, address := range addresses {
-		asked[address] = o.lastReads[address]
-		if now.Sub(asked[address]) < readAssignmentInterval || o.placer.OrderInFlight(address) {
+		reads[address] = p.lastReads[address]
+		if now.Sub(reads[address]) < readAssignmentInterval || p.placer.OrderInFlight(address) {
 			continue
 		}
-		asked[address] = now
-		c.emit(ReadAssignment{Pool: o.pool, Address: address, RequestedAt: now})
+		reads[address] = now
+		c.emit(ReadAssignment{Pool: p.pool, Address: address, RequestedAt: now})
 	}
-	o.lastReads = asked
+	p.lastReads = reads
 }
 
 // rereadAssignments reads all assignments of a pool when one of its engines failed a call: that engine may hold
 // another model than before, and the model that the call needs may be elsewhere. The engine gets no calls until its
 // assignment is read: a stage that is tried again could otherwise use up its attempts there before that.
 func (c *Core) rereadAssignments(pool, address string, now time.Time) {
-	o, placed := c.placedPools[pool]
+	p, placed := c.placedPools[pool]
 	if !placed {
 		return
 	}
-	o.placer.MarkDoubtful(address)
-	o.lastReads[address] = time.Time{}
-	if now.Sub(o.lastReread) < minRereadInterval {
+	p.placer.MarkDoubtful(address)
+	p.lastReads[address] = time.Time{}
+	if now.Sub(p.lastReread) < minRereadInterval {
 		return
 	}
-	o.lastReread = now
-	clear(o.lastReads)
-	c.readAssignments(o, now)
+	p.lastReread = now
+	clear(p.lastReads)
+	c.readAssignments(p, now)
 }
 
 // bidForLease appends to the leases stream if a bid or a renewal is due. An entry that can't read the stream does
@@ -184,7 +184,7 @@
 // foldLeases applies the records of a page to the leases.
 func (c *Core) foldLeases(e LogRead, now time.Time) {
 	if c.leaser.Gap(e.First, now) {
-		c.emit(LogChange{Message: "the log cut leases before they were read", Subject: string(StreamLeases)})
+		c.emit(LogChange{Message: "log truncated leases before they were read", Subject: string(StreamLeases)})
 	}
 	for _, record := range e.Records {
 		change, changed := c.leaser.Apply(record, now)
@@ -195,8 +195,8 @@
 }
 
 func (c *Core) handleAssignmentRead(e AssignmentRead, now time.Time) {
-	if o, placed := c.placedPools[e.Pool]; placed {
-		o.placer.ObserveState(e.Address, e.State, e.RequestedAt, now)
+	if p, placed := c.placedPools[e.Pool]; placed {
+		p.placer.ObserveState(e.Address, e.State, e.RequestedAt, now)
 		c.dispatchQueued(e.Pool, now)
 	}
 }
@@ -208,8 +208,8 @@
 	case placer.Uncertain:
 		c.counters.OrdersUncertain++
 	}
-	if o, placed := c.placedPools[e.Pool]; placed {
-		o.placer.RecordResult(e.Address, e.Result, now)
+	if p, placed := c.placedPools[e.Pool]; placed {
+		p.placer.RecordResult(e.Address, e.Result, now)
 	}
 }
 
@@ -245,20 +245,20 @@
 
 // handleDemand stores the demand that a peer reported.
 func (c *Core) handleDemand(from string, message *carrier.Demand, now time.Time) {
-	if o, placed := c.placedPools[message.Pool]; placed {
-		o.peerDemands[from] = peerDemand{models: message.Models, at: now}
+	if p, placed := c.placedPools[message.Pool]; placed {
+		p.peerDemands[from] = peerDemand{models: message.Models, at: now}
 	}
 }
 
 // totalDemand returns the sum of this entry's demand and the recent demand of peers, by model.
-func (o *placedPool) totalDemand(own map[string]int64, now time.Time) map[string]float64 {
+func (p *placedPool) totalDemand(own map[string]int64, now time.Time) map[string]float64 {
 	total := map[string]float64{}
 	for model, millis := range own {
 		total[model] = float64(millis)
 	}
-	for from, demand := range o.peerDemands {
+	for from, demand := range p.peerDemands {
 		if now.Sub(demand.at) > peerDemandTTL {
-			delete(o.peerDemands, from)
+			delete(p.peerDemands, from)
 			continue
 		}
 		for _, model := range demand.models {
--- a/reducer/outcome.go
+++ b/reducer/outcome.go
@@ -29,11 +29,11 @@
 
 // put stores or replaces the outcome of a key and evicts the oldest outcomes above the limits.
 func (s *outcomeStore) put(key claimer.Key, outcome Outcome) {
-	known, exists := s.byKey[key]
+	previous, exists := s.byKey[key]
 	if !exists {
 		s.order = append(s.order, key)
 	}
-	s.bytes += outcome.size() - known.size()
+	s.bytes += outcome.size() - previous.size()
 	s.byKey[key] = outcome
 	for len(s.order) > s.limit || s.bytes > maxOutcomeBytes && len(s.order) > 1 {
 		s.dropOldest()
--- a/reducer/peer.go
+++ b/reducer/peer.go
@@ -12,8 +12,8 @@
 const (
 	// recordsCallInterval is the least time between two requests to peers for configuration records.
 	recordsCallInterval = 250 * time.Millisecond
-	// recordsPerMessage bounds the records in one message.
-	recordsPerMessage = 256
+	// maxRecordsPerMessage bounds the records in one message.
+	maxRecordsPerMessage = 256
 )
 
 // handlePeerMessage handles a message from another entry.
@@ -89,7 +89,7 @@
 		answer.Snapshot = snapshot
 		records = nil
 	}
-	for _, record := range records[:min(len(records), recordsPerMessage)] {
+	for _, record := range records[:min(len(records), maxRecordsPerMessage)] {
 		answer.Records = append(answer.Records, carrier.Record(record))
 	}
 	c.emit(SendPeer{Address: member.PeerAddress, Message: answer})
--- a/reducer/silence.go
+++ b/reducer/silence.go
@@ -41,13 +41,13 @@
 	if len(hints) == 0 {
 		return
 	}
-	named := map[string]bool{}
+	listed := map[string]bool{}
 	for _, hint := range hints {
-		named[hint.PeerAddress] = true
+		listed[hint.PeerAddress] = true
 	}
 	for _, name := range slices.Sorted(maps.Keys(c.silentEntries)) {
 		silent := c.silentEntries[name]
-		if named[silent.peerAddress] && now.Sub(silent.since) < forgetAfter {
+		if listed[silent.peerAddress] && now.Sub(silent.since) < forgetAfter {
 			continue
 		}
 		delete(c.silentEntries, name)
--- a/reducer/stage.go
+++ b/reducer/stage.go
@@ -126,9 +126,9 @@
 	stage := r.currentStage()
 	r.prefix = c.promptPrefix(r)
 	query := router.Query{Pool: stage.Pool, Prefix: r.prefix, Avoid: r.triedAddresses, NoProbe: !stage.Repeatable}
-	if o, placed := c.placedPools[stage.Pool]; placed {
+	if p, placed := c.placedPools[stage.Pool]; placed {
 		query.Model = stage.Model
-		query.LacksModel = o.cannotServe
+		query.LacksModel = p.cannotServe
 	}
 	return query
 }
@@ -194,21 +194,21 @@
 	if !running || r.stage != id.Stage || r.phase != phaseRunning {
 		return nil, -1
 	}
-	at := r.callIndex(id.Attempt)
-	if at < 0 {
+	index := r.callIndex(id.Attempt)
+	if index < 0 {
 		return nil, -1
 	}
-	return r, at
+	return r, index
 }
 
 // handlePart handles one part of a reply.
 func (c *Core) handlePart(e *StagePartArrived, now time.Time) {
-	r, at := c.findCall(e.Call)
+	r, index := c.findCall(e.Call)
 	if r == nil {
 		c.counters.PartsLate++
 		return
 	}
-	call := &r.calls[at]
+	call := &r.calls[index]
 	// A reply that names another request, stage or attempt was sent to the wrong caller by the
 	// endpoint. Accepting it would disclose one account's data to another, so it is dropped. The
 	// call fails, since its own reply is not going to arrive on this connection.
@@ -223,16 +223,16 @@
 	case e.Part.Seq < call.nextSeq:
 		c.counters.PartsOverlapping++
 	case e.Part.Seq > call.nextSeq:
-		c.bufferPart(r, at, e, now)
+		c.bufferPart(r, index, e, now)
 	default:
-		c.acceptPart(r, at, e.Part, now)
+		c.acceptPart(r, index, e.Part, now)
 	}
 }
 
 // bufferPart keeps a part that arrived before its predecessor.
-func (c *Core) bufferPart(r *request, at int, e *StagePartArrived, now time.Time) {
+func (c *Core) bufferPart(r *request, index int, e *StagePartArrived, now time.Time) {
 	c.counters.PartsAfterGap++
-	call := &r.calls[at]
+	call := &r.calls[index]
 	if call.outOfOrder == nil {
 		call.outOfOrder = map[int]endpointserver.StagePart{}
 	}
@@ -244,13 +244,13 @@
 }
 
 // acceptPart appends the next part of a call and the buffered parts that follow it.
-func (c *Core) acceptPart(r *request, at int, part endpointserver.StagePart, now time.Time) {
-	call := &r.calls[at]
+func (c *Core) acceptPart(r *request, index int, part endpointserver.StagePart, now time.Time) {
+	call := &r.calls[index]
 	for {
 		call.nextSeq++
 		call.text.write(part.Text)
 		if part.Final {
-			c.handleFinalPart(r, at, part, now)
+			c.handleFinalPart(r, index, part, now)
 			return
 		}
 		next, held := call.outOfOrder[call.nextSeq]
@@ -280,8 +280,8 @@
 
 // handleFinalPart handles the last part of a reply: it fails the call if the reply is an error, incomplete or
 // inconsistent with what was sent to the caller, and otherwise completes the stage.
-func (c *Core) handleFinalPart(r *request, at int, part endpointserver.StagePart, now time.Time) {
-	call := &r.calls[at]
+func (c *Core) handleFinalPart(r *request, index int, part endpointserver.StagePart, now time.Time) {
+	call := &r.calls[index]
 	id := CallID{Request: r.id, Stage: r.stage, Attempt: call.attempt}
 	if part.Error.Value != "" {
 		c.handleStageFailed(StageFailed{Call: id, Fault: StageFault{Kind: FaultError, Message: part.Error.Value}}, now)
@@ -297,13 +297,13 @@
 		return
 	}
 	c.forwardText(r, call, now)
-	c.completeStage(r, at, text, part, now)
+	c.completeStage(r, index, text, part, now)
 }
 
 // completeStage ends a stage with the result of one attempt, cancels the other attempts, and starts the next stage or
 // answers the request.
-func (c *Core) completeStage(r *request, at int, text string, part endpointserver.StagePart, now time.Time) {
-	call := r.calls[at]
+func (c *Core) completeStage(r *request, index int, text string, part endpointserver.StagePart, now time.Time) {
+	call := r.calls[index]
 	stage := r.currentStage()
 	cost := part.Cost.Value
 	mean, _ := c.stageTime(r)
@@ -312,7 +312,7 @@
 	c.scheduler.Charge(stage.Pool, r.key.Account, cost-c.admitter.ExpectedCost(r.plan.stageNames[r.stage], cost))
 	c.biller.Work(r.key.Account, stage.Name, cost)
 	r.measuredCost += cost
-	r.calls = append(r.calls[:at], r.calls[at+1:]...)
+	r.calls = append(r.calls[:index], r.calls[index+1:]...)
 	c.cancelCalls(r, now)
 	if r.onLastStage() {
 		c.answer(r, text, part.Total.Value, now)
--- a/reducer/status.go
+++ b/reducer/status.go
@@ -39,11 +39,11 @@
 
 // assignmentStatus returns the last assignment that this entry read from an engine of a pool with a placement.
 func (c *Core) assignmentStatus(pool, address string) operatorserver.OptString {
-	o, placed := c.placedPools[pool]
+	p, placed := c.placedPools[pool]
 	if !placed {
 		return operatorserver.OptString{}
 	}
-	assignment, read := o.placer.Assignment(address)
+	assignment, read := p.placer.Assignment(address)
 	if !read {
 		return operatorserver.OptString{}
 	}
--- a/reducer/stop.go
+++ b/reducer/stop.go
@@ -45,8 +45,8 @@
 	if before == drainer.Serving || c.stopped {
 		return
 	}
-	unhanded := c.batcher.Waiting() + c.claimAppendsInFlight
-	after := c.drainer.Step(len(c.requests)+len(c.peerQueries), unhanded, now)
+	unappended := c.batcher.Waiting() + c.claimAppendsInFlight
+	after := c.drainer.Step(len(c.requests)+len(c.peerQueries), unappended, now)
 	if after == before {
 		return
 	}
--- a/reducer/system_test.go
+++ b/reducer/system_test.go
@@ -47,7 +47,7 @@
 	nextID    uint64
 	// side is the part of the network that each entry is in, by its index; entries of other sides don't hear it.
 	side map[int]int
-	// status is the last answer to StatusAsked.
+	// status is the last answer to StatusRequested.
 	status operatorserver.Status
 }
 
--- a/reducer/tick.go
+++ b/reducer/tick.go
@@ -44,7 +44,7 @@
 	c.snapshotDueSince = time.Time{}
 	parts, err := c.fold.Snapshot(now)
 	if err != nil {
-		c.emit(LogChange{Message: "the snapshot can't be encoded", Subject: err.Error()})
+		c.emit(LogChange{Message: "failed to encode the configuration snapshot", Subject: err.Error()})
 		return
 	}
 	for _, part := range parts {
