--- a/reducer/bill.go
+++ b/reducer/bill.go
@@ -35,7 +35,7 @@
 	}
 }
 
-// sendIncarnationBills sends one incarnation's totals to all live peers, at most maxBillsPerMessage accounts per message.
+// sendIncarnationBills sends one incarnation's totals to all live peers in messages of at most maxBillsPerMessage accounts.
 func (c *Core) sendIncarnationBills(incarnation biller.Incarnation) {
 	for from := 0; from < len(incarnation.Bills); from += maxBillsPerMessage {
 		message := &carrier.Bills{Entry: incarnation.Entry, Incarnation: incarnation.Incarnation}
--- a/reducer/log.go
+++ b/reducer/log.go
@@ -19,7 +19,7 @@
 	before := health.eraChanged
 	health.observeEra(e.Era)
 	if health.eraChanged && !before {
-		c.emit(LogChange{Message: "log was restored from an older copy", Subject: string(e.Stream), To: strconv.FormatInt(e.Era, 10)})
+		c.emit(LogChange{Message: "the log has returned from an older copy", Subject: string(e.Stream), To: strconv.FormatInt(e.Era, 10)})
 	}
 	health.lastRead = now
 	health.caughtUp = health.caughtUp || e.AtEnd
