--- a/reducer/stop.go
+++ b/reducer/stop.go
@@ -10,25 +10,25 @@
 )
 
 const (
-	// handoverAge is how old an outcome may be to be handed over at a planned stop.
-	handoverAge = 2 * time.Minute
-	// handoverBytes bounds the answers of one message, well under the frame limit.
-	handoverBytes = 256 << 10
-	// handoverCopies is how many peers keep a stopping entry's outcomes.
+	// maxHandoverAge is the maximum age of the outcomes that are handed over at a planned stop.
+	maxHandoverAge = 2 * time.Minute
+	// maxHandoverBytes is the size of texts in bytes at which a handover message is sent, well below the frame limit.
+	maxHandoverBytes = 256 << 10
+	// handoverCopies is the number of peers that receive a stopping entry's outcomes.
 	handoverCopies = 2
 )
 
-// beginStop starts a planned stop. Beginning it again changes nothing.
+// beginStop starts a planned stop. Further calls do nothing.
 func (c *Core) beginStop(now time.Time) {
 	if c.drainer.Phase() != drainer.Serving {
 		return
 	}
 	c.drainer.Begin(now)
 	c.emit(LogChange{Message: "planned stop", Subject: c.cfg.Entry, From: phaseName(drainer.Serving), To: phaseName(c.drainer.Phase())})
-	c.beat(now)
+	c.sendHeartbeats(now)
 }
 
-func (c *Core) takeStopAsked(e StopAsked, now time.Time) {
+func (c *Core) handleStopRequested(e StopRequested, now time.Time) {
 	if e.Begin {
 		c.beginStop(now)
 	}
@@ -39,14 +39,14 @@
 	}})
 }
 
-// stepStop takes the planned stop on, as far as requests in flight and address answers allow.
-func (c *Core) stepStop(now time.Time) {
+// advanceStop advances the planned stop as far as requests in flight and the validity of address answers allow.
+func (c *Core) advanceStop(now time.Time) {
 	before := c.drainer.Phase()
 	if before == drainer.Serving || c.stopped {
 		return
 	}
-	unhanded := c.batcher.Waiting() + c.appending
-	after := c.drainer.Step(len(c.requests)+len(c.asked), unhanded, now)
+	unappended := c.batcher.Waiting() + c.claimAppendsInFlight
+	after := c.drainer.Step(len(c.requests)+len(c.peerQueries), unappended, now)
 	if after == before {
 		return
 	}
@@ -56,23 +56,23 @@
 		c.handOver(now)
 	case drainer.Done:
 		c.stopped = true
-		c.billsAt = time.Time{}
-		c.tellBills(now)
-		c.beat(now)
+		c.nextBills = time.Time{}
+		c.broadcastBills(now)
+		c.sendHeartbeats(now)
 		c.emit(Exit{})
 	}
 }
 
-// handOver gives recent outcomes to live peers, so that a caller that asks after the exit is answered.
+// handOver sends recent outcomes to live peers, so that callers can still request them after this process exits.
 func (c *Core) handOver(now time.Time) {
 	message := &carrier.Handover{}
 	size := 0
-	for _, key := range c.outcomes.recent(now.Add(-handoverAge)) {
+	for _, key := range c.outcomes.recent(now.Add(-maxHandoverAge)) {
 		outcome, _ := c.outcomes.get(key)
 		c.counters.OutcomesHandedOff++
 		size += len(outcome.Answer) + len(outcome.Failure.Message)
-		message.Outcomes = append(message.Outcomes, *wireOutcome(0, key, outcome, now))
-		if size >= handoverBytes {
+		message.Outcomes = append(message.Outcomes, *outcomeToWire(0, key, outcome, now))
+		if size >= maxHandoverBytes {
 			c.sendHandover(message)
 			message, size = &carrier.Handover{}, 0
 		}
@@ -96,6 +96,7 @@
 	}
 }
 
+// memberState returns the state that this entry's heartbeats report.
 func (c *Core) memberState() detector.State {
 	switch c.drainer.Phase() {
 	case drainer.Serving:
--- a/reducer/system_test.go
+++ b/reducer/system_test.go
@@ -47,7 +47,7 @@
 	nextID    uint64
 	// side is the part of the network that each entry is in, by its index; entries of other sides don't hear it.
 	side map[int]int
-	// status is the last answer to StatusAsked.
+	// status is the last answer to StatusRequested.
 	status operatorserver.Status
 }
 
@@ -328,7 +328,7 @@
 func (s *system) ejected(pool string) float64 {
 	most := 0.0
 	for _, e := range s.entries {
-		s.give(e, reducer.StatusAsked{})
+		s.give(e, reducer.StatusRequested{})
 		all, out := 0, 0
 		for _, endpoint := range s.status.Endpoints {
 			if endpoint.Pool != pool {
