--- a/reducer/change_bench_test.go
+++ b/reducer/change_bench_test.go
@@ -13,7 +13,7 @@
 	"geraniumline/router"
 )
 
-// BenchmarkOneChange puts one change of a contract in force at an entry that holds many.
+// BenchmarkOneChange applies one change of a contract at an entry that holds many contracts.
 func BenchmarkOneChange(b *testing.B) {
 	for _, contracts := range []int{1000, 10_000, 43_000} {
 		b.Run(strconv.Itoa(contracts), func(b *testing.B) {
@@ -38,7 +38,8 @@
 
 var benchEpoch = time.Unix(1_800_000_000, 0)
 
-// benchConfiguration is a pool, a pipeline and contracts, as records of the log.
+// benchConfiguration returns a pool, a pipeline and the given number of contracts as records of the configuration
+// log.
 func benchConfiguration(contracts int) []recorder.Record {
 	pool, poolErr := json.Marshal(publisher.Pool{Name: benchPool, Kind: publisher.PoolService, SlotsPerEndpoint: benchSlots})
 	pipeline := publisher.Pipeline{Name: benchPipeline}
@@ -58,7 +59,7 @@
 	return records
 }
 
-// benchCore makes a core with one endpoint of many slots and a contract for each of some accounts.
+// benchCore returns a core with one endpoint of many slots and one contract for each of the accounts.
 func benchCore(accounts int) *reducer.Core {
 	core := reducer.New(reducer.Config{
 		Entry: "entry-1", Incarnation: 1, Zone: "zone-a", CallerAddress: benchAddress(1), PeerAddress: benchAddress(2),
@@ -80,7 +81,7 @@
 
 func benchChange(offset int64, kind, name string, body []byte, err error) recorder.Record {
 	if err != nil {
-		panic(err) // the objects are this file's own
+		panic(err) // the objects come from this file only
 	}
 	data, err := publisher.EncodeChange(publisher.Change{
 		OperationID: fmt.Sprintf("operation-%d", offset), Operator: "operator", Kind: kind, Name: name, Body: body,
--- a/reducer/claim_test.go
+++ b/reducer/claim_test.go
@@ -12,8 +12,8 @@
 
 const deadline = 4 * time.Second
 
-// holds tells whether an append to the claims stream holds a record of a kind.
-func holds[T claimer.ClaimRecord](e Effect) bool {
+// appendsRecord reports whether an effect appends a record of type T to the claims stream.
+func appendsRecord[T claimer.ClaimRecord](e Effect) bool {
 	a, ok := e.(Append)
 	if !ok || a.Stream != StreamClaims {
 		return false
@@ -23,14 +23,14 @@
 		return false
 	}
 	for _, record := range batch.Records {
-		if _, is := record.(T); is {
+		if _, ok := record.(T); ok {
 			return true
 		}
 	}
 	return false
 }
 
-func callOf(stage string) func(Effect) bool {
+func callsStage(stage string) func(Effect) bool {
 	return func(e Effect) bool {
 		call, ok := e.(*CallStage)
 		return ok && call.Body.Stage == stage
@@ -42,10 +42,10 @@
 	return ok
 }
 
-// The entry is killed at one step of a request that must not be repeated, just before or just after the step
-// takes effect outside. Its caller's connection breaks, and it sends the same key to another entry.
-// Only the log knows what the dead entry may have done: a claim without an outcome means that the stage may have
-// run, so nobody may run it again; a claim that never landed can't have been dispatched.
+// The entry is killed at one step of a request that must not be repeated, just before or just after the step takes
+// effect outside the process. Its caller loses the connection and sends the same key to another entry. Only the
+// log records what the dead entry may have done: a claim without an outcome means that the stage may have run, so
+// no entry may run it again; a claim that never reached the log can't have been dispatched.
 func TestCrashBetweenSteps(t *testing.T) {
 	for _, s := range []struct {
 		testName string
@@ -54,49 +54,49 @@
 		want     State
 		runs     int
 	}{
-		{"claim sent, lost", holds[claimer.Claim], false, StateAnswered, 1},
-		{"claim sent, landed", holds[claimer.Claim], true, StateUnknown, 0},
-		{"claim read back, first stage not sent", callOf("encode"), false, StateUnknown, 0},
-		{"first stage dispatched", callOf("encode"), true, StateUnknown, 0},
-		{"side effect not sent", callOf("log"), false, StateUnknown, 0},
-		{"side effect dispatched", callOf("log"), true, StateUnknown, 1},
+		{"claim sent, lost", appendsRecord[claimer.Claim], false, StateAnswered, 1},
+		{"claim sent, recorded", appendsRecord[claimer.Claim], true, StateUnknown, 0},
+		{"claim read back, first stage not sent", callsStage("encode"), false, StateUnknown, 0},
+		{"first stage dispatched", callsStage("encode"), true, StateUnknown, 0},
+		{"side effect not sent", callsStage("log"), false, StateUnknown, 0},
+		{"side effect dispatched", callsStage("log"), true, StateUnknown, 1},
 		{"stage answered, answer not sent", isAnswer, false, StateUnknown, 1},
-		{"answer sent, outcome not recorded", holds[claimer.Outcome], false, StateUnknown, 1},
-		{"outcome recorded", holds[claimer.Outcome], true, StateAnswered, 1},
+		{"answer sent, outcome not recorded", appendsRecord[claimer.Outcome], false, StateUnknown, 1},
+		{"outcome recorded", appendsRecord[claimer.Outcome], true, StateAnswered, 1},
 	} {
 		t.Run(s.testName, func(t *testing.T) {
-			w := serving(t, 3)
+			w := newServingWorld(t, 3)
 			key := keyAt(w.now, 1)
-			w.hook = func(f flight) bool {
-				if w.nodes[0].dead && f.node == 0 {
+			w.hook = func(op pendingOp) bool {
+				if w.nodes[0].dead && op.node == 0 {
 					return false
 				}
-				if f.node != 0 || f.effect == nil || !s.step(f.effect) {
+				if op.node != 0 || op.effect == nil || !s.step(op.effect) {
 					return true
 				}
 				w.kill(0)
 				return s.effect
 			}
 			w.send(0, ticket, key, "wall 7", deadline)
-			w.until("the crash", func() bool { return w.nodes[0].dead })
+			w.until("a crash", func() bool { return w.nodes[0].dead })
 			again := w.send(1, ticket, key, "wall 7", deadline)
-			state, _, _ := w.awaitEnd(again.id)
+			state, _, _ := w.awaitResult(again.id)
 			require.Equal(t, s.want, state)
-			require.Less(t, w.now.Sub(again.sent), time.Second, "given up is told at once, not at the deadline")
-			asked, _, _ := w.awaitEnd(w.ask(2, key))
-			require.Equal(t, s.want, asked, "any entry tells the outcome")
+			require.Less(t, w.now.Sub(again.sent), time.Second, "a request that is given up must be answered at once, not at the deadline")
+			asked, _, _ := w.awaitResult(w.queryOutcome(2, key))
+			require.Equal(t, s.want, asked, "every entry must report the outcome")
 			w.run(time.Second)
-			late, _, _ := w.awaitEnd(w.send(2, ticket, key, "wall 7", deadline).id)
-			require.Equal(t, s.want, late, "the owner is known to be dead")
+			late, _, _ := w.awaitResult(w.send(2, ticket, key, "wall 7", deadline).id)
+			require.Equal(t, s.want, late, "the retry arrives after the owner was declared dead")
 			require.Equal(t, s.runs, w.runs(key, "log"))
-			w.check()
+			w.checkInvariants()
 		})
 	}
 }
 
-// An entry stands still right after its claim landed, long enough to be taken for dead, while its caller sends
-// the key to another entry and is told that the outcome is unknown. Then it wakes and may go on.
-// It holds the key's only valid claim, so its run is the only one; the other entry has run nothing.
+// An entry freezes right after its claim was recorded, for long enough to be declared dead. Meanwhile its caller
+// sends the key to another entry and is told that the outcome is unknown. Then the first entry resumes and may
+// continue. It holds the key's only valid claim, so its run is the only one; the other entry has run nothing.
 func TestFrozenEntryWakes(t *testing.T) {
 	for _, s := range []struct {
 		testName string
@@ -107,32 +107,33 @@
 		{"after the deadline", 2 * deadline, 0},
 	} {
 		t.Run(s.testName, func(t *testing.T) {
-			w := serving(t, 3)
+			w := newServingWorld(t, 3)
 			key := keyAt(w.now, 1)
-			w.hook = func(f flight) bool {
-				if f.node == 0 && f.effect != nil && holds[claimer.Claim](f.effect) {
+			w.hook = func(op pendingOp) bool {
+				if op.node == 0 && op.effect != nil && appendsRecord[claimer.Claim](op.effect) {
 					w.nodes[0].frozen = true
 				}
 				return true
 			}
 			w.send(0, ticket, key, "wall 7", deadline)
-			w.until("the freeze", func() bool { return w.nodes[0].frozen })
+			w.until("a freeze", func() bool { return w.nodes[0].frozen })
 			w.hook = nil
 			again := w.send(1, ticket, key, "wall 7", deadline)
-			state, code, _ := w.awaitEnd(again.id)
+			state, code, _ := w.awaitResult(again.id)
 			require.Equal(t, StateUnknown, state)
 			require.Equal(t, CodeOwnerLost, code)
 			w.run(s.frozen)
 			w.nodes[0].frozen = false
 			w.run(time.Second)
 			require.Equal(t, s.runs, w.runs(key, "log"))
-			w.check()
+			w.checkInvariants()
 		})
 	}
 }
 
-// An append's reply is lost, or the append itself. The entry can't tell which, so it asks the log: it runs the
-// request if its claim is read back, and else gives it up while time is left, and says so.
+// The reply to an append is lost, or the append itself. The entry can't distinguish the two, so it reads the log:
+// it runs the request if it reads its claim back; otherwise it gives the request up before the deadline and
+// answers notRun.
 func TestAppendUncertain(t *testing.T) {
 	for _, s := range []struct {
 		testName string
@@ -140,16 +141,16 @@
 		want     State
 		runs     int
 	}{
-		{"reply lost, claim landed", "lostReply", StateAnswered, 1},
+		{"reply lost, claim recorded", "lostReply", StateAnswered, 1},
 		{"append lost", "lost", StateNotRun, 0},
 		{"append refused", "refused", StateNotRun, 0},
 	} {
 		t.Run(s.testName, func(t *testing.T) {
-			w := serving(t, 2)
+			w := newServingWorld(t, 2)
 			key := keyAt(w.now, 1)
 			w.appendMode = s.mode
 			a := w.send(0, ticket, key, "wall 7", deadline)
-			state, _, _ := w.awaitEnd(a.id)
+			state, _, _ := w.awaitResult(a.id)
 			require.Equal(t, s.want, state)
 			require.Equal(t, s.runs, w.runs(key, "log"))
 			if state == StateNotRun {
@@ -157,42 +158,43 @@
 			}
 			w.appendMode = ""
 			w.run(5 * time.Second)
-			again, _, _ := w.awaitEnd(w.send(1, ticket, key, "wall 7", deadline).id)
-			require.Equal(t, StateAnswered, again, "the key can be tried again")
+			again, _, _ := w.awaitResult(w.send(1, ticket, key, "wall 7", deadline).id)
+			require.Equal(t, StateAnswered, again, "a retry with the key must be answered")
 			require.Equal(t, 1, w.runs(key, "log"))
-			w.check()
+			w.checkInvariants()
 		})
 	}
 }
 
-// A claim lands after its caller was told notRun: the log took the append long after the entry gave up.
-// The entry never dispatches it and releases the key, so that a later try runs once.
+// A claim is recorded after its caller was answered notRun: the log accepted the append long after the entry had
+// given up. The entry must not dispatch the request and must release the key, so that a later retry runs once.
 func TestLateClaimIsReleased(t *testing.T) {
-	w := serving(t, 2)
+	w := newServingWorld(t, 2)
 	key := keyAt(w.now, 1)
 	var late []byte
-	w.hook = func(f flight) bool {
-		if f.effect != nil && late == nil && holds[claimer.Claim](f.effect) {
-			late = f.effect.(Append).Data
-			w.back(f, Appended{Stream: StreamClaims, BatchID: f.effect.(Append).BatchID, Result: claimer.AppendUncertain{}})
+	w.hook = func(op pendingOp) bool {
+		if op.effect != nil && late == nil && appendsRecord[claimer.Claim](op.effect) {
+			late = op.effect.(Append).Data
+			w.respond(op, Appended{Stream: StreamClaims, BatchID: op.effect.(Append).BatchID, Result: claimer.AppendUncertain{}})
 			return false
 		}
 		return true
 	}
 	first := w.send(0, ticket, key, "wall 7", time.Second)
-	state, _, _ := w.awaitEnd(first.id)
+	state, _, _ := w.awaitResult(first.id)
 	require.Equal(t, StateNotRun, state)
-	w.land(StreamClaims, late)
+	w.commit(StreamClaims, late)
 	w.run(time.Second)
 	require.Empty(t, w.ledger)
-	again, _, _ := w.awaitEnd(w.send(1, ticket, key, "wall 7", deadline).id)
+	again, _, _ := w.awaitResult(w.send(1, ticket, key, "wall 7", deadline).id)
 	require.Equal(t, StateAnswered, again)
 	require.Equal(t, 1, w.runs(key, "log"))
-	w.check()
+	w.checkInvariants()
 }
 
-// Two callers send one key to two entries at the same moment; both entries claim it, and log order decides.
-// The loser asks the winner and gives its caller the winner's answer. With another body it refuses.
+// Two callers send one key to two entries at the same moment. Both entries claim it, and the order of the log
+// decides. The losing entry asks the winner and passes the winner's answer to its caller. If the bodies differ, it
+// refuses the request.
 func TestSameKeyTwoEntries(t *testing.T) {
 	for _, s := range []struct {
 		testName string
@@ -204,31 +206,31 @@
 		{"another body", "wall 8", StateNotRun, CodeKeyReused},
 	} {
 		t.Run(s.testName, func(t *testing.T) {
-			w := serving(t, 3)
+			w := newServingWorld(t, 3)
 			key := keyAt(w.now, 1)
 			a := w.send(0, ticket, key, "wall 7", deadline)
 			b := w.send(1, ticket, key, s.body, deadline)
 			c := w.send(0, ticket, key, s.body, deadline)
 			for _, id := range []uint64{b.id, c.id} {
-				state, code, _ := w.awaitEnd(id)
+				state, code, _ := w.awaitResult(id)
 				require.Equal(t, s.want, state)
 				require.Equal(t, s.code, code)
 			}
-			state, _, _ := w.awaitEnd(a.id)
+			state, _, _ := w.awaitResult(a.id)
 			require.Equal(t, StateAnswered, state)
 			w.run(time.Second)
-			later, code, _ := w.awaitEnd(w.send(2, ticket, key, s.body, deadline).id)
+			later, code, _ := w.awaitResult(w.send(2, ticket, key, s.body, deadline).id)
 			require.Equal(t, s.want, later)
 			require.Equal(t, s.code, code)
 			require.Equal(t, 1, w.runs(key, "log"))
 			if s.want == StateAnswered {
-				w.check()
+				w.checkInvariants()
 			}
 		})
 	}
 }
 
-// A key that can't be claimed for certain is refused before anything runs, with a code that tells why.
+// A key whose claim can't be decided is refused before anything runs, with a code that states the reason.
 func TestKeysThatAreRefused(t *testing.T) {
 	for _, s := range []struct {
 		testName string
@@ -236,14 +238,14 @@
 		want     State
 		code     Code
 	}{
-		// Whether an old key ever ran is forgotten: notRun might be untrue.
+		// The claims of old keys are no longer stored, so notRun might be false.
 		{"older than the horizon", func(now time.Time) string { return keyAt(now.Add(-testHorizon-time.Second), 1) }, StateUnknown, CodeKeyTooOld},
 		{"from the future", func(now time.Time) string { return keyAt(now.Add(2*time.Minute), 1) }, StateNotRun, CodeKeyFromFuture},
 		{"not a UUIDv7", func(time.Time) string { return "first-1" }, StateNotRun, CodeUnsupportedKey},
 	} {
 		t.Run(s.testName, func(t *testing.T) {
-			w := serving(t, 1)
-			state, code, _ := w.awaitEnd(w.send(0, ticket, s.key(w.now), "wall 7", deadline).id)
+			w := newServingWorld(t, 1)
+			state, code, _ := w.awaitResult(w.send(0, ticket, s.key(w.now), "wall 7", deadline).id)
 			require.Equal(t, s.want, state)
 			require.Equal(t, s.code, code)
 			w.run(time.Second)
@@ -252,15 +254,15 @@
 	}
 }
 
-// The log is down for ten minutes and appends hang. All through it a request that needs a claim is refused without any
-// time passing, with when to come back, and repeatable requests are answered as before, 100 in 100. When the log is
-// back, the last key that was refused can be run.
+// The log is down for ten minutes and appends hang. Throughout the outage, a request that needs a claim is refused
+// immediately with a retry delay, and repeatable requests are answered as before, 100 in 100. After the outage,
+// the last key that was refused can be run.
 func TestLogOutage(t *testing.T) {
-	w := serving(t, 2)
+	w := newServingWorld(t, 2)
 	w.logDown = true
-	w.hook = func(f flight) bool {
-		_, is := f.effect.(Append)
-		return !is
+	w.hook = func(op pendingOp) bool {
+		_, ok := op.effect.(Append)
+		return !ok
 	}
 	w.run(100 * time.Millisecond)
 	var key string
@@ -273,53 +275,54 @@
 		require.Equal(t, CodeLogUnavailable, failure.Code)
 		require.Equal(t, StateNotRun, failure.State)
 		require.Positive(t, failure.RetryAfter)
-		state, _, _ := w.awaitEnd(w.send(1, summary, keyAt(w.now, 100+i), "case 3", deadline).id)
+		state, _, _ := w.awaitResult(w.send(1, summary, keyAt(w.now, 100+i), "case 3", deadline).id)
 		require.Equal(t, StateAnswered, state)
 		w.run(30 * time.Second)
 	}
 	w.logDown, w.hook = false, nil
 	w.run(5 * time.Second)
-	state, _, _ := w.awaitEnd(w.send(0, ticket, key, "wall 7", deadline).id)
+	state, _, _ := w.awaitResult(w.send(0, ticket, key, "wall 7", deadline).id)
 	require.Equal(t, StateAnswered, state)
-	w.check()
+	w.checkInvariants()
 }
 
-// A request that is given up is answered by the event that gives it up: nothing holds an effect back.
-// Where nothing ran and coming back helps, the answer says when.
+// A request that is given up is answered by the event that makes the entry give it up: no effect is delayed. If
+// nothing ran and a retry may succeed, the answer contains a retry delay.
 func TestGivenUpIsAnsweredAtOnce(t *testing.T) {
 	for _, s := range []struct {
-		testName string
-		how      string
-		want     State
-		come     bool
+		testName       string
+		mode           string
+		want           State
+		wantRetryAfter bool
 	}{
-		{"no endpoint takes it", "busy", StateNotRun, true},
+		{"no endpoint accepts it", "busy", StateNotRun, true},
 		{"the side effect's reply is lost", "cutAfterRun", StateUnknown, false},
 	} {
 		t.Run(s.testName, func(t *testing.T) {
-			w := serving(t, 1)
-			w.stage = func(call *endpointserver.StageCall) string {
-				if s.how == "cutAfterRun" && call.Stage != "log" {
+			w := newServingWorld(t, 1)
+			w.stageMode = func(call *endpointserver.StageCall) string {
+				if s.mode == "cutAfterRun" && call.Stage != "log" {
 					return ""
 				}
-				return s.how
+				return s.mode
 			}
 			a := w.send(0, ticket, keyAt(w.now, 1), "wall 7", deadline)
-			w.until("the last fault", func() bool { return len(w.replies[a.id]) > 0 })
+			w.until("an answer after the last fault", func() bool { return len(w.replies[a.id]) > 0 })
 			failure := w.replies[a.id][0].effect.(SendFailure).Failure
 			require.Equal(t, s.want, failure.State)
 			require.Less(t, w.now.Sub(a.sent), time.Second)
-			if s.come {
+			if s.wantRetryAfter {
 				require.Positive(t, failure.RetryAfter)
 			}
 			w.run(deadline)
-			w.check()
+			w.checkInvariants()
 		})
 	}
 }
 
-// An entry claims a key, runs its side effect and dies. Its caller sends the key to an entry that can't read the log
-// and so has not seen the claim. It must not tell notRun: it asks the others first, and one of them may be the dead.
+// An entry claims a key, runs its side effect and dies. Its caller sends the key to an entry that can't read the
+// log and so has not seen the claim. That entry must not answer notRun: it asks its peers first, one of which may
+// be the dead entry.
 func TestRefusalOfKeyThatRanElsewhere(t *testing.T) {
 	for _, s := range []struct {
 		testName string
@@ -328,21 +331,21 @@
 		want     State
 	}{
 		{"another entry reads the log", true, true, StateUnknown},
-		{"nobody else reads the log", false, true, StateUnknown},
+		{"no other entry reads the log", false, true, StateUnknown},
 		{"the owner still runs it", false, false, StateUnknown},
 	} {
 		t.Run(s.testName, func(t *testing.T) {
-			w := serving(t, 3)
+			w := newServingWorld(t, 3)
 			w.nodes[1].noLog = true
 			w.nodes[2].noLog = !s.others
 			w.run(100 * time.Millisecond)
 			key := keyAt(w.now, 1)
-			w.stage = func(call *endpointserver.StageCall) string { return map[string]string{"log": "silent"}[call.Stage] }
+			w.stageMode = func(call *endpointserver.StageCall) string { return map[string]string{"log": "silent"}[call.Stage] }
 			w.send(0, ticket, key, "wall 7", deadline)
-			w.until("the side effect", func() bool { return w.runs(key, "log") == 1 })
+			w.until("a run of the side effect", func() bool { return w.runs(key, "log") == 1 })
 			w.nodes[0].dead = s.dies
 			again := w.send(1, ticket, key, "wall 7", deadline)
-			state, _, _ := w.awaitEnd(again.id)
+			state, _, _ := w.awaitResult(again.id)
 			require.Equal(t, s.want, state)
 			require.Less(t, w.now.Sub(again.sent), 2*time.Second)
 		})
--- a/reducer/era_test.go
+++ b/reducer/era_test.go
@@ -11,8 +11,8 @@
 	"geraniumline/recorder"
 )
 
-// returnLog has the log return from a copy that lacks the records since a time.
-func (w *world) returnLog(since time.Time) {
+// restoreLog replaces the log with an older copy, which lacks the records written after the given time.
+func (w *world) restoreLog(since time.Time) {
 	w.era++
 	for stream, records := range w.streams {
 		var kept []recorder.Record
@@ -25,8 +25,8 @@
 	}
 }
 
-// ticketRuns counts the runs of stages that must not be repeated, by key.
-func (w *world) ticketRuns(key string) (n int) {
+// sideEffectRuns returns how often stages that must not be repeated ran for a key.
+func (w *world) sideEffectRuns(key string) (n int) {
 	for _, e := range w.ledger {
 		if e.key == key && !e.repeatable {
 			n++
@@ -35,8 +35,8 @@
 	return n
 }
 
-// Guards against a second run of a request whose claim the log has acknowledged and lost: at an entry that starts anew, at one that has
-// read the claim, and at one that has not.
+// Guards against a second run of a request whose claim the log acknowledged and then lost: at an entry that is
+// restarted, at one that has read the claim, and at one that has not.
 func TestALostClaimIsNotRunAgain(t *testing.T) {
 	for _, s := range []struct {
 		testName string
@@ -44,8 +44,8 @@
 	}{
 		{"the entry that ran it", func(*world) int { return 0 }},
 		{"an entry that has read the claim", func(*world) int { return 1 }},
-		{"an entry that starts anew", func(w *world) int { w.start(1); return 1 }},
-		{"all start anew", func(w *world) int {
+		{"an entry that is restarted", func(w *world) int { w.start(1); return 1 }},
+		{"all entries are restarted", func(w *world) int {
 			for i := range w.nodes {
 				w.start(i)
 			}
@@ -54,79 +54,79 @@
 		{"an entry that was cut from the log", func(*world) int { return 2 }},
 	} {
 		t.Run(s.testName, func(t *testing.T) {
-			w := serving(t, 3)
+			w := newServingWorld(t, 3)
 			w.nodes[2].noLog = true
 			w.run(time.Second)
-			copied := w.now
+			copiedAt := w.now
 			w.run(10 * time.Millisecond)
 			key := keyAt(w.now, 1)
 			a := w.send(0, ticket, key, "wall 7", deadline)
-			state, _, _ := w.awaitEnd(a.id)
+			state, _, _ := w.awaitResult(a.id)
 			require.Equal(t, StateAnswered, state)
-			require.Equal(t, 1, w.ticketRuns(key))
-			w.returnLog(copied)
+			require.Equal(t, 1, w.sideEffectRuns(key))
+			w.restoreLog(copiedAt)
 			i := s.retry(w)
 			w.nodes[2].noLog = false
 			w.run(3 * time.Second)
 			again := w.send(i, ticket, key, "wall 7", deadline)
-			state, code, text := w.awaitEnd(again.id)
-			require.Equal(t, 1, w.ticketRuns(key))
-			require.NotEqual(t, StateNotRun, state, "it ran; %s %s", code, text)
-			// Keys of the new era are served.
+			state, code, text := w.awaitResult(again.id)
+			require.Equal(t, 1, w.sideEffectRuns(key))
+			require.NotEqual(t, StateNotRun, state, "the request has run; %s %s", code, text)
+			// Keys created in the new era must be served.
 			w.run(2 * claimer.MaxSkew)
 			fresh := keyAt(w.now, 2)
 			b := w.send(i, ticket, fresh, "wall 8", deadline)
-			state, _, _ = w.awaitEnd(b.id)
+			state, _, _ = w.awaitResult(b.id)
 			require.Equal(t, StateAnswered, state)
-			require.Equal(t, 1, w.ticketRuns(fresh))
+			require.Equal(t, 1, w.sideEffectRuns(fresh))
 		})
 	}
 }
 
-// Guards against a claim that was under way when the log returned: whether it lands late, or not at all, it is not dispatched and its
-// caller is told at the deadline.
-func TestAClaimUnderWayWhileTheLogReturns(t *testing.T) {
-	w := serving(t, 2)
+// Guards against dispatching a claim that was being appended when the log was restored from an older copy: it must
+// not run, whether it is recorded late or not at all, and its caller is answered at the deadline.
+func TestClaimDuringLogRestore(t *testing.T) {
+	w := newServingWorld(t, 2)
 	w.run(time.Second)
-	copied := w.now
+	copiedAt := w.now
 	key := keyAt(w.now, 1)
 	w.appendMode = "lost"
 	a := w.send(0, ticket, key, "wall 7", deadline)
 	w.run(100 * time.Millisecond)
 	w.appendMode = ""
-	w.returnLog(copied)
-	state, _, _ := w.awaitEnd(a.id)
+	w.restoreLog(copiedAt)
+	state, _, _ := w.awaitResult(a.id)
 	require.NotEqual(t, StateAnswered, state)
-	require.Zero(t, w.ticketRuns(key))
+	require.Zero(t, w.sideEffectRuns(key))
 }
 
-// Guards against a second return of the log, which may lose the marks of the first one.
-func TestTheLogReturnsTwice(t *testing.T) {
-	w := serving(t, 3)
+// Guards against a second restore of the log, which may lose the era marks written after the first one.
+func TestLogRestoredTwice(t *testing.T) {
+	w := newServingWorld(t, 3)
 	w.run(time.Second)
-	copied := w.now
+	copiedAt := w.now
 	w.run(10 * time.Millisecond)
 	key := keyAt(w.now, 1)
 	a := w.send(0, ticket, key, "wall 7", deadline)
-	state, _, _ := w.awaitEnd(a.id)
+	state, _, _ := w.awaitResult(a.id)
 	require.Equal(t, StateAnswered, state)
-	w.returnLog(copied)
+	w.restoreLog(copiedAt)
 	w.run(500 * time.Millisecond)
-	w.returnLog(copied)
+	w.restoreLog(copiedAt)
 	w.start(1)
 	w.run(3 * time.Second)
 	again := w.send(1, ticket, key, "wall 7", deadline)
-	state, _, _ = w.awaitEnd(again.id)
-	require.Equal(t, 1, w.ticketRuns(key))
+	state, _, _ = w.awaitResult(again.id)
+	require.Equal(t, 1, w.sideEffectRuns(key))
 	require.NotEqual(t, StateNotRun, state)
 }
 
-// Guards against an operator who is not told that an entry passes over changes which the log has at offsets given out again.
-func TestAReturnOfTheConfigurationsLogIsAnAlarm(t *testing.T) {
-	w := serving(t, 2)
+// Guards against a missing alarm when an entry skips changes because the log assigned their offsets a second time.
+func TestConfigLogRestoreRaisesAlarm(t *testing.T) {
+	w := newServingWorld(t, 2)
 	w.run(time.Second)
 	require.Empty(t, w.nodes[0].core.alarms(w.now))
-	w.returnLog(w.now)
+	w.restoreLog(w.now)
 	w.run(time.Second)
 	require.Contains(t, strings.Join(w.nodes[0].core.alarms(w.now), "\n"), "older copy")
 	w.start(0)
--- a/reducer/hedge_test.go
+++ b/reducer/hedge_test.go
@@ -8,14 +8,14 @@
 	"geraniumline/reducer"
 )
 
-// extraShare is the part of the calls that were hedges and retries.
+// extraShare returns the share of the stage calls between two readings that were hedges or retries.
 func extraShare(before, after reducer.Counters) float64 {
 	extra := after.StageHedges + after.StageRetries - before.StageHedges - before.StageRetries
 	return float64(extra) / float64(after.StageCalls-before.StageCalls)
 }
 
-// Extra calls help while a pool has slots to spare. In a surge each takes the place of a first call, and
-// makes the wait longer that causes it: their budget must fall to nothing.
+// Extra calls help while a pool has free slots. In a surge each of them takes the slot of a first call and so
+// lengthens the wait that caused it: the budget for them must fall to nearly zero.
 func TestPolicyHedgeBudget(t *testing.T) {
 	t.Parallel()
 	tests := []struct {
@@ -41,18 +41,18 @@
 	}
 }
 
-// A whole pool is away for 3 s and comes back. All requests of that time fail and would be tried again
-// at once, so that the pool meets a storm; the budget must hold retries down to a small part.
+// A whole pool is down for 3 s and comes back. All requests of that time fail and would be retried at once, so the
+// pool would face a retry storm; the budget must limit retries to a small share of the calls.
 func TestPolicyPoolReturns(t *testing.T) {
 	t.Parallel()
 	s := newSystem(t, threePools(3))
 	sent := s.load(quietRate, 13*time.Second, testDeadline)
 	s.runFor(5 * time.Second)
-	for _, e := range s.order[10:20] {
-		e.lose()
+	for _, e := range s.endpointList[10:20] {
+		e.crash()
 	}
 	s.runFor(3 * time.Second)
-	for _, e := range s.order[10:20] {
+	for _, e := range s.endpointList[10:20] {
 		e.dead = false
 	}
 	before := s.counters()
--- a/reducer/order_test.go
+++ b/reducer/order_test.go
@@ -20,13 +20,13 @@
 	modelLoad  = 300 * time.Millisecond
 )
 
-// modelEngine is an engine of the model.
+// modelEngine simulates an engine that is assigned a model.
 type modelEngine struct {
 	state       placer.Assignment
 	loadedAt    time.Time
 	ignoreFence bool
-	// by are the nodes whose orders it took, in order.
-	by []int
+	// orderedBy lists the nodes whose orders the engine accepted, oldest first.
+	orderedBy []int
 }
 
 func (e *modelEngine) read(now time.Time) placer.Assignment {
@@ -36,7 +36,7 @@
 	return e.state
 }
 
-func (e *modelEngine) take(node int, want placer.Assignment, now time.Time) placer.Result {
+func (e *modelEngine) assign(node int, want placer.Assignment, now time.Time) placer.Result {
 	if !e.ignoreFence && want.Fence < e.state.Fence {
 		return placer.Refused{}
 	}
@@ -47,7 +47,7 @@
 	}
 	e.state = want
 	e.state.Loading = loading
-	e.by = append(e.by, node)
+	e.orderedBy = append(e.orderedBy, node)
 	return placer.Accepted{State: e.state}
 }
 
@@ -55,26 +55,27 @@
 type fleet struct {
 	*world
 	engines map[string]*modelEngine
-	// late has the performer miss that an order's time is over, as a pause between its look and its sending would.
-	late bool
-	// freeze has the node that orders next frozen between its decision and the sending.
-	freeze bool
-	// calls counts the calls of the stage with a model, and misplaced those to an engine without it.
+	// skipExpiryCheck sends orders although they have expired, like a process that is paused between the check and
+	// the sending.
+	skipExpiryCheck bool
+	// freezeOrderer freezes the next node that orders an engine, between its decision and the sending.
+	freezeOrderer bool
+	// calls counts the calls of stages that need a model; misplaced counts those to an engine without the model.
 	calls, misplaced int
-	// running are the calls at engines and when they end.
+	// running holds the calls that engines are executing.
 	running []runningCall
 }
 
 type runningCall struct {
-	call flight
-	ends time.Time
+	call   pendingOp
+	endsAt time.Time
 }
 
-// callTime is how long an engine takes for a call.
-const callTime = 200 * time.Millisecond
+// engineCallTime is how long an engine takes for a call.
+const engineCallTime = 200 * time.Millisecond
 
 func newFleet(t *testing.T, nodes, engines int) *fleet {
-	f := &fleet{world: serving(t, nodes), engines: map[string]*modelEngine{}}
+	f := &fleet{world: newServingWorld(t, nodes), engines: map[string]*modelEngine{}}
 	vms := slices.Clone(f.vms.Endpoints)
 	for i := range engines {
 		name := fmt.Sprintf("g%d", i)
@@ -82,58 +83,59 @@
 		vms = append(vms, router.VM{Address: name, Pool: enginePool, Zone: "a"})
 	}
 	f.vms.Endpoints = vms
-	f.hook = f.carryOrder
-	f.tellVMs()
-	f.accept(f.change(0, "engines", publisher.Pool{Name: enginePool, Kind: publisher.PoolEngine, SlotsPerEndpoint: 1}, 0))
+	f.hook = f.performEngineEffect
+	f.deliverVMs()
+	f.awaitAccepted(f.publish(0, "engines", publisher.Pool{Name: enginePool, Kind: publisher.PoolEngine, SlotsPerEndpoint: 1}, 0))
 	for _, name := range []string{ticket, summary} {
 		pipeline := publisher.Pipeline{Name: "long-" + name, Stages: append(repeatable("encode", "rank"),
 			publisher.Stage{Name: "generate", Pool: enginePool, Model: name, Repeatable: true, ExpectedMillis: 200})}
-		f.accept(f.change(0, "long-"+name, pipeline, 0))
+		f.awaitAccepted(f.publish(0, "long-"+name, pipeline, 0))
 	}
-	placed := publisher.Placement{Name: "engines", Pool: enginePool}
+	placement := publisher.Placement{Name: "engines", Pool: enginePool}
 	for _, name := range []string{ticket, summary} {
-		placed.Models = append(placed.Models, publisher.PlacedModel{Model: name, Version: "1", Role: publisher.RoleBoth, MinCopies: 1, Weight: 1})
+		placement.Models = append(placement.Models, publisher.PlacedModel{Model: name, Version: "1", Role: publisher.RoleBoth, MinCopies: 1, Weight: 1})
 	}
-	f.accept(f.change(0, "placement", placed, 0))
+	f.awaitAccepted(f.publish(0, "placement", placement, 0))
 	return f
 }
 
-func (f *fleet) tellVMs() {
+func (f *fleet) deliverVMs() {
 	for i := range f.nodes {
-		f.give(i, f.vms)
+		f.deliver(i, f.vms)
 	}
 }
 
-func (f *fleet) carryOrder(at flight) bool {
-	if part, ok := at.event.(*StagePartArrived); ok && part.Part.Final && part.Part.Stage == "generate" {
-		part.Part.Cost = endpointserver.NewOptFloat64(float64(callTime.Milliseconds()))
+func (f *fleet) performEngineEffect(op pendingOp) bool {
+	if part, ok := op.event.(*StagePartArrived); ok && part.Part.Final && part.Part.Stage == "generate" {
+		part.Part.Cost = endpointserver.NewOptFloat64(float64(engineCallTime.Milliseconds()))
 	}
-	switch e := at.effect.(type) {
+	switch e := op.effect.(type) {
 	case ReadAssignment:
-		f.back(at, AssignmentRead{Pool: e.Pool, Address: e.Address, Asked: e.Asked, State: f.engines[e.Address].read(f.now)})
+		f.respond(op, AssignmentRead{Pool: e.Pool, Address: e.Address, Asked: e.Asked, State: f.engines[e.Address].read(f.now)})
 	case OrderEngine:
-		if f.freeze {
-			f.freeze = false
-			f.nodes[at.node].frozen = true
+		if f.freezeOrderer {
+			f.freezeOrderer = false
+			f.nodes[op.node].frozen = true
 			e.State.Model = "forgotten"
-			f.queue = append(f.queue, flight{node: at.node, inc: at.inc, effect: e})
+			f.queue = append(f.queue, pendingOp{node: op.node, incarnation: op.incarnation, effect: e})
 			return false
 		}
 		var result placer.Result = placer.Refused{}
-		if f.late || f.now.Before(e.Until) {
-			result = f.engines[e.Address].take(at.node, e.State, f.now)
+		if f.skipExpiryCheck || f.now.Before(e.Until) {
+			result = f.engines[e.Address].assign(op.node, e.State, f.now)
 		}
-		f.back(at, OrderEnded{Pool: e.Pool, Address: e.Address, Result: result})
+		f.respond(op, OrderEnded{Pool: e.Pool, Address: e.Address, Result: result})
 	case *CallStage:
-		return f.noteCall(at, e)
+		return f.handleEngineCall(op, e)
 	default:
 		return true
 	}
 	return false
 }
 
-// noteCall has a call to an engine take its time, and tells whether it is to be answered now.
-func (f *fleet) noteCall(at flight, e *CallStage) bool {
+// handleEngineCall starts a call to an engine and reports whether the call needs no engine and is answered at
+// once.
+func (f *fleet) handleEngineCall(op pendingOp, e *CallStage) bool {
 	if e.Body.Model.Value == "" {
 		return true
 	}
@@ -141,24 +143,24 @@
 	state := f.engines[e.Address].read(f.now)
 	if state.Model != e.Body.Model.Value || state.Loading {
 		f.misplaced++
-		f.back(at, StageFailed{Call: e.Call, Fault: StageFault{Kind: FaultFailed}})
+		f.respond(op, StageFailed{Call: e.Call, Fault: StageFault{Kind: FaultFailed}})
 		return false
 	}
-	f.running = append(f.running, runningCall{call: at, ends: f.now.Add(callTime)})
+	f.running = append(f.running, runningCall{call: op, endsAt: f.now.Add(engineCallTime)})
 	return false
 }
 
-// serve lets time pass with the engines' calls.
-func (f *fleet) serve() {
+// stepEngines advances the time by one step and answers the engine calls that are due.
+func (f *fleet) stepEngines() {
 	f.step()
-	for len(f.running) > 0 && !f.now.Before(f.running[0].ends) {
+	for len(f.running) > 0 && !f.now.Before(f.running[0].endsAt) {
 		f.callStage(f.running[0].call, f.running[0].call.effect.(*CallStage))
 		f.running = f.running[1:]
 	}
 	f.drain()
 }
 
-func (f *fleet) copies() []int {
+func (f *fleet) copyCounts() []int {
 	counts := []int{0, 0}
 	for _, e := range f.engines {
 		state := e.read(f.now)
@@ -172,10 +174,11 @@
 }
 
 func (f *fleet) awaitCopies(want ...int) {
-	f.until(fmt.Sprintf("copies %v", want), func() bool { return slices.Equal(want, f.copies()) })
+	f.until(fmt.Sprintf("copies %v", want), func() bool { return slices.Equal(want, f.copyCounts()) })
 }
 
-// orderer gives the node that holds the lease by its own belief, -1 for none; two at once fail the test.
+// orderer returns the node that considers itself the holder of the lease, or -1 if there is none. The test fails
+// if two nodes do.
 func (f *fleet) orderer() int {
 	holder := -1
 	for i, n := range f.nodes {
@@ -183,19 +186,19 @@
 			continue
 		}
 		if _, held := n.core.leaser.Held(enginePool, f.now); held {
-			require.Equal(f.t, -1, holder, "two hold the lease")
+			require.Equal(f.t, -1, holder, "two nodes hold the lease")
 			holder = i
 		}
 	}
 	return holder
 }
 
-// orders counts the orders that engines took from a node.
-func (f *fleet) orders(node int) int {
+// orderCount returns the number of orders that engines accepted from a node.
+func (f *fleet) orderCount(node int) int {
 	n := 0
 	for _, e := range f.engines {
-		for _, by := range e.by {
-			if by == node {
+		for _, orderer := range e.orderedBy {
+			if orderer == node {
 				n++
 			}
 		}
@@ -203,30 +206,31 @@
 	return n
 }
 
-// A placement is published while no engine holds a model. One entry becomes the orderer and loads both models; the
-// others give no order.
-func TestAPlacementIsCarriedOut(t *testing.T) {
+// A placement is published while no engine holds a model. One entry must become the orderer and load both models;
+// the others must send no orders.
+func TestPlacementIsApplied(t *testing.T) {
 	f := newFleet(t, 3, 4)
 	f.awaitCopies(2, 2)
 	holder := f.orderer()
 	require.GreaterOrEqual(t, holder, 0)
 	for i := range f.nodes {
-		require.Equal(t, i == holder, f.orders(i) > 0)
+		require.Equal(t, i == holder, f.orderCount(i) > 0)
 	}
 }
 
-// The orderer is frozen with orders decided and not yet sent. Its lease lapses, another takes over and the first is
-// woken. In time, its orders are dropped by the time limit that they carry. If the pause came after that look, the
-// engines that honour numbers refuse them, and what the others do is read back and set right.
-func TestAFrozenOrdererIsWoken(t *testing.T) {
+// The orderer freezes after it has decided on orders and before it sends them. Its lease expires, another entry
+// takes over, and the first one resumes. Usually the time limit in the orders drops them. If the process was
+// paused after the check of the limit, engines that honour fence numbers refuse the orders; the state of the other
+// engines is read back and corrected.
+func TestFrozenOrdererResumes(t *testing.T) {
 	scenarios := []struct {
-		testName          string
-		late, ignoreFence bool
-		mayTake           bool
+		testName                     string
+		skipExpiryCheck, ignoreFence bool
+		wantOrders                   bool
 	}{
-		{"the time limit holds the orders back", false, true, false},
-		{"engines refuse the old number", true, false, false},
-		{"engines ignore the number", true, true, true},
+		{"the time limit drops the orders", false, true, false},
+		{"engines refuse the old fence", true, false, false},
+		{"engines ignore the fence", true, true, true},
 	}
 	for _, s := range scenarios {
 		t.Run(s.testName, func(t *testing.T) {
@@ -237,16 +241,16 @@
 			f.awaitCopies(2, 2)
 			old := f.orderer()
 			f.engines["g0"].state.Model = ""
-			f.freeze = true
-			f.until("an order", func() bool { return f.nodes[old].frozen })
+			f.freezeOrderer = true
+			f.until("an order from the first orderer", func() bool { return f.nodes[old].frozen })
 			f.until("another orderer", func() bool { return f.orderer() >= 0 })
 			f.run(2 * readAssignmentEvery)
-			before := f.orders(old)
-			f.late = s.late
+			before := f.orderCount(old)
+			f.skipExpiryCheck = s.skipExpiryCheck
 			f.nodes[old].frozen = false
 			f.run(stepTime)
-			require.Equal(t, s.mayTake, f.orders(old) > before)
-			f.late = false
+			require.Equal(t, s.wantOrders, f.orderCount(old) > before)
+			f.skipExpiryCheck = false
 			f.run(leaser.DefaultDuration)
 			f.awaitCopies(2, 2)
 			require.NotEqual(t, old, f.orderer())
@@ -254,104 +258,107 @@
 	}
 }
 
-// The log is away for longer than a lease. Nobody orders, engines keep what they hold, and when it is back there is
-// one orderer.
-func TestWithoutTheLogNobodyOrders(t *testing.T) {
+// The log is down for longer than a lease. No entry may order, engines keep their models, and after the outage
+// there is one orderer.
+func TestNoOrdersDuringLogOutage(t *testing.T) {
 	f := newFleet(t, 3, 4)
 	f.awaitCopies(2, 2)
 	f.logDown = true
 	f.run(leaser.DefaultDuration)
-	before := []int{f.orders(0), f.orders(1), f.orders(2)}
+	before := []int{f.orderCount(0), f.orderCount(1), f.orderCount(2)}
 	f.engines["g0"].state.Model = ""
 	f.run(leaser.DefaultDuration)
 	require.Equal(t, -1, f.orderer())
-	require.Equal(t, before, []int{f.orders(0), f.orders(1), f.orders(2)})
+	require.Equal(t, before, []int{f.orderCount(0), f.orderCount(1), f.orderCount(2)})
 	f.logDown = false
 	f.awaitCopies(2, 2)
 	require.GreaterOrEqual(t, f.orderer(), 0)
 }
 
-// widen lets the account use the pipelines whose last stage needs a model, and waits until all engines were read.
-func (f *fleet) widen() {
+// allowEnginePipelines adds the pipelines whose last stage needs a model to the contract, and waits until all
+// engines have been read.
+func (f *fleet) allowEnginePipelines() {
 	c := contract(1)
 	c.Pipelines = []string{ticket, summary, "long-" + ticket, "long-" + summary}
 	version := f.nodes[0].core.fold.Objects(publisher.KindContract, account)[0].Version
-	f.accept(f.change(0, "contract", c, version))
+	f.awaitAccepted(f.publish(0, "contract", c, version))
 	f.run(2 * readAssignmentEvery)
 }
 
-// An account whose requests are served by an entry that is not the orderer surges. The orderer hears of the demand and
-// moves engines to its model, all but the last of the other. Calls only go to engines that hold the model.
-func TestASurgeAtAnotherEntryMovesEngines(t *testing.T) {
+// An account whose requests are served by an entry that is not the orderer surges. The orderer must receive the
+// demand and move engines to the account's model, all but the last one of the other model. Calls must only go to
+// engines that hold the model.
+func TestSurgeAtAnotherEntryMovesEngines(t *testing.T) {
 	f := newFleet(t, 2, 6)
 	f.awaitCopies(3, 3)
-	f.widen()
+	f.allowEnginePipelines()
 	other := 1 - f.orderer()
 	for sent := range uint16(3000) {
 		if sent%3 == 0 {
 			f.send(other, "long-"+summary, keyAt(f.now, sent), "text", time.Minute)
 		}
-		if f.copies()[1] == 5 {
+		if f.copyCounts()[1] == 5 {
 			break
 		}
-		f.serve()
+		f.stepEngines()
 	}
-	require.Equal(t, []int{1, 5}, f.copies())
+	require.Equal(t, []int{1, 5}, f.copyCounts())
 	require.Positive(t, f.calls)
 	require.Zero(t, f.misplaced)
 }
 
-// All engines with one model are busy and requests wait for them. One for the other model comes last. Its engine is
-// free, so it runs at once; in one line with the others it would wait for engines that are no use to it.
-func TestABusyModelHoldsUpNoOther(t *testing.T) {
+// All engines with one model are busy and requests wait for them. A request for the other model arrives last. Its
+// engine is free, so it must run at once; in a queue shared with the others it would wait for engines that can't
+// serve it.
+func TestBusyModelDoesNotDelayOthers(t *testing.T) {
 	f := newFleet(t, 1, 2)
 	f.awaitCopies(1, 1)
-	f.widen()
+	f.allowEnginePipelines()
 	for i := range uint16(10) {
 		f.send(0, "long-"+summary, keyAt(f.now, i), "text", 30*time.Second)
 	}
-	quiet := f.send(0, "long-"+ticket, keyAt(f.now, 99), "text", time.Minute)
-	for f.now.Before(quiet.sent.Add(3 * callTime / 2)) {
-		f.serve()
+	other := f.send(0, "long-"+ticket, keyAt(f.now, 99), "text", time.Minute)
+	for f.now.Before(other.sent.Add(3 * engineCallTime / 2)) {
+		f.stepEngines()
 	}
-	state, _, _ := f.ended(quiet.id)
+	state, _, _ := f.result(other.id)
 	require.Equal(t, StateAnswered, state)
 	require.Zero(t, f.misplaced)
 }
 
-// Another orderer has given two engines each other's model, and this entry has not read them since. Its next call is
-// refused, and an answer to the question what they hold takes a moment. Were the call tried again meanwhile, it would
-// be refused at the same engine until its tries are used up, and end unknown.
-func TestARefusalHasTheEnginesReadBack(t *testing.T) {
+// Another orderer has swapped the models of two engines, and this entry has not read them since. Its next call is
+// refused, and reading the engines' assignments back takes a moment. If the call were retried meanwhile, the same
+// engine would refuse it until its attempts are used up, and the request would end as unknown.
+func TestRefusalTriggersAssignmentRead(t *testing.T) {
 	f := newFleet(t, 1, 2)
 	f.awaitCopies(1, 1)
-	f.widen()
-	var slow []flight
-	carry := f.hook
-	f.hook = func(at flight) bool {
-		if _, read := at.effect.(ReadAssignment); read {
-			slow = append(slow, at)
+	f.allowEnginePipelines()
+	var delayed []pendingOp
+	perform := f.hook
+	f.hook = func(op pendingOp) bool {
+		if _, read := op.effect.(ReadAssignment); read {
+			delayed = append(delayed, op)
 			return false
 		}
-		return carry(at)
+		return perform(op)
 	}
-	f.until("a reading", func() bool { return len(slow) > 0 })
+	f.until("a read of an assignment", func() bool { return len(delayed) > 0 })
 	f.run(stepTime)
-	for _, at := range slow {
-		carry(at)
+	for _, op := range delayed {
+		perform(op)
 	}
 	f.drain()
-	slow = nil
+	delayed = nil
 	g0, g1 := f.engines["g0"], f.engines["g1"]
 	g0.state.Model, g1.state.Model = g1.state.Model, g0.state.Model
-	asked := f.send(0, "long-"+summary, keyAt(f.now, 1), "text", time.Minute)
-	for f.now.Before(asked.sent.Add(2 * orderEvery)) {
-		f.serve()
-		for _, at := range slow {
-			carry(at)
+	request := f.send(0, "long-"+summary, keyAt(f.now, 1), "text", time.Minute)
+	for f.now.Before(request.sent.Add(2 * orderEvery)) {
+		f.stepEngines()
+		for _, op := range delayed {
+			perform(op)
 		}
-		slow = nil
+		delayed = nil
 	}
-	state, _, _ := f.ended(asked.id)
+	state, _, _ := f.result(request.id)
 	require.Equal(t, StateAnswered, state)
 }
--- a/reducer/outcome_test.go
+++ b/reducer/outcome_test.go
@@ -20,7 +20,7 @@
 	}{
 		{"by count", 10, 100, 25, 10},
 		{"by bytes", 100, maxOutcomeBytes / 4, 25, 4},
-		{"one larger than the bound is kept until the next", 100, 2 * maxOutcomeBytes, 3, 1},
+		{"one larger than the bound is kept until the next one", 100, 2 * maxOutcomeBytes, 3, 1},
 	} {
 		t.Run(s.testName, func(t *testing.T) {
 			store := newOutcomeStore(s.limit)
--- a/reducer/property_test.go
+++ b/reducer/property_test.go
@@ -19,26 +19,27 @@
 	propertyKeys   = 4
 )
 
-// tried counts what the property test did.
-type tried struct{ steps, faults, requests, answered, notRun, unknown int }
+// runStats counts the steps, faults, requests and outcomes of random runs.
+type runStats struct{ steps, faults, requests, answered, notRun, unknown int }
 
-// TestAnyOrder lets three cores, one log and four endpoints meet any order of events: requests with few keys at
-// any entry, flights carried out in any order, late, lost or twice; entries killed, restarted, frozen and cut from
-// the log; appends refused, lost or without reply; endpoints that refuse, cut, mix up and lose replies; operators
-// that race. Then all is healed. Whatever happened: nothing that must not be repeated ran twice, nobody was told
-// notRun of an attempt that ran, no answer was another's, and no entry's configuration went back.
+// TestAnyOrder runs three cores, one log and four endpoints through random orders of events: requests with few
+// keys at any entry; effects and events performed in any order, late, lost or duplicated; entries killed,
+// restarted, frozen and cut off from the log; appends refused, lost or without reply; endpoints that refuse, cut,
+// mix up and lose replies; operators that race. Then all faults are ended. In every run, nothing that must not be
+// repeated may run twice, no attempt that ran may be answered notRun, no answer may belong to another request, and
+// no entry's configuration may go back to an older offset.
 func TestAnyOrder(t *testing.T) {
 	require.NoError(t, flag.Set("rapid.seed", "20"))
 	require.NoError(t, flag.Set("rapid.checks", fmt.Sprint(propertyChecks)))
 	require.NoError(t, flag.Set("rapid.nofailfile", "true"))
-	total := tried{}
+	total := runStats{}
 	rapid.Check(t, func(rt *rapid.T) {
 		run := newRandomRun(rt)
 		for range propertySteps {
 			run.act()
 		}
 		run.heal()
-		total.add(run.tried, run.w)
+		total.add(run.stats, run.w)
 	})
 	t.Logf("orders=%d steps=%d faults=%d requests=%d answered=%d notRun=%d unknown=%d",
 		propertyChecks, total.steps, total.faults, total.requests, total.answered, total.notRun, total.unknown)
@@ -47,12 +48,12 @@
 	require.Positive(t, total.unknown)
 }
 
-func (s *tried) add(o tried, w *world) {
+func (s *runStats) add(o runStats, w *world) {
 	s.steps += o.steps
 	s.faults += o.faults
 	s.requests += len(w.attempts)
 	for _, a := range w.attempts {
-		switch state, _, _ := w.ended(a.id); state {
+		switch state, _, _ := w.result(a.id); state {
 		case StateAnswered:
 			s.answered++
 		case StateNotRun:
@@ -63,64 +64,66 @@
 	}
 }
 
-// randomRun draws what happens next.
+// randomRun performs randomly drawn actions on a world.
 type randomRun struct {
 	rt      *rapid.T
 	w       *world
-	tried   tried
+	stats   runStats
 	keys    []string
 	offsets map[uint64]int64
 	changes int
-	// late are appends that land after their entry was told that they are uncertain.
-	late []Append
+	// lateAppends are appends reported to their entry as uncertain, which reach the log later.
+	lateAppends []Append
 }
 
 func newRandomRun(rt *rapid.T) *randomRun {
-	r := &randomRun{rt: rt, w: serving(rt, 3), offsets: map[uint64]int64{}}
+	r := &randomRun{rt: rt, w: newServingWorld(rt, 3), offsets: map[uint64]int64{}}
 	for i := range propertyKeys {
 		r.keys = append(r.keys, keyAt(r.w.now, uint16(i)))
 	}
-	r.w.stage = func(*endpointserver.StageCall) string {
+	r.w.stageMode = func(*endpointserver.StageCall) string {
 		if r.draw("endpoint fails", 3) > 0 {
 			return ""
 		}
-		r.tried.faults++
+		r.stats.faults++
 		return rapid.SampledFrom([]string{"busy", "leaving", "notSent", "cutAfterRun", "cutMidway", "silent", "foreign", "double", "swapped"}).Draw(r.rt, "how")
 	}
 	return r
 }
 
-// draw gives a number from 0 to most.
-func (r *randomRun) draw(what string, most int) int { return rapid.IntRange(0, most).Draw(r.rt, what) }
+// draw returns a random number from 0 to highest.
+func (r *randomRun) draw(label string, highest int) int {
+	return rapid.IntRange(0, highest).Draw(r.rt, label)
+}
 
 func (r *randomRun) node() int { return r.draw("entry", len(r.w.nodes)-1) }
 
-func (r *randomRun) up(i int) bool { return !r.w.nodes[i].dead && !r.w.nodes[i].frozen }
+func (r *randomRun) isUp(i int) bool { return !r.w.nodes[i].dead && !r.w.nodes[i].frozen }
 
-// act lets one thing happen.
+// act performs one random action.
 func (r *randomRun) act() {
-	r.tried.steps++
-	switch what := r.draw("what", 29); {
-	case what < 4:
+	r.stats.steps++
+	switch action := r.draw("what", 29); {
+	case action < 4:
 		r.request()
-	case what < 14:
-		r.carryAny()
-	case what < 23:
-		r.pass()
-	case what < 24:
-		r.loseOrDouble()
-	case what < 28:
-		r.tried.faults++
-		r.fault()
+	case action < 14:
+		r.performSome()
+	case action < 23:
+		r.advanceTime()
+	case action < 24:
+		r.dropOrDuplicate()
+	case action < 28:
+		r.stats.faults++
+		r.injectFault()
 	default:
-		r.change()
+		r.changeContract()
 	}
-	r.configKept()
+	r.checkConfigOffsets()
 }
 
 func (r *randomRun) request() {
 	i := r.node()
-	if !r.up(i) {
+	if !r.isUp(i) {
 		return
 	}
 	key := r.draw("key", propertyKeys-1)
@@ -131,17 +134,17 @@
 	r.w.send(i, pipeline, r.keys[key], fmt.Sprintf("body of %d", key), time.Duration(r.draw("deadline", 30)+1)*100*time.Millisecond)
 }
 
-// carryAny carries out some flights, each drawn from all that are under way.
-func (r *randomRun) carryAny() {
+// performSome performs some of the pending operations, each drawn at random.
+func (r *randomRun) performSome() {
 	for range 12 {
-		open := slices.DeleteFunc(slices.Clone(r.indices()), func(i int) bool { return r.w.held(r.w.queue[i]) })
+		open := slices.DeleteFunc(slices.Clone(r.indices()), func(i int) bool { return r.w.blocked(r.w.queue[i]) })
 		if len(open) == 0 {
 			return
 		}
 		at := open[r.draw("flight", min(len(open), 6)-1)]
-		f := r.w.queue[at]
+		op := r.w.queue[at]
 		r.w.queue = slices.Delete(r.w.queue, at, at+1)
-		r.w.carry(f)
+		r.w.perform(op)
 	}
 }
 
@@ -153,39 +156,39 @@
 	return all
 }
 
-// pass lets time pass at some entries, which read the log, while flights stay under way.
-func (r *randomRun) pass() {
+// advanceTime advances the time. Some entries read the log; pending operations stay pending.
+func (r *randomRun) advanceTime() {
 	r.w.now = r.w.now.Add(time.Duration(r.draw("time", 30)+1) * stepTime)
 	for i := range r.w.nodes {
-		if !r.up(i) {
+		if !r.isUp(i) {
 			continue
 		}
 		if r.draw("reads", 3) > 0 {
 			r.w.read(i, StreamClaims)
 			r.w.read(i, StreamConfig)
 		}
-		r.w.give(i, Ticked{})
+		r.w.deliver(i, Ticked{})
 	}
 }
 
-// loseOrDouble loses a message between entries, or brings a reply twice.
-func (r *randomRun) loseOrDouble() {
-	for at, f := range r.w.queue {
-		switch _, part := f.event.(*StagePartArrived); {
+// dropOrDuplicate drops a message between entries or duplicates a part of a reply.
+func (r *randomRun) dropOrDuplicate() {
+	for at, op := range r.w.queue {
+		switch _, part := op.event.(*StagePartArrived); {
 		case part:
-			r.w.queue = append(r.w.queue, f)
+			r.w.queue = append(r.w.queue, op)
 		default:
-			if _, peer := f.event.(PeerMessageArrived); !peer {
+			if _, peer := op.event.(PeerMessageArrived); !peer {
 				continue
 			}
 			r.w.queue = slices.Delete(r.w.queue, at, at+1)
 		}
-		r.tried.faults++
+		r.stats.faults++
 		return
 	}
 }
 
-func (r *randomRun) fault() {
+func (r *randomRun) injectFault() {
 	i := r.node()
 	n := r.w.nodes[i]
 	switch r.draw("fault", 7) {
@@ -208,25 +211,26 @@
 	}
 }
 
-// delayAppend tells an entry that its append is uncertain and lets it land later, or lands one that was delayed.
+// delayAppend reports an entry's append as uncertain without performing it, or performs all appends delayed so
+// far.
 func (r *randomRun) delayAppend() {
-	for at, f := range r.w.queue {
-		if e, is := f.effect.(Append); is {
+	for at, op := range r.w.queue {
+		if e, ok := op.effect.(Append); ok {
 			r.w.queue = slices.Delete(r.w.queue, at, at+1)
-			r.late = append(r.late, e)
-			r.w.back(f, Appended{Stream: e.Stream, BatchID: e.BatchID})
+			r.lateAppends = append(r.lateAppends, e)
+			r.w.respond(op, Appended{Stream: e.Stream, BatchID: e.BatchID})
 			return
 		}
 	}
-	for _, e := range r.late {
-		r.w.land(e.Stream, e.Data)
+	for _, e := range r.lateAppends {
+		r.w.commit(e.Stream, e.Data)
 	}
-	r.late = nil
+	r.lateAppends = nil
 }
 
-func (r *randomRun) change() {
+func (r *randomRun) changeContract() {
 	i := r.node()
-	if !r.up(i) || r.w.nodes[i].core.fold.Offset() == 0 {
+	if !r.isUp(i) || r.w.nodes[i].core.fold.Offset() == 0 {
 		return
 	}
 	objects := r.w.nodes[i].core.fold.Objects("contract", account)
@@ -234,25 +238,25 @@
 		return
 	}
 	r.changes++
-	r.w.change(i, fmt.Sprintf("change-%d", r.changes), contract(float64(r.changes+1)), objects[0].Version)
+	r.w.publish(i, fmt.Sprintf("change-%d", r.changes), contract(float64(r.changes+1)), objects[0].Version)
 }
 
-// configKept checks that no process's configuration goes back.
-func (r *randomRun) configKept() {
+// checkConfigOffsets checks that no process's configuration goes back to an older offset.
+func (r *randomRun) checkConfigOffsets() {
 	for i, n := range r.w.nodes {
 		offset := n.core.fold.Offset()
-		require.GreaterOrEqual(r.rt, offset, r.offsets[n.inc], entryName(i))
-		r.offsets[n.inc] = offset
+		require.GreaterOrEqual(r.rt, offset, r.offsets[n.incarnation], entryName(i))
+		r.offsets[n.incarnation] = offset
 	}
 }
 
-// heal ends all faults, lets everything arrive, sends each key once more and checks all.
+// heal ends all faults, performs everything that is pending, sends each key once more and checks the result.
 func (r *randomRun) heal() {
 	w := r.w
-	r.fault()
+	r.injectFault()
 	w.logDown, w.appendMode = false, ""
-	for _, e := range r.late {
-		w.land(e.Stream, e.Data)
+	for _, e := range r.lateAppends {
+		w.commit(e.Stream, e.Data)
 	}
 	for i, n := range w.nodes {
 		n.frozen, n.noLog = false, false
@@ -260,18 +264,18 @@
 			w.start(i)
 		}
 	}
-	w.stage = nil
+	w.stageMode = nil
 	w.run(5 * time.Second)
 	for key := range propertyKeys - 1 {
 		w.send(r.node(), ticket, r.keys[key], fmt.Sprintf("body of %d", key), 3*time.Second)
 	}
 	w.run(5 * time.Second)
 	for _, a := range w.attempts[len(w.attempts)-propertyKeys+1:] {
-		require.Len(r.rt, w.replies[a.id], 1, "healed, each caller is answered")
+		require.Len(r.rt, w.replies[a.id], 1, "each caller must be answered after the faults have ended")
 	}
 	for i, n := range w.nodes {
 		require.Equal(r.rt, w.nodes[0].core.fold.Offset(), n.core.fold.Offset(), entryName(i))
-		require.InDelta(r.rt, w.weight(0), w.weight(i), 0)
+		require.InDelta(r.rt, w.contractWeight(0), w.contractWeight(i), 0)
 	}
-	w.check()
+	w.checkInvariants()
 }
--- a/reducer/quarantine_test.go
+++ b/reducer/quarantine_test.go
@@ -10,47 +10,47 @@
 	"geraniumline/reducer"
 )
 
-func withoutQuarantine(cfg *reducer.Config) {
+func disableQuarantine(cfg *reducer.Config) {
 	cfg.Quarantiner.SuspectFor = time.Nanosecond
 	cfg.Quarantiner.QuarantineFor = time.Nanosecond
 }
 
-type crashes struct {
+type crashResult struct {
 	losses int
-	// failed is how many innocents were not answered.
+	// failed is how many of the other requests were not answered.
 	failed int
 	code   reducer.Code
 	took   time.Duration
 }
 
-// crashTrial sends content that ends each endpoint which runs it, again and again under new keys, beside
-// innocent load.
+// crashTrial sends an input that crashes every endpoint that runs it, repeatedly and under new keys, together with
+// a load of harmless requests.
 type crashTrial struct {
 	perPool int
 	seed    uint64
-	// together is how many entries get the content at the same moment the first time.
-	together int
-	change   func(*reducer.Config)
+	// together is how many entries receive the input at the start, all at the same moment.
+	concurrent int
+	configure  func(*reducer.Config)
 }
 
-func (trial crashTrial) measure(t *testing.T) crashes {
+func (trial crashTrial) measure(t *testing.T) crashResult {
 	cfg := threePools(trial.seed)
-	cfg.change = trial.change
+	cfg.configure = trial.configure
 	cfg.perPool = trial.perPool
 	s := newSystem(t, cfg)
-	innocents := s.load(quietRate*float64(trial.perPool-2)/10, 8*time.Second, 2*time.Second)
+	background := s.load(quietRate*float64(trial.perPool-2)/10, 8*time.Second, 2*time.Second)
 	s.runFor(2 * time.Second)
-	var last *ask
-	for i := range trial.together {
-		s.send(i, poison, 2*time.Second)
+	var last *simRequest
+	for i := range trial.concurrent {
+		s.send(i, crashInput, 2*time.Second)
 	}
 	for i := range 10 {
-		last = s.send(i%len(s.entries), poison, 2*time.Second)
+		last = s.send(i%len(s.entries), crashInput, 2*time.Second)
 		s.runFor(500 * time.Millisecond)
 	}
 	s.runFor(4 * time.Second)
-	c := crashes{losses: s.losses(), code: last.code, took: last.ended.Sub(last.sent)}
-	for _, a := range *innocents {
+	c := crashResult{losses: s.losses(), code: last.code, took: last.ended.Sub(last.sent)}
+	for _, a := range *background {
 		if !a.answered() {
 			c.failed++
 		}
@@ -58,9 +58,10 @@
 	return c
 }
 
-// A request ends each endpoint that runs it; its caller sends it again with new keys to other entries.
-// The first loss takes innocents along, the tries after it run alone, and after the second loss it is
-// answered finally, by all entries. Without that each try costs up to three endpoints.
+// A request crashes each endpoint that runs it, and its caller sends it again with new keys to other entries. The
+// first crash also fails the other requests on that endpoint; the retries run alone, and after the second crash
+// all entries answer the request with a final refusal. Without quarantine each attempt costs up to three
+// endpoints.
 func TestPolicyCrashingRequest(t *testing.T) {
 	t.Parallel()
 	tests := []struct {
@@ -70,14 +71,14 @@
 	}{
 		{"tenEndpoints", crashTrial{perPool: 10, seed: 4}, 2},
 		{"threeEndpoints", crashTrial{perPool: 3, seed: 4}, 2},
-		// What is sent to four entries before any of them knows may cost four endpoints, and no more.
-		{"fourAtOnce", crashTrial{perPool: 10, seed: 6, together: 3}, 4},
+		// An input sent to four entries before any of them has seen a crash may cost four endpoints, and no more.
+		{"fourAtOnce", crashTrial{perPool: 10, seed: 6, concurrent: 3}, 4},
 	}
 	for _, tt := range tests {
 		t.Run(tt.testName, func(t *testing.T) {
 			t.Parallel()
 			ours := tt.trial.measure(t)
-			tt.trial.change = withoutQuarantine
+			tt.trial.configure = disableQuarantine
 			none := tt.trial.measure(t)
 			goal, none0 := atMost(2), atMost(0)
 			check(t, measurer.Row{
--- a/reducer/refusal_test.go
+++ b/reducer/refusal_test.go
@@ -7,11 +7,11 @@
 	"github.com/stretchr/testify/require"
 )
 
-// A caller sends a ticket to an entry, where it runs, and the same key to another, which is cut from the log (as a third is) and
-// so refuses it. Told notRun, it would file the ticket anew under another key, and two crews would come.
-// The second entry has not read the first's claim; it must ask its peers, and say unknown if one of them that
-// may have served the key is gone.
-func TestNotRunIsTrueOfTheKey(t *testing.T) {
+// A caller sends a ticket to an entry, where it runs, and the same key to a second entry, which can't read the log
+// (nor can a third) and so refuses it. If the answer were notRun, the caller would file the ticket again under
+// another key, and two crews would come. The second entry has not read the first's claim; it must ask its peers,
+// and answer unknown if a peer that may have served the key is gone.
+func TestNotRunMeansKeyNeverRan(t *testing.T) {
 	for _, s := range []struct {
 		testName string
 		first    bool
@@ -19,18 +19,18 @@
 		want     State
 		code     Code
 	}{
-		{"nobody served it", false, false, StateNotRun, CodeLogUnavailable},
+		{"no entry served it", false, false, StateNotRun, CodeLogUnavailable},
 		{"served by a live entry", true, false, StateAnswered, ""},
 		{"served by an entry that was lost", true, true, StateUnknown, CodeMayHaveRun},
 		{"an entry was lost that may have served it", false, true, StateUnknown, CodeMayHaveRun},
 	} {
 		t.Run(s.testName, func(t *testing.T) {
-			w := serving(t, 3)
+			w := newServingWorld(t, 3)
 			key := keyAt(w.now, 1)
 			w.nodes[1].noLog, w.nodes[2].noLog = true, true
 			w.run(2 * time.Second)
 			if s.first {
-				state, _, _ := w.awaitEnd(w.send(0, ticket, key, "wall 7", deadline).id)
+				state, _, _ := w.awaitResult(w.send(0, ticket, key, "wall 7", deadline).id)
 				require.Equal(t, StateAnswered, state)
 			}
 			if s.kill {
@@ -38,19 +38,19 @@
 				w.run(time.Second)
 			}
 			sent := w.now
-			state, code, _ := w.awaitEnd(w.send(1, ticket, key, "wall 7", deadline).id)
+			state, code, _ := w.awaitResult(w.send(1, ticket, key, "wall 7", deadline).id)
 			require.Equal(t, s.want, state)
 			require.Equal(t, s.code, code)
-			require.LessOrEqual(t, w.now.Sub(sent), refusalWait+stepTime, "given up means answered at once")
-			w.check()
+			require.LessOrEqual(t, w.now.Sub(sent), refusalWait+stepTime, "a request that is given up must be answered at once")
+			w.checkInvariants()
 		})
 	}
 }
 
-// A caller whose entry was lost sends its ticket again to a VM that has just been started. That one knows no
-// configuration, so it can't tell whether the key has run; notRun might be untrue. A key that can't have
-// side effects is told notRun.
-func TestAnEntryThatIsNotReadyDoesNotSayNotRun(t *testing.T) {
+// A caller whose entry was lost sends its ticket again to a VM that has just been started. That entry has no
+// configuration yet, so it can't determine whether the key has run, and notRun might be false. A key that can't
+// have side effects is answered notRun.
+func TestNotReadyEntryDoesNotAnswerNotRun(t *testing.T) {
 	for _, s := range []struct {
 		testName string
 		key      func(now time.Time) string
@@ -61,7 +61,7 @@
 	} {
 		t.Run(s.testName, func(t *testing.T) {
 			w := newWorld(t, 1)
-			state, code, _ := w.awaitEnd(w.send(0, ticket, s.key(w.now), "wall 7", deadline).id)
+			state, code, _ := w.awaitResult(w.send(0, ticket, s.key(w.now), "wall 7", deadline).id)
 			require.Equal(t, s.want, state)
 			require.Equal(t, CodeNotReady, code)
 		})
--- a/reducer/serving_test.go
+++ b/reducer/serving_test.go
@@ -14,8 +14,8 @@
 	"geraniumline/publisher"
 )
 
-// change publishes an object at a node and gives the question's id.
-func (w *world) change(i int, operation string, object any, base int64) uint64 {
+// publish publishes an object at a node and returns the id under which the verdict arrives.
+func (w *world) publish(i int, operation string, object any, base int64) uint64 {
 	body, err := json.Marshal(object)
 	require.NoError(w.t, err)
 	change := publisher.Change{OperationID: operation, Operator: "op", BaseVersion: base, Body: body}
@@ -29,8 +29,8 @@
 	case publisher.Placement:
 		change.Kind, change.Name = publisher.KindPlacement, o.Name
 	}
-	id := w.id()
-	w.give(i, ChangeAsked{ID: id, Change: change})
+	id := w.newID()
+	w.deliver(i, ChangeAsked{ID: id, Change: change})
 	return id
 }
 
@@ -42,9 +42,9 @@
 	return stages
 }
 
-// accept waits for the verdict that a change is accepted.
-func (w *world) accept(id uint64) {
-	w.until("the verdict", func() bool { return len(w.replies[id]) > 0 })
+// awaitAccepted waits for the verdict on a change and fails the test unless the change was accepted.
+func (w *world) awaitAccepted(id uint64) {
+	w.until("a verdict", func() bool { return len(w.replies[id]) > 0 })
 	verdict, ok := w.replies[id][0].effect.(SendVerdict)
 	require.True(w.t, ok, "%+v", w.replies[id])
 	require.Equal(w.t, operatorserver.ConfigVerdictVerdictAccepted, verdict.Verdict.Verdict)
@@ -52,15 +52,15 @@
 
 func contract(weight float64) publisher.Contract {
 	return publisher.Contract{
-		Account: account, CredentialSha256: hash, Weight: weight, RatePerSecond: 1000, Burst: 1000, Concurrency: 1000, CostPerSecond: 1e6,
+		Account: account, CredentialSha256: credentialHash, Weight: weight, RatePerSecond: 1000, Burst: 1000, Concurrency: 1000, CostPerSecond: 1e6,
 		Urgency: publisher.Normal, Pipelines: []string{ticket, summary},
 	}
 }
 
-const hash = "e3b0c44298fc1c149afbf4c8996fb92427ae41e4649b934ca495991b7852b855"
+const credentialHash = "e3b0c44298fc1c149afbf4c8996fb92427ae41e4649b934ca495991b7852b855"
 
-// serving gives a world whose nodes have a configuration and know each other.
-func serving(t require.TestingT, n int) *world {
+// newServingWorld returns a world whose nodes have a configuration and have discovered each other.
+func newServingWorld(t require.TestingT, n int) *world {
 	w := newWorld(t, n)
 	objects := []any{
 		publisher.Pool{Name: "encoders", Kind: publisher.PoolEncoder, SlotsPerEndpoint: 8},
@@ -70,9 +70,9 @@
 		contract(1),
 	}
 	for i, object := range objects {
-		w.accept(w.change(0, fmt.Sprintf("setup-%d", i), object, 0))
+		w.awaitAccepted(w.publish(0, fmt.Sprintf("setup-%d", i), object, 0))
 	}
-	w.until("all nodes serve", func() bool {
+	w.until("a configuration and all peers at each node", func() bool {
 		return !slices.ContainsFunc(w.nodes, func(n *node) bool {
 			return n.core.fold.Offset() < int64(len(objects)) || n.core.liveEntries < len(w.nodes)
 		})
@@ -80,7 +80,7 @@
 	return w
 }
 
-// keyAt is a UUIDv7 born at a time.
+// keyAt returns a UUIDv7 with the given creation time.
 func keyAt(birth time.Time, n uint16) string {
 	var id uuid.UUID
 	binary.BigEndian.PutUint64(id[:8], uint64(birth.UnixMilli())<<16)
--- a/reducer/simendpoint_test.go
+++ b/reducer/simendpoint_test.go
@@ -9,15 +9,15 @@
 	"geraniumline/router"
 )
 
-// simEndpoint serves calls in order of arrival at a number of slots.
+// simEndpoint is a simulated endpoint that serves calls in order of arrival on a fixed number of slots.
 type simEndpoint struct {
-	system  *system
-	address string
-	pool    string
-	service time.Duration
-	slots   int
-	slow    float64
-	// failing answers errors at once, hanging takes calls and does not answer.
+	system     *system
+	address    string
+	pool       string
+	service    time.Duration
+	slots      int
+	slowFactor float64
+	// A failing endpoint answers errors at once; a hanging one accepts calls and does not answer.
 	failing bool
 	hanging bool
 	dead    bool
@@ -25,30 +25,30 @@
 	running int
 	queue   []*simCall
 	calls   []*simCall
-	// reports are the loads that were not read yet, the oldest first.
+	// reports are the load reports that have not been delivered yet, oldest first.
 	reports []router.LoadReport
 }
 
 type simCall struct {
-	entry *simEntry
-	stage reducer.CallStage
-	began bool
-	gone  bool
+	entry     *simEntry
+	stage     reducer.CallStage
+	started   bool
+	cancelled bool
 }
 
-func (p *simEndpoint) fault(e *simEntry, id reducer.CallID, kind reducer.FaultKind) {
-	p.system.after(hop, func() {
-		p.system.give(e, reducer.StageFailed{Call: id, Fault: reducer.StageFault{Kind: kind}})
+func (p *simEndpoint) sendFault(e *simEntry, id reducer.CallID, kind reducer.FaultKind) {
+	p.system.after(hopDelay, func() {
+		p.system.deliver(e, reducer.StageFailed{Call: id, Fault: reducer.StageFault{Kind: kind}})
 	})
 }
 
-func (p *simEndpoint) take(e *simEntry, stage reducer.CallStage) {
+func (p *simEndpoint) receiveCall(e *simEntry, stage reducer.CallStage) {
 	switch {
 	case p.dead:
-		p.fault(e, stage.Call, reducer.FaultNotSent)
+		p.sendFault(e, stage.Call, reducer.FaultNotSent)
 		return
 	case p.failing:
-		p.fault(e, stage.Call, reducer.FaultFailed)
+		p.sendFault(e, stage.Call, reducer.FaultFailed)
 		return
 	}
 	call := &simCall{entry: e, stage: stage}
@@ -57,50 +57,50 @@
 	p.run()
 }
 
-// run begins the calls that wait, as far as there are slots.
+// run starts waiting calls while there are free slots.
 func (p *simEndpoint) run() {
 	for !p.hanging && !p.dead && p.running < p.slots && len(p.queue) > 0 {
 		call := p.queue[0]
 		p.queue = p.queue[1:]
-		if call.gone {
+		if call.cancelled {
 			continue
 		}
-		call.began = true
+		call.started = true
 		p.running++
-		took := time.Duration(float64(p.service) * p.slow * (0.6 + 0.4*p.system.rng.ExpFloat64()))
-		if strings.Contains(call.stage.Body.Input, poison) {
+		duration := time.Duration(float64(p.service) * p.slowFactor * (0.6 + 0.4*p.system.rng.ExpFloat64()))
+		if strings.Contains(call.stage.Body.Input, crashInput) {
 			p.system.after(p.service/2, func() {
-				if !call.gone {
-					p.lose()
+				if !call.cancelled {
+					p.crash()
 				}
 			})
 			continue
 		}
-		p.system.after(took, func() { p.end(call, took) })
+		p.system.after(duration, func() { p.finishCall(call, duration) })
 	}
 }
 
-func (p *simEndpoint) end(call *simCall, took time.Duration) {
-	if call.gone {
+func (p *simEndpoint) finishCall(call *simCall, duration time.Duration) {
+	if call.cancelled {
 		return
 	}
-	p.drop(call)
+	p.removeCall(call)
 	body := call.stage.Body
 	part := endpointserver.StagePart{
 		RequestId: body.RequestId, Stage: body.Stage, Attempt: body.Attempt, StreamId: body.RequestId,
 		Text: body.Input, Final: true, Total: endpointserver.NewOptInt(1),
-		Cost: endpointserver.NewOptFloat64(float64(took.Milliseconds())),
+		Cost: endpointserver.NewOptFloat64(float64(duration.Milliseconds())),
 	}
-	p.system.after(hop, func() {
-		p.system.give(call.entry, &reducer.StagePartArrived{Call: call.stage.Call, Part: part})
+	p.system.after(hopDelay, func() {
+		p.system.deliver(call.entry, &reducer.StagePartArrived{Call: call.stage.Call, Part: part})
 	})
 	p.run()
 }
 
-// drop ends a call and frees its slot.
-func (p *simEndpoint) drop(call *simCall) {
-	call.gone = true
-	if call.began {
+// removeCall removes a call and frees its slot.
+func (p *simEndpoint) removeCall(call *simCall) {
+	call.cancelled = true
+	if call.started {
 		p.running--
 	}
 	for i, other := range p.calls {
@@ -114,7 +114,7 @@
 func (p *simEndpoint) cancel(e *simEntry, id reducer.CallID) {
 	for _, call := range p.calls {
 		if call.entry == e && call.stage.Call == id {
-			p.drop(call)
+			p.removeCall(call)
 			p.run()
 			return
 		}
@@ -126,11 +126,11 @@
 	if p.dead {
 		kind = reducer.FaultNotSent
 	}
-	p.fault(e, f.Call, kind)
+	p.sendFault(e, f.Call, kind)
 }
 
-// lose ends the endpoint's process with all that it has.
-func (p *simEndpoint) lose() {
+// crash ends the endpoint's process and all its calls.
+func (p *simEndpoint) crash() {
 	if p.dead {
 		return
 	}
@@ -139,7 +139,7 @@
 	lost := p.calls
 	p.calls, p.queue, p.running = nil, nil, 0
 	for _, call := range lost {
-		call.gone = true
-		p.fault(call.entry, call.stage.Call, reducer.FaultCut)
+		call.cancelled = true
+		p.sendFault(call.entry, call.stage.Call, reducer.FaultCut)
 	}
 }
--- a/reducer/speed_test.go
+++ b/reducer/speed_test.go
@@ -13,13 +13,13 @@
 	"geraniumline/reducer"
 )
 
-// pipelineRun gives one core a request and the whole replies of its three stages.
+// pipelineRun sends requests to one core, together with the complete replies of their three stages.
 type pipelineRun struct {
 	entry *simEntry
 	now   time.Time
 	id    uint64
 	hash  string
-	// steps is how many events were reduced.
+	// steps counts the events passed to Reduce.
 	steps int
 }
 
@@ -31,8 +31,9 @@
 	return &pipelineRun{entry: s.entries[0], now: s.now, id: 1 << 20, hash: hex.EncodeToString(hash[:])}
 }
 
-// arrived, part and their strings are what the performer makes; they are not the core's.
-func (p *pipelineRun) arrived() *reducer.RequestArrived {
+// requestArrived returns the next request's arrival. In production the performer allocates the event and its
+// strings, not the core.
+func (p *pipelineRun) requestArrived() *reducer.RequestArrived {
 	return &reducer.RequestArrived{
 		ID: p.id, Credentials: reducer.Credentials{Account: testAccount, Hash: p.hash}, Pipeline: "main",
 		Key: "key-" + strconv.FormatUint(p.id, 10), Input: "input", Deadline: time.Second,
@@ -43,11 +44,11 @@
 func (p *pipelineRun) request() {
 	p.id++
 	p.now = p.now.Add(100 * time.Microsecond)
-	effects := p.entry.core.Reduce(p.arrived(), p.now)
+	effects := p.entry.core.Reduce(p.requestArrived(), p.now)
 	p.steps++
 	for stage := range 3 {
-		call, calls := effects[len(effects)-1].(*reducer.CallStage)
-		if !calls {
+		call, ok := effects[len(effects)-1].(*reducer.CallStage)
+		if !ok {
 			panic("stage " + strconv.Itoa(stage) + " was not called")
 		}
 		p.now = p.now.Add(50 * time.Millisecond / 1000)
@@ -62,15 +63,15 @@
 	}
 }
 
-// A step is one event of a request: its arrival or a part of a reply. The bound is the measured count
-// with the events themselves, which the performer makes, over the four steps of three stages.
-func TestAllocationsOfAStep(t *testing.T) {
+// A step is one event of a request: its arrival or a part of a reply. The bound covers the events themselves,
+// which the performer allocates, averaged over the four steps of a request with three stages.
+func TestStepAllocations(t *testing.T) {
 	p := newPipelineRun(t)
 	for range 5000 {
 		p.request()
 	}
 	perRequest := testing.AllocsPerRun(2000, p.request)
-	t.Logf("allocations a request %.1f, a step %.2f", perRequest, perRequest/4)
+	t.Logf("allocations per request %.1f, per step %.2f", perRequest, perRequest/4)
 	require.LessOrEqual(t, perRequest/4, 3.0)
 }
 
--- a/reducer/system_test.go
+++ b/reducer/system_test.go
@@ -23,15 +23,15 @@
 var start = time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
 
 const (
-	hop            = 500 * time.Microsecond
+	hopDelay       = 500 * time.Microsecond
 	tickEvery      = 10 * time.Millisecond
 	heartbeatEvery = 200 * time.Millisecond
 	testAccount    = "ward-office"
-	poison         = "poison"
+	crashInput     = "poison"
 	poolSlots      = 8
 )
 
-// system is entries' real cores and small endpoints in simulated time, with a seed.
+// system runs the real cores of entries and simulated endpoints in simulated time. A seed makes runs reproducible.
 type system struct {
 	t         testing.TB
 	rng       *rand.Rand
@@ -40,14 +40,14 @@
 	sequence  int
 	entries   []*simEntry
 	endpoints map[string]*simEndpoint
-	// order is the endpoints as they were made.
-	order     []*simEndpoint
-	reportLag time.Duration
-	asks      map[uint64]*ask
-	nextID    uint64
-	// side is the part of the network that each entry is in, by its index; entries of other sides don't hear it.
-	side map[int]int
-	// status is the last answer to StatusAsked.
+	// endpointList holds the endpoints in order of creation.
+	endpointList []*simEndpoint
+	reportLag    time.Duration
+	requests     map[uint64]*simRequest
+	nextID       uint64
+	// partition maps an entry's index to its side of a network partition; messages between sides are dropped.
+	partition map[int]int
+	// status is the most recent status that an entry sent.
 	status operatorserver.Status
 }
 
@@ -56,8 +56,8 @@
 	core *reducer.Core
 }
 
-// ask is one caller's request and its end.
-type ask struct {
+// simRequest is a request of a caller and its result.
+type simRequest struct {
 	id     uint64
 	input  string
 	sent   time.Time
@@ -67,7 +67,7 @@
 	state  reducer.State
 }
 
-func (a *ask) answered() bool { return a.state == reducer.StateAnswered }
+func (a *simRequest) answered() bool { return a.state == reducer.StateAnswered }
 
 type simConfig struct {
 	entries   int
@@ -76,12 +76,12 @@
 	service   time.Duration
 	reportLag time.Duration
 	seed      uint64
-	// change alters the entries' configuration, to measure without a safeguard.
-	change func(*reducer.Config)
-	// contract alters the account's contract.
+	// configure changes the entries' configuration, for example to disable a safeguard.
+	configure func(*reducer.Config)
+	// contract changes the account's contract.
 	contract func(*publisher.Contract)
-	// unrepeatable is the pool whose stage must not be repeated; empty for none.
-	unrepeatable string
+	// nonRepeatablePool is the pool whose stage must not be repeated; empty if there is none.
+	nonRepeatablePool string
 }
 
 func newSystem(t testing.TB, cfg simConfig) *system {
@@ -91,13 +91,13 @@
 		now:       start,
 		endpoints: map[string]*simEndpoint{},
 		reportLag: cfg.reportLag,
-		asks:      map[uint64]*ask{},
+		requests:  map[uint64]*simRequest{},
 	}
 	for _, pool := range cfg.pools {
 		for i := range cfg.perPool {
-			e := &simEndpoint{system: s, pool: pool, address: pool + "-" + strconv.Itoa(i), service: cfg.service, slots: poolSlots, slow: 1}
+			e := &simEndpoint{system: s, pool: pool, address: pool + "-" + strconv.Itoa(i), service: cfg.service, slots: poolSlots, slowFactor: 1}
 			s.endpoints[e.address] = e
-			s.order = append(s.order, e)
+			s.endpointList = append(s.endpointList, e)
 		}
 	}
 	var seeds []string
@@ -124,29 +124,29 @@
 			MaxDeadline:    time.Minute,
 			StageTimeout:   5 * time.Second,
 		}
-		if cfg.change != nil {
-			cfg.change(&core)
+		if cfg.configure != nil {
+			cfg.configure(&core)
 		}
 		e.core = reducer.New(core, s.now)
 		s.entries = append(s.entries, e)
-		s.give(e, reducer.LogRead{Stream: reducer.StreamConfig, Records: records, Next: int64(len(records) + 1), AtEnd: true})
-		s.give(e, reducer.VMsListed{Endpoints: s.list()})
+		s.deliver(e, reducer.LogRead{Stream: reducer.StreamConfig, Records: records, Next: int64(len(records) + 1), AtEnd: true})
+		s.deliver(e, reducer.VMsListed{Endpoints: s.vmList()})
 		s.tick(e)
 	}
-	s.report()
+	s.reportLoads()
 	s.runFor(time.Second)
 	return s
 }
 
-func (s *system) list() []router.VM {
+func (s *system) vmList() []router.VM {
 	var vms []router.VM
-	for _, e := range s.order {
+	for _, e := range s.endpointList {
 		vms = append(vms, router.VM{Address: e.address, Pool: e.pool})
 	}
 	return vms
 }
 
-// entryHints is how the platform's list names the entries.
+// entryHints returns the entries as the platform's list names them.
 func (s *system) entryHints() []reducer.EntryHint {
 	var hints []reducer.EntryHint
 	for i := range s.entries {
@@ -161,7 +161,7 @@
 	var objects []any
 	for _, pool := range cfg.pools {
 		objects = append(objects, publisher.Pool{Name: pool, Kind: publisher.PoolService, SlotsPerEndpoint: poolSlots})
-		pipeline.Stages = append(pipeline.Stages, publisher.Stage{Name: pool, Pool: pool, Repeatable: pool != cfg.unrepeatable, ExpectedMillis: cfg.service.Milliseconds()})
+		pipeline.Stages = append(pipeline.Stages, publisher.Stage{Name: pool, Pool: pool, Repeatable: pool != cfg.nonRepeatablePool, ExpectedMillis: cfg.service.Milliseconds()})
 	}
 	contract := publisher.Contract{
 		Account: testAccount, CredentialSha256: hex.EncodeToString(hash[:]), Weight: 1,
@@ -194,13 +194,13 @@
 	}
 }
 
-// send brings a request to an entry.
-func (s *system) send(entry int, input string, deadline time.Duration) *ask {
+// send delivers a request to an entry.
+func (s *system) send(entry int, input string, deadline time.Duration) *simRequest {
 	s.nextID++
-	a := &ask{id: s.nextID, input: input, sent: s.now}
-	s.asks[a.id] = a
+	a := &simRequest{id: s.nextID, input: input, sent: s.now}
+	s.requests[a.id] = a
 	hash := sha256.Sum256([]byte("secret"))
-	s.give(s.entries[entry], &reducer.RequestArrived{
+	s.deliver(s.entries[entry], &reducer.RequestArrived{
 		ID:          a.id,
 		Credentials: reducer.Credentials{Account: testAccount, Hash: hex.EncodeToString(hash[:])},
 		Pipeline:    "main",
@@ -212,26 +212,28 @@
 	return a
 }
 
-// load sends requests to entries at random, from now for a time, and gives them.
-func (s *system) load(perSecond float64, last, deadline time.Duration) *[]*ask {
-	sent := &[]*ask{}
+// load sends requests to random entries at exponentially distributed intervals for the given time. The returned
+// slice grows as they are sent.
+func (s *system) load(perSecond float64, last, deadline time.Duration) *[]*simRequest {
+	sent := &[]*simRequest{}
 	end := s.now.Add(last)
 	var next func()
 	next = func() {
 		if !s.now.Before(end) {
 			return
 		}
-		*sent = append(*sent, s.send(s.rng.IntN(len(s.entries)), "input "+strconv.Itoa(len(s.asks)), deadline))
+		*sent = append(*sent, s.send(s.rng.IntN(len(s.entries)), "input "+strconv.Itoa(len(s.requests)), deadline))
 		s.after(time.Duration(s.rng.ExpFloat64()/perSecond*float64(time.Second)), next)
 	}
 	next()
 	return sent
 }
 
-// attainment is the share of requests sent in a span since a time that were answered by their deadline.
-func attainment(asks []*ask, from, to time.Time, deadline time.Duration) float64 {
+// attainment returns the share of the requests sent from one time to another that were answered within the
+// deadline.
+func attainment(requests []*simRequest, from, to time.Time, deadline time.Duration) float64 {
 	sent, inTime := 0, 0
-	for _, a := range asks {
+	for _, a := range requests {
 		if a.sent.Before(from) || !a.sent.Before(to) {
 			continue
 		}
@@ -256,7 +258,7 @@
 	return sum
 }
 
-func (s *system) give(e *simEntry, event reducer.Event) {
+func (s *system) deliver(e *simEntry, event reducer.Event) {
 	effects := e.core.Reduce(event, s.now)
 	for _, effect := range effects {
 		s.perform(e, effect)
@@ -267,20 +269,20 @@
 	switch f := effect.(type) {
 	case *reducer.CallStage:
 		call := *f
-		s.after(hop, func() { s.endpoints[call.Address].take(e, call) })
+		s.after(hopDelay, func() { s.endpoints[call.Address].receiveCall(e, call) })
 	case reducer.CancelStage:
-		s.after(hop, func() { s.endpoints[f.Address].cancel(e, f.Call) })
+		s.after(hopDelay, func() { s.endpoints[f.Address].cancel(e, f.Call) })
 	case reducer.ResumeStage:
-		s.after(hop, func() { s.endpoints[f.Address].resume(e, f) })
+		s.after(hopDelay, func() { s.endpoints[f.Address].resume(e, f) })
 	case reducer.SendPeer:
 		s.sendPeer(e, f)
 	case reducer.SendStatus:
 		s.status = f.Status
 	case reducer.SendAnswer:
-		a := s.asks[f.ID]
+		a := s.requests[f.ID]
 		a.ended, a.answer, a.state = s.now, f.Answer, reducer.StateAnswered
 	case reducer.SendFailure:
-		a := s.asks[f.ID]
+		a := s.requests[f.ID]
 		a.ended, a.code, a.state = s.now, f.Failure.Code, f.Failure.State
 	}
 }
@@ -290,24 +292,25 @@
 	require.NoError(s.t, err)
 	at, err := strconv.Atoi(strings.TrimPrefix(from.name, "entry-"))
 	require.NoError(s.t, err)
-	if s.side[i] != s.side[at] || i >= len(s.entries) {
+	if s.partition[i] != s.partition[at] || i >= len(s.entries) {
 		return
 	}
-	s.after(hop, func() {
-		s.give(s.entries[i], reducer.PeerMessageArrived{From: from.name, Message: f.Message})
+	s.after(hopDelay, func() {
+		s.deliver(s.entries[i], reducer.PeerMessageArrived{From: from.name, Message: f.Message})
 	})
 }
 
 func (s *system) tick(e *simEntry) {
 	s.after(tickEvery, func() {
-		s.give(e, reducer.Ticked{})
+		s.deliver(e, reducer.Ticked{})
 		s.tick(e)
 	})
 }
 
-// report brings all entries the loads of all endpoints that live, as they were a lag ago, over and over.
-func (s *system) report() {
-	for _, endpoint := range s.order {
+// reportLoads delivers the load reports of all live endpoints to all entries, delayed by reportLag, and repeats
+// this every heartbeat.
+func (s *system) reportLoads() {
+	for _, endpoint := range s.endpointList {
 		if endpoint.dead {
 			endpoint.reports = nil
 			continue
@@ -318,17 +321,17 @@
 			endpoint.reports = endpoint.reports[1:]
 		}
 		for _, e := range s.entries {
-			s.give(e, reducer.LoadReported{Address: endpoint.address, Report: endpoint.reports[0]})
+			s.deliver(e, reducer.LoadReported{Address: endpoint.address, Report: endpoint.reports[0]})
 		}
 	}
-	s.after(heartbeatEvery, s.report)
+	s.after(heartbeatEvery, s.reportLoads)
 }
 
-// ejected is the greatest share of a pool's endpoints that an entry has out of use now.
-func (s *system) ejected(pool string) float64 {
+// maxEjectedShare returns the largest share of a pool's endpoints that any entry has ejected now.
+func (s *system) maxEjectedShare(pool string) float64 {
 	most := 0.0
 	for _, e := range s.entries {
-		s.give(e, reducer.StatusAsked{})
+		s.deliver(e, reducer.StatusAsked{})
 		all, out := 0, 0
 		for _, endpoint := range s.status.Endpoints {
 			if endpoint.Pool != pool {
@@ -346,7 +349,7 @@
 
 func (s *system) losses() int {
 	n := 0
-	for _, e := range s.order {
+	for _, e := range s.endpointList {
 		n += e.losses
 	}
 	return n
--- a/reducer/truth_test.go
+++ b/reducer/truth_test.go
@@ -4,7 +4,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-// runs counts how often a stage ran for a key.
+// runs returns how often a stage ran for a key.
 func (w *world) runs(key, stage string) int {
 	n := 0
 	for _, e := range w.ledger {
@@ -15,7 +15,7 @@
 	return n
 }
 
-// wantText is the whole answer to a request, which no other request has.
+// wantText returns the complete answer to a request. No other request has the same answer.
 func wantText(pipeline, body string) string {
 	if pipeline == ticket {
 		return "log(draft(encode(" + body + ")))"
@@ -23,9 +23,10 @@
 	return "rank(draft(encode(" + body + ")))"
 }
 
-// check checks what must hold whatever happened: nothing that must not be repeated ran twice, nobody was told
-// notRun of an attempt that ran, each answer is whole and the request's own, and nobody was answered twice.
-func (w *world) check() {
+// checkInvariants checks the conditions that hold in any run: nothing that must not be repeated ran twice, no
+// attempt that ran was answered notRun, each answer is complete and the request's own, and no attempt was answered
+// twice.
+func (w *world) checkInvariants() {
 	ran := map[string]bool{}
 	sideEffects := map[string]int{}
 	for _, e := range w.ledger {
@@ -37,9 +38,9 @@
 	}
 	for _, a := range w.attempts {
 		require.LessOrEqual(w.t, len(w.replies[a.id]), 1, "attempt %s was answered twice", a.name)
-		state, _, text := w.ended(a.id)
+		state, _, text := w.result(a.id)
 		if state == StateNotRun {
-			require.False(w.t, ran[a.name], "attempt %s was told notRun and ran", a.name)
+			require.False(w.t, ran[a.name], "attempt %s was answered notRun and ran", a.name)
 		}
 		if state == StateAnswered {
 			require.Equal(w.t, wantText(a.pipeline, a.body), text)
