--- a/assembler/notice_test.go
+++ b/assembler/notice_test.go
@@ -65,7 +65,7 @@
 	}
 	for _, service := range services {
 		got := f.site.Endpoint(fmt.Sprintf("i-%s-0", service)).Arrivals()[before[service]:]
-		require.LessOrEqual(t, measurer.MostWithin(timesOf(got), limitWindow), 3*limit*4/2+5, service)
+		require.LessOrEqual(t, measurer.MaxInWindow(timesOf(got), limitWindow), 3*limit*4/2+5, service)
 	}
 	require.Equal(t, http.StatusOK, f.call(f.ask(0, imitator.PlainPath, "last")).Status)
 }
--- a/cmd/policyreport/picture.go
+++ b/cmd/policyreport/picture.go
@@ -66,7 +66,7 @@
 func (f figure) line(points []measurer.Point, way string) plotter.XYs {
 	var line plotter.XYs
 	for _, p := range points {
-		if p.Way == way {
+		if p.Policy == way {
 			line = append(line, plotter.XY{X: p.Load, Y: f.read(p)})
 		}
 	}
@@ -76,8 +76,8 @@
 func ways(points []measurer.Point) []string {
 	var names []string
 	for _, p := range points {
-		if !slices.Contains(names, p.Way) {
-			names = append(names, p.Way)
+		if !slices.Contains(names, p.Policy) {
+			names = append(names, p.Policy)
 		}
 	}
 	return names
--- a/cmd/policyreport/read.go
+++ b/cmd/policyreport/read.go
@@ -35,7 +35,7 @@
 			found.points = append(found.points, point)
 			continue
 		}
-		_, rest, ok := strings.Cut(line, measurer.Prefix+"case=")
+		_, rest, ok := strings.Cut(line, measurer.RowPrefix+"case=")
 		if !ok {
 			continue
 		}
--- a/cmd/policyreport/report_test.go
+++ b/cmd/policyreport/report_test.go
@@ -23,7 +23,7 @@
 			Goal:      &measurer.Limit{Direction: measurer.AtLeast, Value: 0.99},
 		},
 	}
-	point := measurer.Point{Way: "ours", Load: 10, Attainment: 0.1, Cost: 980, Goodput: 1}
+	point := measurer.Point{Policy: "ours", Load: 10, Attainment: 0.1, Cost: 980, Goodput: 1}
 	return strings.Join([]string{
 		"=== RUN   TestPolicyLimits",
 		"    check_test.go:27: " + rows[0].String(),
@@ -38,7 +38,7 @@
 func TestTable(t *testing.T) {
 	found, err := read(strings.NewReader(output()))
 	require.NoError(t, err)
-	require.Equal(t, []measurer.Point{{Way: "ours", Load: 10, Attainment: 0.1, Cost: 980, Goodput: 1}}, found.points)
+	require.Equal(t, []measurer.Point{{Policy: "ours", Load: 10, Attainment: 0.1, Cost: 980, Goodput: 1}}, found.points)
 	require.Equal(t, 1, found.within())
 	var table bytes.Buffer
 	require.NoError(t, printTable(&table, found.rows))
--- a/forwarder/limit_test.go
+++ b/forwarder/limit_test.go
@@ -206,7 +206,7 @@
 			p.run(time.Second, 70)
 			p.limit("a", tc.perSecond)
 			p.run(15*time.Second, 70)
-			require.LessOrEqual(t, measurer.MostWithin(p.counted["a"], limitWindow), limitBound(tc.perSecond))
+			require.LessOrEqual(t, measurer.MaxInWindow(p.counted["a"], limitWindow), limitBound(tc.perSecond))
 			require.Zero(t, p.refused, "the other endpoint takes the rest")
 		})
 	}
--- a/measurer/check_test.go
+++ b/measurer/check_test.go
@@ -15,11 +15,11 @@
 
 func goal(l measurer.Limit) *measurer.Limit { return &l }
 
-// withBaselines tells whether the baselines run too. Only scripts/policy.sh asks for them: the
-// bounds hold ours alone, and under the race detector the baselines take minutes.
-func withBaselines() bool { return os.Getenv("GERANIUMLINE_BASELINES") != "" }
+// baselinesEnabled reports whether the baselines run too. Only scripts/policy.sh enables them: the bounds apply to
+// the measured policy alone, and under the race detector the baselines take minutes.
+func baselinesEnabled() bool { return os.Getenv("GERANIUMLINE_BASELINES") != "" }
 
-// check prints a row for scripts/policy.sh and holds it to its regression bound.
+// check logs a row for scripts/policy.sh and asserts its regression bound.
 func check(t *testing.T, row measurer.Row) {
 	t.Helper()
 	t.Log(row.String())
--- a/measurer/clock_test.go
+++ b/measurer/clock_test.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// clock runs events in order of simulated time. No wall clock, so a run can be repeated.
+// clock runs events in order of simulated time. It never reads the wall clock, so runs are reproducible.
 type clock struct {
 	now      time.Time
 	events   eventHeap
@@ -23,7 +23,7 @@
 
 func (c *clock) after(d time.Duration, run func()) { c.at(c.now.Add(d), run) }
 
-// every runs an event again and again, first after offset.
+// every runs an event periodically, for the first time after offset.
 func (c *clock) every(offset, period time.Duration, run func()) {
 	c.after(offset, func() {
 		run()
@@ -31,7 +31,7 @@
 	})
 }
 
-// runTo runs all events up to the time since start.
+// runTo runs all events that are due up to d after start.
 func (c *clock) runTo(d time.Duration) {
 	end := start.Add(d)
 	for len(c.events) > 0 && !c.events[0].t.After(end) {
--- a/measurer/dispatchers_test.go
+++ b/measurer/dispatchers_test.go
@@ -7,58 +7,59 @@
 	"geraniumline/scheduler"
 )
 
-// policy is ours: the admitter and the scheduler as the reducer calls them.
+// policy is the dispatcher under test: it calls the admitter and the scheduler as the reducer does.
 type policy struct {
 	admitter  *admitter.Admitter
 	scheduler *scheduler.Scheduler
 	jobs      map[uint64]*job
-	// admitAll leaves out the refusal at admission.
+	// admitAll disables refusal at admission.
 	admitAll bool
-	// belief is how many times its capacity each pool is believed to have.
-	belief float64
+	// capacityFactor is the assumed capacity of each pool as a multiple of its real capacity.
+	capacityFactor float64
 }
 
 func newPolicy() *policy {
 	return &policy{
-		admitter:  admitter.New(admitter.Config{}),
-		scheduler: scheduler.New(scheduler.Config{}),
-		jobs:      map[uint64]*job{},
-		belief:    1,
+		admitter:       admitter.New(admitter.Config{}),
+		scheduler:      scheduler.New(scheduler.Config{}),
+		jobs:           map[uint64]*job{},
+		capacityFactor: 1,
 	}
 }
 
 func (p *policy) item(j *job, stage int) scheduler.Item {
 	spec := pipeline[stage]
 	return scheduler.Item{
-		ID: j.id, Account: j.from.account, Weight: j.from.weight, Urgency: j.from.urgency,
+		ID: j.id, Account: j.source.account, Weight: j.source.weight, Urgency: j.source.urgency,
 		Cost:     p.admitter.ExpectedCost(spec.name, float64(spec.mean.Milliseconds())),
 		Deadline: j.deadline,
 	}
 }
 
-// asks describes the stages that are still to run; queued stages have their backlog ahead.
-func (p *policy) asks(j *job, from int, queued bool, now time.Time) []admitter.PendingStage {
-	var asks []admitter.PendingStage
+// pendingStages describes the stages that still have to run, beginning with from. If queued is false, the first of
+// them has left the queue and has no work ahead.
+func (p *policy) pendingStages(j *job, from int, queued bool, now time.Time) []admitter.PendingStage {
+	var pending []admitter.PendingStage
 	for i := from; i < len(pipeline); i++ {
 		spec := pipeline[i]
-		ask := admitter.PendingStage{Stage: spec.name, Pool: spec.name, Expected: spec.mean, Capacity: p.belief * float64(spec.slots)}
+		stage := admitter.PendingStage{Stage: spec.name, Pool: spec.name, Expected: spec.mean, Capacity: p.capacityFactor * float64(spec.slots)}
 		if drain := p.scheduler.DrainRate(spec.name, now); drain > 0 {
-			ask.Capacity = drain
+			stage.Capacity = drain
 		}
 		if queued || i > from {
 			ahead := p.scheduler.WorkAhead(spec.name, p.item(j, i))
-			ask.WorkAhead, ask.WorstWorkAhead = ahead.Current, ahead.WorstCase
+			stage.WorkAhead, stage.WorstWorkAhead = ahead.Current, ahead.WorstCase
 		}
-		asks = append(asks, ask)
+		pending = append(pending, stage)
 	}
-	return asks
+	return pending
 }
 
 func (p *policy) admit(s *site, j *job) bool {
 	if p.admitAll {
 		return true
 	}
-	if _, ok := p.admitter.Admit(p.asks(j, 0, true, s.clock.now), j.deadline, s.clock.now).(admitter.Admitted); !ok {
+	if _, ok := p.admitter.Admit(p.pendingStages(j, 0, true, s.clock.now), j.deadline, s.clock.now).(admitter.Admitted); !ok {
 		return false
 	}
 	for i := 1; i < len(pipeline); i++ {
@@ -69,7 +70,7 @@
 	return true
 }
 
-// withdraw takes back what was announced for stages from the given one on.
+// withdraw withdraws the items announced for the stages from from to to-1.
 func (p *policy) withdraw(j *job, from, to int) {
 	if len(j.announced) == 0 {
 		return
@@ -104,8 +105,8 @@
 			return nil
 		}
 		j := p.jobs[item.ID]
-		p.admitter.ObserveWait(name, s.clock.now.Sub(j.entered), s.clock.now)
-		if p.admitter.CannotFinish(p.asks(j, j.stage, false, s.clock.now), j.deadline, s.clock.now) {
+		p.admitter.ObserveWait(name, s.clock.now.Sub(j.enqueued), s.clock.now)
+		if p.admitter.CannotFinish(p.pendingStages(j, j.stage, false, s.clock.now), j.deadline, s.clock.now) {
 			p.scheduler.Charge(name, item.Account, -item.Cost)
 			s.finish(j, lost)
 			continue
@@ -117,27 +118,27 @@
 func (p *policy) backlog(pool int) int { return p.scheduler.Len(pipeline[pool].name) }
 
 func (p *policy) budget(s *site, j *job) time.Duration {
-	return p.admitter.Budget(p.asks(j, j.stage, false, s.clock.now), j.deadline, s.clock.now)
+	return p.admitter.Budget(p.pendingStages(j, j.stage, false, s.clock.now), j.deadline, s.clock.now)
 }
 
 func (p *policy) served(s *site, j *job, service time.Duration) {
 	name, cost := pipeline[j.stage].name, float64(service)/float64(time.Millisecond)
 	p.admitter.Observe(name, service, cost, s.clock.now)
-	p.scheduler.Charge(name, j.from.account, cost-j.expected)
+	p.scheduler.Charge(name, j.source.account, cost-j.expected)
 }
 
-// firstCome is the baseline: first come, first served, cut at the deadline. A bound on the
-// queue refuses at admission; 0 admits all.
-type firstCome struct {
+// fifo is the baseline: first in, first out, without the requests whose deadline has passed. It refuses at
+// admission when bound requests wait; 0 admits all.
+type fifo struct {
 	queues [][]*job
 	bound  int
 }
 
-func newFirstCome(bound int) *firstCome {
-	return &firstCome{queues: make([][]*job, len(pipeline)), bound: bound}
+func newFIFO(bound int) *fifo {
+	return &fifo{queues: make([][]*job, len(pipeline)), bound: bound}
 }
 
-func (f *firstCome) admit(_ *site, _ *job) bool {
+func (f *fifo) admit(_ *site, _ *job) bool {
 	waiting := 0
 	for _, q := range f.queues {
 		waiting += len(q)
@@ -145,9 +146,9 @@
 	return f.bound == 0 || waiting < f.bound
 }
 
-func (f *firstCome) push(_ *site, pool int, j *job) { f.queues[pool] = append(f.queues[pool], j) }
+func (f *fifo) push(_ *site, pool int, j *job) { f.queues[pool] = append(f.queues[pool], j) }
 
-func (f *firstCome) pop(s *site, pool int) *job {
+func (f *fifo) pop(s *site, pool int) *job {
 	for len(f.queues[pool]) > 0 {
 		j := f.queues[pool][0]
 		f.queues[pool] = f.queues[pool][1:]
@@ -159,10 +160,10 @@
 	return nil
 }
 
-func (f *firstCome) backlog(pool int) int { return len(f.queues[pool]) }
+func (f *fifo) backlog(pool int) int { return len(f.queues[pool]) }
 
-func (f *firstCome) budget(s *site, j *job) time.Duration { return j.deadline.Sub(s.clock.now) }
+func (f *fifo) budget(s *site, j *job) time.Duration { return j.deadline.Sub(s.clock.now) }
 
-func (f *firstCome) served(*site, *job, time.Duration) {}
+func (f *fifo) served(*site, *job, time.Duration) {}
 
-func (f *firstCome) ended(*job) {}
+func (f *fifo) ended(*job) {}
--- a/measurer/memory.go
+++ b/measurer/memory.go
@@ -2,8 +2,8 @@
 
 import "runtime"
 
-// HeapBytes gives the heap that what build returns holds on to, by two forced collections.
-// It is for slopes in benchmarks: other goroutines' allocations would count too.
+// HeapBytes returns the number of heap bytes that the result of build keeps alive, measured between two forced
+// collections. It is meant for growth rates in benchmarks: allocations of other goroutines are counted too.
 func HeapBytes(build func() any) uint64 {
 	var before, after runtime.MemStats
 	runtime.GC()
--- a/measurer/parse.go
+++ b/measurer/parse.go
@@ -6,15 +6,15 @@
 	"strings"
 )
 
-// FieldError tells of a field of a reported line that can't be read.
+// FieldError reports a field of a measurement line that can't be parsed.
 type FieldError struct {
 	Field string
 }
 
 func (e *FieldError) Error() string { return fmt.Sprintf("unreadable field %q", e.Field) }
 
-// ParseRow reads what Row.String wrote after Prefix. Fields that it does not know, as the
-// ratio, which follows from the others, are passed over.
+// ParseRow parses what Row.String wrote after RowPrefix. It ignores unknown fields, such as the ratio, which
+// follows from the other fields. A known field with an invalid value is returned as a *FieldError.
 func ParseRow(line string) (Row, error) {
 	var row Row
 	for _, field := range strings.Fields(line) {
@@ -35,8 +35,8 @@
 	case "ours":
 		r.Ours, err = strconv.ParseFloat(value, 64)
 	case "baseline":
-		way, figure, _ := strings.Cut(value, ":")
-		baseline := Baseline{Name: way}
+		policy, figure, _ := strings.Cut(value, ":")
+		baseline := Baseline{Name: policy}
 		baseline.Value, err = strconv.ParseFloat(figure, 64)
 		r.Baselines = append(r.Baselines, baseline)
 	case "bound":
@@ -64,7 +64,8 @@
 	return limit, err
 }
 
-// ParsePoint reads what Point.String wrote after PointPrefix.
+// ParsePoint parses what Point.String wrote after PointPrefix and ignores unknown fields. A known field with an
+// invalid value is returned as a *FieldError.
 func ParsePoint(line string) (Point, error) {
 	var p Point
 	figures := map[string]*float64{
@@ -73,7 +74,7 @@
 	for _, field := range strings.Fields(line) {
 		name, value, _ := strings.Cut(field, "=")
 		if name == "way" {
-			p.Way = value
+			p.Policy = value
 			continue
 		}
 		figure, known := figures[name]
--- a/measurer/policyfairness_test.go
+++ b/measurer/policyfairness_test.go
@@ -10,8 +10,8 @@
 
 var siteSeeds = []uint64{1, 2, 3}
 
-// The windows of a site trial: requests that arrive in them are counted, and the rest of
-// the run lets them end.
+// Requests that arrive from siteFrom to siteTo of a site trial are counted; the rest of the run, until siteEnd,
+// lets them finish.
 const (
 	siteFrom = 30 * time.Second
 	siteTo   = 150 * time.Second
@@ -20,7 +20,7 @@
 
 const normalDeadline = 6 * time.Second
 
-// contracts are the accounts of the trials and their weights.
+// contracts lists the accounts of the trials and their weights.
 var contracts = []struct {
 	account string
 	weight  float64
@@ -34,12 +34,12 @@
 	return total
 }
 
-// contractLoad lets each account send a number of times its share of the capacity.
-func contractLoad(times func(account string) float64) []callers {
-	var load []callers
+// contractLoad makes each account offer a multiple of its share of the capacity.
+func contractLoad(times func(account string) float64) []accountLoad {
+	var load []accountLoad
 	for _, c := range contracts {
 		perSecond := times(c.account) * c.weight / contractWeights() * siteCapacity()
-		load = append(load, callers{
+		load = append(load, accountLoad{
 			account: c.account, weight: c.weight, urgency: scheduler.Normal, deadline: normalDeadline,
 			perSecond: func(time.Duration) float64 { return perSecond },
 		})
@@ -47,35 +47,35 @@
 	return load
 }
 
-// way is a dispatcher under trial by its name in the table.
-type way struct {
+// candidate is a dispatcher under test and its name in the table.
+type candidate struct {
 	name string
 	make func() dispatcher
 }
 
-// The queue bound of the refusing baseline is tuned to this pipeline by hand: about 2 s of
-// work of its narrowest pool.
+// tunedBound is the queue bound of the refusing baseline, set for this pipeline: about 2 s of work of its
+// narrowest pool.
 const tunedBound = 80
 
 var (
-	oursWay  = way{"ours", func() dispatcher { return newPolicy() }}
-	fifoWay  = way{"firstCome", func() dispatcher { return newFirstCome(0) }}
-	boundWay = way{"firstComeBound", func() dispatcher { return newFirstCome(tunedBound) }}
-	fairWay  = way{"fairNoRefusal", func() dispatcher {
+	oursCandidate    = candidate{"ours", func() dispatcher { return newPolicy() }}
+	fifoCandidate    = candidate{"firstCome", func() dispatcher { return newFIFO(0) }}
+	boundedCandidate = candidate{"firstComeBound", func() dispatcher { return newFIFO(tunedBound) }}
+	fairCandidate    = candidate{"fairNoRefusal", func() dispatcher {
 		p := newPolicy()
 		p.admitAll = true
 		return p
 	}}
 )
 
-func runSites(w way, load []callers) []*site {
+func runSites(c candidate, load []accountLoad) []*site {
 	var sites []*site
 	for _, seed := range siteSeeds {
-		s := newSite(w.make(), seed, load)
+		s := newSite(c.make(), seed, load)
 		s.clock.runTo(siteFrom)
 		s.idle, s.idleBacklog = 0, 0
 		s.clock.runTo(siteTo)
-		s.measure()
+		s.accumulateIdle()
 		s.idleUntil = s.idle
 		s.clock.runTo(siteEnd)
 		sites = append(sites, s)
@@ -83,7 +83,7 @@
 	return sites
 }
 
-// mean is the mean of a figure over the seeds' runs.
+// mean returns the mean of a figure over the runs of all seeds.
 func mean(sites []*site, read func(s *site) float64) float64 {
 	total := 0.0
 	for _, s := range sites {
@@ -96,7 +96,7 @@
 	return func(s *site) float64 { return s.tally(siteFrom, siteTo, account).attainment() }
 }
 
-// jain is Jain's index over the accounts' answered requests by weight: 1 is fair.
+// jain returns Jain's fairness index of the accounts' answered requests per weight; 1 is fair.
 func jain(s *site) float64 {
 	sum, squares := 0.0, 0.0
 	for _, c := range contracts {
@@ -110,41 +110,40 @@
 	return sum * sum / float64(len(contracts)) / squares
 }
 
-func idlePart(s *site) float64 {
+func idleShare(s *site) float64 {
 	return s.idleUntil / (siteTo - siteFrom).Seconds() / float64(pipeline[bottleneck].slots)
 }
 
-func idleBacklogPart(s *site) float64 {
+func idleBacklogShare(s *site) float64 {
 	return s.idleBacklog / (siteEnd - siteFrom).Seconds() / float64(pipeline[bottleneck].slots)
 }
 
-// runWays runs ours and, if asked for, the baselines after it.
-func runWays(ways []way, load func(w way) []*site) [][]*site {
-	if !withBaselines() {
-		ways = ways[:1]
+// runCandidates runs the policy under test and, if enabled, the baselines after it.
+func runCandidates(candidates []candidate, load func(c candidate) []*site) [][]*site {
+	if !baselinesEnabled() {
+		candidates = candidates[:1]
 	}
 	var runs [][]*site
-	for _, w := range ways {
-		runs = append(runs, load(w))
+	for _, c := range candidates {
+		runs = append(runs, load(c))
 	}
 	return runs
 }
 
-// baselines gives the figures of the ways after the first, of those that were run.
-func baselines(read func(s *site) float64, ways []way, runs [][]*site) []measurer.Baseline {
+// baselines returns the figures of those candidates after the first that were run.
+func baselines(read func(s *site) float64, candidates []candidate, runs [][]*site) []measurer.Baseline {
 	var rows []measurer.Baseline
 	for i := 1; i < len(runs); i++ {
-		rows = append(rows, measurer.Baseline{Name: ways[i].name, Value: mean(runs[i], read)})
+		rows = append(rows, measurer.Baseline{Name: candidates[i].name, Value: mean(runs[i], read)})
 	}
 	return rows
 }
 
-// TestPolicyFairShare measures whether a small account keeps its service while a large one
-// sends ten times its share, and how the work is split when all send too much.
-// Figures are means over the seeds.
+// TestPolicyFairShare measures whether a small account keeps its service while a large one sends ten times its
+// share, and how the work is divided when all accounts exceed their shares. Figures are means over the seeds.
 func TestPolicyFairShare(t *testing.T) {
 	t.Parallel()
-	ways := []way{oursWay, fifoWay, boundWay}
+	candidates := []candidate{oursCandidate, fifoCandidate, boundedCandidate}
 	surging := contractLoad(func(account string) float64 {
 		if account == "large" {
 			return 10
@@ -157,7 +156,7 @@
 		}
 		return 0
 	})
-	// Equal demand from all, for each above its share.
+	// The same demand from every account, above its share in each case.
 	equal := contractLoad(func(account string) float64 {
 		for _, c := range contracts {
 			if c.account == account {
@@ -168,21 +167,21 @@
 	})
 	row := func(name, measure string, read func(*site) float64, bound measurer.Limit, goal *measurer.Limit, runs [][]*site) {
 		check(t, measurer.Row{Case: name, Measure: measure, Ours: mean(runs[0], read),
-			Baselines: baselines(read, ways, runs), Bound: bound, Goal: goal})
+			Baselines: baselines(read, candidates, runs), Bound: bound, Goal: goal})
 	}
-	runs := runWays(ways, func(w way) []*site { return runSites(w, surging) })
+	runs := runCandidates(candidates, func(c candidate) []*site { return runSites(c, surging) })
 	small := attainmentOf("small")
-	whenAlone := mean(runSites(oursWay, alone), small)
+	whenAlone := mean(runSites(oursCandidate, alone), small)
 	ofAlone := func(s *site) float64 { return small(s) / whenAlone }
 	admitted := func(s *site) float64 { return s.tally(siteFrom, siteTo, "").admittedAttainment() }
 	row("fair/largeSends10x", "smallAttainment", small, atLeast(0.99), goal(atLeast(0.99)), runs)
 	row("fair/largeSends10x", "smallOfAlone", ofAlone, atLeast(0.99), goal(atLeast(0.95)), runs)
 	row("fair/largeSends10x", "middleAttainment", attainmentOf("middle2"), atLeast(0.99), goal(atLeast(0.99)), runs)
 	row("fair/largeSends10x", "admittedAttainment", admitted, atLeast(0.99), goal(atLeast(0.99)), runs)
-	row("fair/largeSends10x", "idleSlots", idlePart, atMost(0.02), goal(atMost(0.02)), runs)
-	row("fair/largeSends10x", "idleUnderBacklog", idleBacklogPart, atMost(0.001), goal(atMost(0.02)), runs)
-	runs = runWays(ways, func(w way) []*site { return runSites(w, equal) })
+	row("fair/largeSends10x", "idleSlots", idleShare, atMost(0.02), goal(atMost(0.02)), runs)
+	row("fair/largeSends10x", "idleUnderBacklog", idleBacklogShare, atMost(0.001), goal(atMost(0.02)), runs)
+	runs = runCandidates(candidates, func(c candidate) []*site { return runSites(c, equal) })
 	row("fair/equalDemand", "jainByWeight", jain, atLeast(0.98), goal(atLeast(0.95)), runs)
 	row("fair/equalDemand", "admittedAttainment", admitted, atLeast(0.99), goal(atLeast(0.99)), runs)
-	row("fair/equalDemand", "idleSlots", idlePart, atMost(0.02), goal(atMost(0.02)), runs)
+	row("fair/equalDemand", "idleSlots", idleShare, atMost(0.02), goal(atMost(0.02)), runs)
 }
--- a/measurer/policylimits_test.go
+++ b/measurer/policylimits_test.go
@@ -8,33 +8,33 @@
 	"geraniumline/measurer"
 )
 
-// The figures of a limit trial are read in these windows; the change comes at stepAt.
+// The figures of a limit trial are measured in windows between these times; the load changes at stepAt.
 const (
-	warmUp = 10 * time.Second
-	stepAt = 20 * time.Second
-	twoOn  = stepAt + 2*time.Second
-	fiveOn = stepAt + 5*time.Second
-	endAt  = 40 * time.Second
-	// longEnd is for contracts of a few requests a second, whose figures take long to settle.
+	warmUp           = 10 * time.Second
+	stepAt           = 20 * time.Second
+	twoSecondsLater  = stepAt + 2*time.Second
+	fiveSecondsLater = stepAt + 5*time.Second
+	endAt            = 40 * time.Second
+	// longEnd ends the trials of contracts of a few requests per second, whose figures converge slowly.
 	longEnd = 600 * time.Second
 )
 
 var limitSeeds = []uint64{1, 2, 3, 4, 5}
 
-// uneven is the part of the demand that each entry gets.
-var uneven = [entryCount]float64{.5, .2, .1, .08, .06, .04, .02}
+// demandShares is the share of the demand that each entry receives.
+var demandShares = [entryCount]float64{.5, .2, .1, .08, .06, .04, .02}
 
 type demandFunc func(entry int, elapsed time.Duration) float64
 
 func unevenDemand(perSecond float64) demandFunc {
-	return func(entry int, _ time.Duration) float64 { return uneven[entry] * perSecond }
+	return func(entry int, _ time.Duration) float64 { return demandShares[entry] * perSecond }
 }
 
 func evenDemand(perSecond float64) demandFunc {
 	return func(int, time.Duration) float64 { return perSecond / entryCount }
 }
 
-// movedDemand goes from one entry to another at stepAt.
+// movedDemand moves from one entry to another at stepAt.
 func movedDemand(perSecond float64) demandFunc {
 	return func(entry int, elapsed time.Duration) float64 {
 		if entry == 0 && elapsed < stepAt || entry == 3 && elapsed >= stepAt {
@@ -44,7 +44,7 @@
 	}
 }
 
-// spreadDemand is at one entry until stepAt and then at each of them.
+// spreadDemand arrives at one entry until stepAt and at all entries afterwards.
 func spreadDemand(perSecond float64) demandFunc {
 	return func(entry int, elapsed time.Duration) float64 {
 		if entry == 0 || elapsed >= stepAt {
@@ -54,7 +54,8 @@
 	}
 }
 
-// orphanedDemand is half at entry 0, which dies at stepAt; callers go to the others at once.
+// orphanedDemand arrives half at entry 0, which dies at stepAt; its callers switch to the other entries
+// immediately.
 func orphanedDemand(perSecond float64) demandFunc {
 	return func(entry int, elapsed time.Duration) float64 {
 		if entry == 0 {
@@ -67,33 +68,33 @@
 	}
 }
 
-func cut(sides ...int) func(tr *limitTrial) {
+func partitionAtStep(sides ...int) func(tr *limitTrial) {
 	return func(tr *limitTrial) {
-		tr.clock.at(start.Add(stepAt), func() { copy(tr.side, sides) })
-		tr.clock.at(start.Add(fiveOn), func() { clear(tr.side) })
+		tr.clock.at(start.Add(stepAt), func() { copy(tr.partition, sides) })
+		tr.clock.at(start.Add(fiveSecondsLater), func() { clear(tr.partition) })
 	}
 }
 
-func death(notice time.Duration) func(tr *limitTrial) {
+func deathAtStep(notice time.Duration) func(tr *limitTrial) {
 	return func(tr *limitTrial) {
 		tr.deathNotice = notice
-		tr.clock.at(start.Add(stepAt), func() { tr.die(0) })
+		tr.clock.at(start.Add(stepAt), func() { tr.kill(0) })
 	}
 }
 
-// limitMeasure reads one figure from a trial that has run.
+// limitMeasure computes one figure from a finished trial.
 type limitMeasure struct {
 	name  string
 	read  func(tr *limitTrial) float64
 	bound measurer.Limit
 	goal  *measurer.Limit
-	// relative divides by the figure of one bucket for the whole system on the same arrivals.
+	// relative divides the figure by that of one bucket for the whole system with the same arrivals.
 	relative bool
 }
 
-func over(name string, from, to time.Duration, bound, goalValue float64) limitMeasure {
+func excess(name string, from, to time.Duration, bound, goalValue float64) limitMeasure {
 	return limitMeasure{name: name, bound: atMost(bound), goal: goal(atMost(goalValue)), read: func(tr *limitTrial) float64 {
-		return tr.over(from, to)
+		return tr.excess(from, to)
 	}}
 }
 
@@ -103,20 +104,20 @@
 	}}
 }
 
-// ofOneBucket is what was admitted as a part of what one bucket for the whole system admits:
-// with a burst of 2 even that refuses a quarter of a random demand below the limit.
+// ofOneBucket measures the admitted requests as a share of those that one bucket for the whole system admits: with
+// a burst of 2, even that bucket refuses a quarter of a random demand below the limit.
 func ofOneBucket(bound float64) limitMeasure {
 	m := usable("usableOfOneBucket", warmUp, longEnd, bound)
 	m.relative = true
 	return m
 }
 
-func slotsOver(bound float64) limitMeasure {
-	return limitMeasure{name: "meanOver", bound: atMost(bound), goal: goal(atMost(0.05)), read: (*limitTrial).slotsOver}
+func slotExcess(bound float64) limitMeasure {
+	return limitMeasure{name: "meanOver", bound: atMost(bound), goal: goal(atMost(0.05)), read: (*limitTrial).slotExcess}
 }
 
-func slotsUsable(bound float64) limitMeasure {
-	return limitMeasure{name: "usable", bound: atLeast(bound), goal: goal(atLeast(0.9)), read: (*limitTrial).slotsUsable}
+func usableSlots(bound float64) limitMeasure {
+	return limitMeasure{name: "usable", bound: atLeast(bound), goal: goal(atLeast(0.9)), read: (*limitTrial).usableSlots}
 }
 
 func costUse(name string, bound measurer.Limit, goal *measurer.Limit) limitMeasure {
@@ -125,9 +126,8 @@
 	}}
 }
 
-// TestPolicyLimits measures limits that hold for the whole system while the load of one
-// account is uneven over 7 entries that tell each other their use every 200 ms.
-// Each figure is the worst of the seeds.
+// TestPolicyLimits measures limits that apply to the whole system while the load of one account is uneven over 7
+// entries, which report their usage to each other every 200 ms. Each figure is the worst of all seeds.
 func TestPolicyLimits(t *testing.T) {
 	t.Parallel()
 	contract := limiter.Limits{RatePerSecond: 200, Burst: 20}
@@ -144,25 +144,25 @@
 		measures []limitMeasure
 	}{
 		{"steadyTwice", contract, unevenDemand(400), nil, []limitMeasure{
-			over("over", warmUp, endAt, 0.01, 0.05), usable("usable", warmUp, endAt, 0.98)}},
+			excess("over", warmUp, endAt, 0.01, 0.05), usable("usable", warmUp, endAt, 0.98)}},
 		{"steadyBelow", contract, unevenDemand(180), nil, []limitMeasure{
 			usable("usable", warmUp, endAt, 0.95)}},
 		{"stepMoves", contract, movedDemand(400), nil, []limitMeasure{
-			over("over2s", stepAt, twoOn, 0.02, 0.15), over("over5s", stepAt, fiveOn, 0.01, 0.05), usable("usable5s", stepAt, fiveOn, 0.96)}},
+			excess("over2s", stepAt, twoSecondsLater, 0.02, 0.15), excess("over5s", stepAt, fiveSecondsLater, 0.01, 0.05), usable("usable5s", stepAt, fiveSecondsLater, 0.96)}},
 		{"stepSpreads", contract, spreadDemand(400), nil, []limitMeasure{
-			over("over2s", stepAt, twoOn, 0.08, 0.15), over("over5s", stepAt, fiveOn, 0.03, 0.05), usable("usable5s", stepAt, fiveOn, 0.95)}},
-		{"entryDiesTold1s", contract, orphanedDemand(400), death(time.Second), []limitMeasure{
-			over("over2s", stepAt, twoOn, 0.02, 0.15), usable("usable5s", stepAt, fiveOn, 0.88)}},
-		{"entryDiesTold3s", contract, orphanedDemand(400), death(3 * time.Second), []limitMeasure{
-			over("over2s", stepAt, twoOn, 0.02, 0.15), usable("usable5s", stepAt, fiveOn, 0.73)}},
-		{"cut3From4", contract, unevenDemand(400), cut(0, 0, 0, 1, 1, 1, 1), []limitMeasure{
-			over("over2s", stepAt, twoOn, 0.07, 0.15), over("over5s", stepAt, fiveOn, 0.03, 0.05), usable("usable5s", stepAt, fiveOn, 0.91)}},
-		{"cutAll", contract, unevenDemand(400), cut(0, 1, 2, 3, 4, 5, 6), []limitMeasure{
-			over("over2s", stepAt, twoOn, 0.08, 0.15), over("over5s", stepAt, fiveOn, 0.03, 0.05), usable("usable5s", stepAt, fiveOn, 0.86)}},
+			excess("over2s", stepAt, twoSecondsLater, 0.08, 0.15), excess("over5s", stepAt, fiveSecondsLater, 0.03, 0.05), usable("usable5s", stepAt, fiveSecondsLater, 0.95)}},
+		{"entryDiesTold1s", contract, orphanedDemand(400), deathAtStep(time.Second), []limitMeasure{
+			excess("over2s", stepAt, twoSecondsLater, 0.02, 0.15), usable("usable5s", stepAt, fiveSecondsLater, 0.88)}},
+		{"entryDiesTold3s", contract, orphanedDemand(400), deathAtStep(3 * time.Second), []limitMeasure{
+			excess("over2s", stepAt, twoSecondsLater, 0.02, 0.15), usable("usable5s", stepAt, fiveSecondsLater, 0.73)}},
+		{"cut3From4", contract, unevenDemand(400), partitionAtStep(0, 0, 0, 1, 1, 1, 1), []limitMeasure{
+			excess("over2s", stepAt, twoSecondsLater, 0.07, 0.15), excess("over5s", stepAt, fiveSecondsLater, 0.03, 0.05), usable("usable5s", stepAt, fiveSecondsLater, 0.91)}},
+		{"cutAll", contract, unevenDemand(400), partitionAtStep(0, 1, 2, 3, 4, 5, 6), []limitMeasure{
+			excess("over2s", stepAt, twoSecondsLater, 0.08, 0.15), excess("over5s", stepAt, fiveSecondsLater, 0.03, 0.05), usable("usable5s", stepAt, fiveSecondsLater, 0.86)}},
 		{"smallContract", small, evenDemand(1.6), nil, []limitMeasure{
-			over("over", warmUp, longEnd, 0.01, 0.05), usable("usable", warmUp, longEnd, 0.70), ofOneBucket(0.91)}},
-		{"concurrency5", slots(5), unevenDemand(20), nil, []limitMeasure{slotsOver(0.05), slotsUsable(0.78)}},
-		{"concurrency20", slots(20), unevenDemand(80), nil, []limitMeasure{slotsOver(0.05), slotsUsable(0.88)}},
+			excess("over", warmUp, longEnd, 0.01, 0.05), usable("usable", warmUp, longEnd, 0.70), ofOneBucket(0.91)}},
+		{"concurrency5", slots(5), unevenDemand(20), nil, []limitMeasure{slotExcess(0.05), usableSlots(0.78)}},
+		{"concurrency20", slots(20), unevenDemand(80), nil, []limitMeasure{slotExcess(0.05), usableSlots(0.88)}},
 		{"costTwice", work, unevenDemand(400), nil, []limitMeasure{
 			costUse("use", atMost(1.03), goal(atMost(1.05))), costUse("usable", atLeast(0.95), goal(atLeast(0.9)))}},
 	}
@@ -171,20 +171,20 @@
 			run := func(kind gateKind) []*limitTrial {
 				return runLimitTrials(kind, s.limits, s.demand, s.disturb)
 			}
-			trials, one := run(ours), run(central)
-			var others []limitBaseline
-			if withBaselines() {
-				others = []limitBaseline{
-					{"evenSplit", run(evenSplit)}, {"unlimitedLocal", run(unlimitedLocal)}, {"oneBucket", one},
+			trials, centralTrials := run(ours), run(central)
+			var baselineTrials []limitBaseline
+			if baselinesEnabled() {
+				baselineTrials = []limitBaseline{
+					{"evenSplit", run(evenSplit)}, {"unlimitedLocal", run(unlimitedLocal)}, {"oneBucket", centralTrials},
 				}
 			}
 			for _, m := range s.measures {
 				row := measurer.Row{
-					Case: "limits/" + s.testName, Measure: m.name, Ours: m.worst(trials, one),
+					Case: "limits/" + s.testName, Measure: m.name, Ours: m.worst(trials, centralTrials),
 					Bound: m.bound, Goal: m.goal,
 				}
-				for _, other := range others {
-					row.Baselines = append(row.Baselines, measurer.Baseline{Name: other.name, Value: m.worst(other.trials, one)})
+				for _, other := range baselineTrials {
+					row.Baselines = append(row.Baselines, measurer.Baseline{Name: other.name, Value: m.worst(other.trials, centralTrials)})
 				}
 				check(t, row)
 			}
@@ -192,7 +192,7 @@
 	}
 }
 
-// limitBaseline is another way's trials on the same arrivals.
+// limitBaseline holds a baseline's trials with the same arrivals.
 type limitBaseline struct {
 	name   string
 	trials []*limitTrial
@@ -208,7 +208,7 @@
 		tr.clock.runTo(warmUp)
 		tr.resetSlots()
 		tr.clock.runTo(trialEnd(limits))
-		tr.count(0)
+		tr.addInFlight(0)
 		trials = append(trials, tr)
 	}
 	return trials
@@ -221,13 +221,13 @@
 	return endAt
 }
 
-// worst gives the figure of the trial that is furthest to the wrong side.
-func (m limitMeasure) worst(trials, one []*limitTrial) float64 {
+// worst returns the figure of the trial that is worst in the direction of the bound.
+func (m limitMeasure) worst(trials, centralTrials []*limitTrial) float64 {
 	worst := 0.0
 	for i, tr := range trials {
 		figure := m.read(tr)
 		if m.relative {
-			figure /= m.read(one[i])
+			figure /= m.read(centralTrials[i])
 		}
 		switch {
 		case i == 0:
--- a/measurer/row.go
+++ b/measurer/row.go
@@ -1,6 +1,6 @@
-// Package measurer holds the form in which measurements of the policy are reported, and in
-// its test files the measurements of limits, fair share, deadlines and surges: scripted
-// arrivals with a seed, given service times and simulated time, against baselines.
+// Package measurer defines the format in which measurements of the policy are reported. Its test files measure
+// limits, fair share, deadlines and surges: scripted arrivals with a seed, given service times and simulated time,
+// compared with baselines.
 package measurer
 
 import (
@@ -8,12 +8,13 @@
 	"strings"
 )
 
-// Direction tells on which side of a bound a figure must be.
+// Direction states on which side of a bound a figure must be.
 type Direction uint8
 
-// The directions.
 const (
+	// AtMost means that a figure must not exceed the bound.
 	AtMost Direction = iota
+	// AtLeast means that a figure must not be below the bound.
 	AtLeast
 )
 
@@ -24,13 +25,13 @@
 	return ">="
 }
 
-// Limit is a figure's bound or goal.
+// Limit is the bound or the goal of a figure.
 type Limit struct {
 	Direction Direction
 	Value     float64
 }
 
-// Holds tells whether the figure is on the right side.
+// Holds reports whether the figure is within the limit.
 func (l Limit) Holds(figure float64) bool {
 	if l.Direction == AtMost {
 		return figure <= l.Value
@@ -40,29 +41,30 @@
 
 func (l Limit) String() string { return fmt.Sprintf("%s%.4g", l.Direction, l.Value) }
 
-// Baseline is the figure of another way on the same arrivals.
+// Baseline is the figure of another policy with the same arrivals.
 type Baseline struct {
 	Name  string
 	Value float64
 }
 
-// Row is one measurement.
+// Row is one measurement and its baselines.
 type Row struct {
 	Case, Measure string
-	Ours          float64
-	Baselines     []Baseline
-	// Bound is the regression bound, set from a measured run. Tests assert it.
+	// Ours is the figure of the policy under test.
+	Ours      float64
+	Baselines []Baseline
+	// Bound is the regression bound, which tests assert.
 	Bound Limit
-	// Goal is what is wished for. A goal that is missed is reported, not asserted.
+	// Goal is the target, or nil. A missed goal is reported, not asserted.
 	Goal *Limit
 }
 
-// Prefix begins each line that holds a Row.
-const Prefix = "policy: "
+// RowPrefix begins each line that contains a Row.
+const RowPrefix = "policy: "
 
 func (r Row) String() string {
 	var b strings.Builder
-	fmt.Fprintf(&b, "%scase=%s measure=%s ours=%.4g", Prefix, r.Case, r.Measure, r.Ours)
+	fmt.Fprintf(&b, "%scase=%s measure=%s ours=%.4g", RowPrefix, r.Case, r.Measure, r.Ours)
 	for _, baseline := range r.Baselines {
 		fmt.Fprintf(&b, " baseline=%s:%.4g", baseline.Name, baseline.Value)
 	}
--- a/measurer/site_test.go
+++ b/measurer/site_test.go
@@ -8,8 +8,8 @@
 	"geraniumline/scheduler"
 )
 
-// stageSpec is one stage of the pipeline in the trials: its pool and its service times,
-// log-normal about the mean.
+// stageSpec is one stage of the simulated pipeline: its pool, and its service times, which are log-normal with the
+// given mean.
 type stageSpec struct {
 	name  string
 	slots int
@@ -17,7 +17,7 @@
 	sigma float64
 }
 
-// pipeline has its bottleneck at the end, where a request that fails has cost the most.
+// pipeline has its bottleneck at the last stage, where a request that fails has cost the most.
 var pipeline = []stageSpec{
 	{"encode", 2, 12 * time.Millisecond, 0.3},
 	{"retrieve", 4, 30 * time.Millisecond, 0.4},
@@ -25,7 +25,7 @@
 	{"generate", 40, 900 * time.Millisecond, 0.5},
 }
 
-// siteCapacity is the requests a second that the narrowest pool can serve.
+// siteCapacity returns the requests per second that the narrowest pool can serve.
 func siteCapacity() float64 {
 	least := math.Inf(1)
 	for _, s := range pipeline {
@@ -34,20 +34,20 @@
 	return least
 }
 
-// callers are one account's arrivals.
-type callers struct {
+// accountLoad describes the arrivals of one account.
+type accountLoad struct {
 	account  string
 	weight   float64
 	urgency  scheduler.Urgency
 	deadline time.Duration
-	// perSecond is the offered rate at a time since start.
+	// perSecond returns the offered rate at the given time since start.
 	perSecond func(elapsed time.Duration) float64
 }
 
-// job is one request on its way through the pipeline.
+// job is one request passing through the pipeline.
 type job struct {
 	id       uint64
-	from     *callers
+	source   *accountLoad
 	arrived  time.Time
 	deadline time.Time
 	stage    int
@@ -55,36 +55,36 @@
 	spent    float64
 	started  time.Time
 	expected float64
-	end      ending
+	outcome  outcome
 	ended    time.Time
-	entered  time.Time
-	// announced are the items of the stages after the first.
+	enqueued time.Time
+	// announced holds the items of the stages after the first.
 	announced []scheduler.Item
 }
 
-type ending uint8
+type outcome uint8
 
 const (
-	running ending = iota
+	running outcome = iota
 	inTime
 	refused
 	lost
 )
 
-// dispatcher is a way to admit, queue and give up requests: ours or a baseline's.
+// dispatcher admits, queues and gives up requests: the policy under test or a baseline.
 type dispatcher interface {
 	admit(s *site, j *job) bool
 	push(s *site, pool int, j *job)
-	// pop gives the next job of a pool, or nil.
+	// pop returns the next job of a pool, or nil if there is none.
 	pop(s *site, pool int) *job
 	backlog(pool int) int
-	// budget is how long the job's present stage may run.
+	// budget returns how long the current stage of the job may run.
 	budget(s *site, j *job) time.Duration
 	served(s *site, j *job, service time.Duration)
 	ended(j *job)
 }
 
-// site is a pipeline of pools with one dispatcher before them, in simulated time.
+// site simulates a pipeline of pools behind one dispatcher.
 type site struct {
 	clock *clock
 	rng   *rand.Rand
@@ -93,46 +93,46 @@
 	jobs  []*job
 
 	idleBacklog, idle float64
-	// idleUntil is idle at the end of the window that is counted.
+	// idleUntil is the value of idle at the end of the measured window.
 	idleUntil float64
 	since     time.Time
 }
 
-func newSite(d dispatcher, seed uint64, load []callers) *site {
+func newSite(d dispatcher, seed uint64, load []accountLoad) *site {
 	s := &site{clock: newClock(), rng: rand.New(rand.NewPCG(seed, 2)), d: d}
 	s.since = s.clock.now
 	for _, spec := range pipeline {
 		s.free = append(s.free, spec.slots)
 	}
 	for i := range load {
-		s.arrive(&load[i])
+		s.scheduleArrival(&load[i])
 	}
 	return s
 }
 
-func (s *site) arrive(from *callers) {
-	const look = 50 * time.Millisecond
-	perSecond := from.perSecond(s.clock.elapsed())
+func (s *site) scheduleArrival(source *accountLoad) {
+	const pollInterval = 50 * time.Millisecond
+	perSecond := source.perSecond(s.clock.elapsed())
 	gap := time.Duration(math.MaxInt64)
 	if perSecond > 0 {
 		gap = time.Duration(s.rng.ExpFloat64() / perSecond * float64(time.Second))
 	}
-	if gap > look {
-		s.clock.after(look, func() { s.arrive(from) })
+	if gap > pollInterval {
+		s.clock.after(pollInterval, func() { s.scheduleArrival(source) })
 		return
 	}
 	s.clock.after(gap, func() {
-		s.request(from)
-		s.arrive(from)
+		s.request(source)
+		s.scheduleArrival(source)
 	})
 }
 
-func (s *site) request(from *callers) {
-	j := &job{id: uint64(len(s.jobs) + 1), from: from, arrived: s.clock.now, deadline: s.clock.now.Add(from.deadline)}
+func (s *site) request(source *accountLoad) {
+	j := &job{id: uint64(len(s.jobs) + 1), source: source, arrived: s.clock.now, deadline: s.clock.now.Add(source.deadline)}
 	for _, spec := range pipeline {
 		mu := -spec.sigma * spec.sigma / 2
-		stretch := math.Exp(mu + spec.sigma*s.rng.NormFloat64())
-		j.service = append(j.service, time.Duration(stretch*float64(spec.mean)))
+		factor := math.Exp(mu + spec.sigma*s.rng.NormFloat64())
+		j.service = append(j.service, time.Duration(factor*float64(spec.mean)))
 	}
 	s.jobs = append(s.jobs, j)
 	if !s.d.admit(s, j) {
@@ -143,8 +143,8 @@
 }
 
 func (s *site) enter(j *job) {
-	j.entered = s.clock.now
-	s.measure()
+	j.enqueued = s.clock.now
+	s.accumulateIdle()
 	s.d.push(s, j.stage, j)
 	s.dispatch(j.stage)
 }
@@ -159,26 +159,26 @@
 	}
 }
 
-// run serves one stage; it is cut when its budget ends.
+// run runs one stage of a job; the stage is cut off at the end of its budget.
 func (s *site) run(pool int, j *job) {
-	s.measure()
+	s.accumulateIdle()
 	s.free[pool]--
 	j.started = s.clock.now
-	service, whole := j.service[j.stage], true
+	service, completed := j.service[j.stage], true
 	if budget := s.d.budget(s, j); service > budget {
-		service, whole = max(budget, 0), false
+		service, completed = max(budget, 0), false
 	}
 	s.clock.after(service, func() {
-		s.measure()
+		s.accumulateIdle()
 		s.free[pool]++
 		j.spent += float64(service.Milliseconds())
-		s.advance(j, service, whole)
+		s.advance(j, service, completed)
 		s.dispatch(pool)
 	})
 }
 
-func (s *site) advance(j *job, service time.Duration, whole bool) {
-	if !whole {
+func (s *site) advance(j *job, service time.Duration, completed bool) {
+	if !completed {
 		s.finish(j, lost)
 		return
 	}
@@ -195,24 +195,24 @@
 	s.finish(j, inTime)
 }
 
-func (s *site) finish(j *job, end ending) {
-	j.end = end
+func (s *site) finish(j *job, end outcome) {
+	j.outcome = end
 	j.ended = s.clock.now
 	s.d.ended(j)
 }
 
-// bottleneck is the index of the narrowest pool.
+// bottleneck is the index of the narrowest pool in pipeline.
 const bottleneck = 3
 
-// measure adds up the idle slots of the bottleneck, and those that were idle under backlog.
-func (s *site) measure() {
+// accumulateIdle adds up the slot seconds that the bottleneck was idle, in total and while jobs were waiting.
+func (s *site) accumulateIdle() {
 	elapsed := s.clock.now.Sub(s.since).Seconds()
 	s.since = s.clock.now
 	s.idle += elapsed * float64(s.free[bottleneck])
 	s.idleBacklog += elapsed * float64(min(s.free[bottleneck], s.d.backlog(bottleneck)))
 }
 
-// tally is what became of the requests that arrived in a window.
+// tally counts the outcomes of the requests that arrived in a window.
 type tally struct {
 	offered, inTime, refused, lost int
 	work, wasted                   float64
@@ -223,7 +223,7 @@
 	var t tally
 	for _, j := range s.jobs {
 		at := j.arrived.Sub(start)
-		if at < from || at >= to || account != "" && j.from.account != account {
+		if at < from || at >= to || account != "" && j.source.account != account {
 			continue
 		}
 		t.add(j)
@@ -234,7 +234,7 @@
 func (t *tally) add(j *job) {
 	t.offered++
 	t.work += j.spent
-	switch j.end {
+	switch j.outcome {
 	case inTime:
 		t.inTime++
 		return
@@ -254,15 +254,15 @@
 	return part / whole
 }
 
-// attainment is the part of the offered requests that was answered in time.
+// attainment returns the share of the offered requests that were answered in time.
 func (t tally) attainment() float64 { return ratio(float64(t.inTime), float64(t.offered)) }
 
-// admittedAttainment is the part of the admitted requests that was answered in time.
+// admittedAttainment returns the share of the admitted requests that were answered in time.
 func (t tally) admittedAttainment() float64 {
 	return ratio(float64(t.inTime), float64(t.inTime+t.lost))
 }
 
-func (t tally) wastedPart() float64 {
+func (t tally) wastedShare() float64 {
 	if t.work == 0 {
 		return 0
 	}
--- a/measurer/window.go
+++ b/measurer/window.go
@@ -2,8 +2,9 @@
 
 import "time"
 
-// MostWithin is the most of the times, which are in order, in any span of the length.
-func MostWithin(times []time.Time, length time.Duration) int {
+// MaxInWindow returns the largest number of times in any span of the given length. The times must be in ascending
+// order.
+func MaxInWindow(times []time.Time, length time.Duration) int {
 	most, first := 0, 0
 	for i, at := range times {
 		for at.Sub(times[first]) > length {
--- a/reducer/property_test.go
+++ b/reducer/property_test.go
@@ -23,7 +23,7 @@
 type runStats struct{ steps, faults, requests, answered, notRun, unknown int }
 
 // TestAnyOrder runs three cores, one log and four endpoints through random orders of events: requests with few
-// keys at any entry; effects and events performed in any order, late, lost or duplicated; entries killed,
+// keys at any entry; effects and events performed in any order, late, lost or twice; entries killed,
 // restarted, frozen and cut off from the log; appends refused, lost or without reply; endpoints that refuse, cut,
 // mix up and lose replies; operators that race. Then all faults are ended. In every run, nothing that must not be
 // repeated may run twice, no attempt that ran may be answered notRun, no answer may belong to another request, and
@@ -91,9 +91,9 @@
 	return r
 }
 
-// draw returns a random number from 0 to highest.
-func (r *randomRun) draw(label string, highest int) int {
-	return rapid.IntRange(0, highest).Draw(r.rt, label)
+// draw returns a random number from 0 to high.
+func (r *randomRun) draw(name string, high int) int {
+	return rapid.IntRange(0, high).Draw(r.rt, name)
 }
 
 func (r *randomRun) node() int { return r.draw("entry", len(r.w.nodes)-1) }
--- a/reducer/quarantine_test.go
+++ b/reducer/quarantine_test.go
@@ -28,7 +28,7 @@
 type crashTrial struct {
 	perPool int
 	seed    uint64
-	// together is how many entries receive the input at the start, all at the same moment.
+	// concurrent is how many entries receive the input at the start, all at the same moment.
 	concurrent int
 	configure  func(*reducer.Config)
 }
--- a/reducer/reply_test.go
+++ b/reducer/reply_test.go
@@ -9,7 +9,7 @@
 	"geraniumline/endpointserver"
 )
 
-// An endpoint's reply to a call is wrong, duplicated, out of order or cut off. The caller must get either its own
+// An endpoint's reply to a call is wrong, sent twice, out of order or cut off. The caller must get either its own
 // complete answer or a plain failure, and a stage that must not be repeated must never run a second time for it.
 func TestReplies(t *testing.T) {
 	for _, s := range []struct {
--- a/regulator/policy_test.go
+++ b/regulator/policy_test.go
@@ -264,7 +264,7 @@
 					used += float64(len(m.since(began.Add(5*time.Second)))) / (15 * limit) / seeds
 					m.kill(2)
 					m.run(10 * time.Second)
-					most = max(most, measurer.MostWithin(m.since(began.Add(contactTime)), window))
+					most = max(most, measurer.MaxInWindow(m.since(began.Add(contactTime)), window))
 					if p, ok := m.way.(*permitsWay); ok {
 						messages += p.messages / 30 / seeds
 					}
