--- a/measurer/dispatchers_test.go
+++ b/measurer/dispatchers_test.go
@@ -70,7 +70,7 @@
 	return true
 }
 
-// withdraw withdraws the items announced for the stages from from to to-1.
+// withdraw withdraws the items announced for stages with an index in [from, to).
 func (p *policy) withdraw(j *job, from, to int) {
 	if len(j.announced) == 0 {
 		return
--- a/reducer/property_test.go
+++ b/reducer/property_test.go
@@ -92,9 +92,7 @@
 }
 
 // draw returns a random number from 0 to high.
-func (r *randomRun) draw(name string, high int) int {
-	return rapid.IntRange(0, high).Draw(r.rt, name)
-}
+func (r *randomRun) draw(name string, high int) int { return rapid.IntRange(0, high).Draw(r.rt, name) }
 
 func (r *randomRun) node() int { return r.draw("entry", len(r.w.nodes)-1) }
 
@@ -171,7 +169,7 @@
 	}
 }
 
-// dropOrDuplicate drops a message between entries or duplicates a part of a reply.
+// dropOrDuplicate drops a message between entries or delivers a part of a reply twice.
 func (r *randomRun) dropOrDuplicate() {
 	for at, op := range r.w.queue {
 		switch _, part := op.event.(*StagePartArrived); {
