--- a/reducer/system_test.go
+++ b/reducer/system_test.go
@@ -331,7 +331,7 @@
 func (s *system) maxEjectedShare(pool string) float64 {
 	most := 0.0
 	for _, e := range s.entries {
- s.deliver(e, reducer.StatusRequested{})
+		s.deliver(e, reducer.StatusRequested{})
 		all, out := 0, 0
 		for _, endpoint := range s.status.Endpoints {
 			if endpoint.Pool != pool {
