--- a/claimer/backlog.go
+++ b/claimer/backlog.go
@@ -93,10 +93,10 @@
 	return 0, true
 }
 
-// Delay is the time that a claim added now may be expected to take until its append's reply.
-func (b *Batcher) Delay(now time.Time) time.Duration {
+// ExpectedDelay is the time that a claim added now may be expected to take until its append's reply.
+func (b *Batcher) ExpectedDelay(now time.Time) time.Duration {
 	return max(b.sentAt.Add(b.cfg.Window).Sub(now), 0) + b.latency
 }
 
-// Waiting gives the number of records in line.
-func (b *Batcher) Waiting() int { return len(b.waiting) }
+// Queued gives the number of records in line.
+func (b *Batcher) Queued() int { return len(b.waiting) }
--- a/claimer/batcher.go
+++ b/claimer/batcher.go
@@ -247,10 +247,10 @@
 	}
 }
 
-// Landed notes that the table has read a batch back, whatever its append's reply was.
+// Committed notes that the table has read a batch back, whatever its append's reply was.
 // A batch that was read back soon proves that the log takes appends and only its replies are lost. Without this a
 // lost reply would count as a failing log, and requests would be refused that could well be claimed.
-func (b *Batcher) Landed(batchID uint64, now time.Time) {
+func (b *Batcher) Committed(batchID uint64, now time.Time) {
 	if f, ok := b.flights[batchID]; ok {
 		f.landed = true
 		if f.uncertain {
--- a/claimer/batcher_test.go
+++ b/claimer/batcher_test.go
@@ -121,7 +121,7 @@
 	notDue(t, b, at(349))
 	id = due(t, b, at(350), oneOutcome(2))
 	b.Appended(id, AppendUncertain{}, at(400))
-	b.Landed(id, at(1400))
+	b.Committed(id, at(1400))
 	id = due(t, b, at(1400))
 	b.Appended(id, AppendDone{}, at(1410))
 	notDue(t, b, at(2500))
@@ -145,11 +145,11 @@
 			b.Add(oneClaim(1))
 			id := due(t, b, at(0), oneClaim(1))
 			if s.readFirst {
-				b.Landed(id, at(s.readAt))
+				b.Committed(id, at(s.readAt))
 			}
 			b.Appended(id, AppendUncertain{}, at(30))
 			if !s.readFirst {
-				b.Landed(id, at(s.readAt))
+				b.Committed(id, at(s.readAt))
 			}
 			_, available := b.Available(at(s.readAt))
 			require.Equal(t, s.available, available)
--- a/claimer/bench_test.go
+++ b/claimer/bench_test.go
@@ -72,7 +72,7 @@
 			for b.Loop() {
 				before := heapBytes()
 				table := New(Config{Entry: "a", Incarnation: 1})
-				table.Gap(0)
+				table.BeginPage(0)
 				for _, r := range records {
 					table.Apply(r)
 				}
--- a/claimer/decision.go
+++ b/claimer/decision.go
@@ -18,7 +18,7 @@
 type Lost struct {
 	Key     Key
 	ClaimID uint64
-	Holder  Holding
+	Holder  KeyStatus
 	// SameDigest tells that the holder's request has the same body; if not, the key was used for two requests.
 	SameDigest bool
 }
@@ -45,40 +45,40 @@
 	Reason  VoidReason
 }
 
-// Unproved tells that the own claim is the first one this table knows, but that it may have missed earlier ones.
+// Unverified tells that the own claim is the first one this table knows, but that it may have missed earlier ones.
 // It must not be dispatched, nor released: others may take it for the holder or may not.
-type Unproved struct {
+type Unverified struct {
 	Key     Key
 	ClaimID uint64
 }
 
 // ForeignOutcome tells that a request of another claim ended.
 type ForeignOutcome struct {
-	Key     Key
-	Holding Holding
+	Key    Key
+	Status KeyStatus
 }
 
-// Freed tells that a claim was released: nothing ran under the key, and it may be claimed again.
-type Freed struct {
+// Released tells that a claim was released: nothing ran under the key, and it may be claimed again.
+type Released struct {
 	Key Key
 }
 
-// ClosedOwner tells that an incarnation was closed: its claims without outcome are of unknown outcome.
-type ClosedOwner struct {
+// IncarnationClosed tells that an incarnation was closed: its claims without outcome are of unknown outcome.
+type IncarnationClosed struct {
 	Entry       string
 	Incarnation uint64
 }
 
-// Landed tells that an own batch is in the log.
-type Landed struct {
+// BatchCommitted tells that an own batch is in the log.
+type BatchCommitted struct {
 	BatchID uint64
 }
 
-func (Won) decision()            {}
-func (Lost) decision()           {}
-func (Voided) decision()         {}
-func (Unproved) decision()       {}
-func (ForeignOutcome) decision() {}
-func (Freed) decision()          {}
-func (ClosedOwner) decision()    {}
-func (Landed) decision()         {}
+func (Won) decision()               {}
+func (Lost) decision()              {}
+func (Voided) decision()            {}
+func (Unverified) decision()        {}
+func (ForeignOutcome) decision()    {}
+func (Released) decision()          {}
+func (IncarnationClosed) decision() {}
+func (BatchCommitted) decision()    {}
--- a/claimer/holding.go
+++ b/claimer/holding.go
@@ -7,22 +7,22 @@
 	"github.com/google/uuid"
 )
 
-// KeyUnprovableError tells of a key for which this table may have missed a claim.
-type KeyUnprovableError struct {
-	Birth time.Time
+// KeyUnverifiableError tells of a key for which this table may have missed a claim.
+type KeyUnverifiableError struct {
+	CreatedAt time.Time
 	// Lapsed tells that it holds for every key, until the process takes a new incarnation.
 	Lapsed bool
 }
 
-func (e *KeyUnprovableError) Error() string {
+func (e *KeyUnverifiableError) Error() string {
 	if e.Lapsed {
 		return "records of the claims stream were cut before they were read"
 	}
-	return fmt.Sprintf("claims from the time of the key, %s, were not all read", e.Birth.UTC().Format(time.RFC3339Nano))
+	return fmt.Sprintf("claims from the time of the key, %s, were not all read", e.CreatedAt.UTC().Format(time.RFC3339Nano))
 }
 
-// Holding is what the log says of a key.
-type Holding struct {
+// KeyStatus is what the log says of a key.
+type KeyStatus struct {
 	// Held tells that a claim holds the key; false after its release.
 	Held        bool
 	Entry       string
@@ -34,12 +34,12 @@
 	OwnerClosed bool
 	// Ended tells that the outcome is recorded.
 	Ended   bool
-	Outcome Ending
+	Outcome RecordedOutcome
 }
 
-// Ending is a recorded outcome.
-type Ending struct {
-	State   State
+// RecordedOutcome is a recorded outcome.
+type RecordedOutcome struct {
+	State   OutcomeState
 	Answer  string
 	Parts   int
 	Code    string
@@ -75,7 +75,7 @@
 	digest [32]byte
 	held   bool
 	// ending is nil until the outcome is recorded.
-	ending *Ending
+	ending *RecordedOutcome
 }
 
 func (h *holding) hold(claim claimIdentity, offset int64, digest [32]byte) {
@@ -88,7 +88,7 @@
 func (h *holding) ended() bool { return h.ending != nil }
 
 func (h *holding) end(offset int64, r Outcome) {
-	h.ending = &Ending{
+	h.ending = &RecordedOutcome{
 		State:   r.State,
 		Answer:  r.Answer,
 		Parts:   r.Parts,
@@ -98,8 +98,8 @@
 	}
 }
 
-func (t *Table) view(h *holding) Holding {
-	out := Holding{
+func (t *Table) view(h *holding) KeyStatus {
+	out := KeyStatus{
 		Held:        h.held,
 		Entry:       t.names.name(h.claim.owner.entry),
 		Incarnation: h.claim.owner.incarnation,
--- a/claimer/key.go
+++ b/claimer/key.go
@@ -26,21 +26,21 @@
 
 // KeyTooOldError tells of a key that is past its horizon: what became of it may be forgotten.
 type KeyTooOldError struct {
-	Birth   time.Time
-	Horizon time.Duration
+	CreatedAt time.Time
+	Horizon   time.Duration
 }
 
 func (e *KeyTooOldError) Error() string {
-	return fmt.Sprintf("idempotency key of %s is older than %s", e.Birth.UTC().Format(time.RFC3339Nano), e.Horizon)
+	return fmt.Sprintf("idempotency key of %s is older than %s", e.CreatedAt.UTC().Format(time.RFC3339Nano), e.Horizon)
 }
 
 // KeyFromFutureError tells of a key whose birth is later than clocks may differ.
 type KeyFromFutureError struct {
-	Birth time.Time
+	CreatedAt time.Time
 }
 
 func (e *KeyFromFutureError) Error() string {
-	return fmt.Sprintf("idempotency key of %s is from the future", e.Birth.UTC().Format(time.RFC3339Nano))
+	return fmt.Sprintf("idempotency key of %s is from the future", e.CreatedAt.UTC().Format(time.RFC3339Nano))
 }
 
 // MaxSkew is how far the clocks of callers, entries and the log may differ.
@@ -57,8 +57,8 @@
 	return id, nil
 }
 
-// Birth gives the time at which the caller made the key, to the millisecond, or a *KeyFormatError.
-func Birth(key string) (time.Time, error) {
+// KeyTime gives the time at which the caller made the key, to the millisecond, or a *KeyFormatError.
+func KeyTime(key string) (time.Time, error) {
 	id, err := parseKey(key)
 	if err != nil {
 		return time.Time{}, err
@@ -78,10 +78,10 @@
 // CheckAge refuses a key that is past its horizon (*KeyTooOldError) or from the future (*KeyFromFutureError).
 func CheckAge(birth, now time.Time, horizon time.Duration) error {
 	if now.Sub(birth) > horizon {
-		return &KeyTooOldError{Birth: birth, Horizon: horizon}
+		return &KeyTooOldError{CreatedAt: birth, Horizon: horizon}
 	}
 	if birth.Sub(now) > MaxSkew {
-		return &KeyFromFutureError{Birth: birth}
+		return &KeyFromFutureError{CreatedAt: birth}
 	}
 	return nil
 }
--- a/claimer/key_test.go
+++ b/claimer/key_test.go
@@ -9,7 +9,7 @@
 
 // A key's age decides whether its fate is still remembered, so the age must be in the key itself.
 func TestBirth(t *testing.T) {
-	born, err := Birth(testKey)
+	born, err := KeyTime(testKey)
 	require.NoError(t, err)
 	require.Equal(t, bornMillis, born.UnixMilli())
 	for _, s := range []struct{ testName, key string }{
@@ -22,7 +22,7 @@
 	} {
 		t.Run(s.testName, func(t *testing.T) {
 			var format *KeyFormatError
-			_, err := Birth(s.key)
+			_, err := KeyTime(s.key)
 			require.ErrorAs(t, err, &format)
 		})
 	}
--- a/claimer/model_test.go
+++ b/claimer/model_test.go
@@ -149,11 +149,11 @@
 
 // send is a caller's request at an entry.
 func (w *world) send(p *process, k Key, digest [32]byte) {
-	birth, err := Birth(k.Key)
+	birth, err := KeyTime(k.Key)
 	if err != nil {
 		return
 	}
-	if CheckAge(birth, w.now, modelHorizon) != nil || p.table.CheckProvable(birth) != nil {
+	if CheckAge(birth, w.now, modelHorizon) != nil || p.table.CheckVerifiable(birth) != nil {
 		return
 	}
 	if h, ok := p.table.Lookup(k); ok && h.Held {
@@ -235,11 +235,11 @@
 
 // read gives a process the next records, as one page.
 func (w *world) read(p *process, limit int) {
-	if p.table.Renew(w.log.era) {
+	if p.table.BeginEra(w.log.era) {
 		w.faults["renewed"]++
-		p.batcher.Add(Mark{Era: w.log.era})
+		p.batcher.Add(EraMark{Era: w.log.era})
 	}
-	if p.table.Gap(w.log.first) {
+	if p.table.BeginPage(w.log.first) {
 		w.faults["gap"]++
 	}
 	if p.table.Lapsed() {
@@ -271,28 +271,28 @@
 		w.win(p, d)
 	case Lost:
 		w.tell(p, d.ClaimID, "unknown")
-	case Unproved:
+	case Unverified:
 		w.faults["unproved"]++
 		w.tell(p, d.ClaimID, "unknown")
 	case Voided:
 		w.faults[fmt.Sprintf("void%d", d.Reason)]++
 		w.tellVoided(p, d)
-	case Landed:
-		p.batcher.Landed(d.BatchID, w.now)
-	case Freed:
+	case BatchCommitted:
+		p.batcher.Committed(d.BatchID, w.now)
+	case Released:
 		for _, a := range w.ledger[d.Key] {
 			w.checkFreed(p, a, offset)
 		}
 	case ForeignOutcome:
-		w.checkOutcome(p, d.Key, d.Holding)
+		w.checkOutcome(p, d.Key, d.Status)
 	}
 }
 
 // checkFreed holds the freeing of a key against its run. In a later era than the run's the log may have lost the claim that ran, and
 // have an earlier one's release land only then; the key must not be won any more.
 func (w *world) checkFreed(p *process, ran *attempt, offset int64) {
-	birth, err := Birth(ran.key.Key)
-	lost := ran.era < p.table.era && err == nil && p.table.CheckProvable(birth) != nil
+	birth, err := KeyTime(ran.key.Key)
+	lost := ran.era < p.table.era && err == nil && p.table.CheckVerifiable(birth) != nil
 	if ran.offset < offset && !lost {
 		w.violate("%s: key %s freed at %d after it ran at %d", p.name, ran.key.Key, offset, ran.offset)
 	}
@@ -355,7 +355,7 @@
 
 func answerOf(a *attempt) string { return fmt.Sprintf("answer to %s %x", a.key.Key, a.digest[0]) }
 
-func (w *world) checkOutcome(p *process, k Key, h Holding) {
+func (w *world) checkOutcome(p *process, k Key, h KeyStatus) {
 	runs := w.ledger[k]
 	if len(runs) != 1 || runs[0].told != "answered" || h.Outcome.Answer != answerOf(runs[0]) {
 		w.violate("%s: outcome of key %s is %q, but the ledger has %d runs", p.name, k.Key, h.Outcome.Answer, len(runs))
--- a/claimer/record.go
+++ b/claimer/record.go
@@ -27,13 +27,13 @@
 	ClaimID uint64
 }
 
-// State tells how a request ended.
-type State uint8
+// OutcomeState tells how a request ended.
+type OutcomeState uint8
 
 // How a request ends.
 const (
 	// StateAnswered is for a request whose whole answer is known.
-	StateAnswered State = iota + 1
+	StateAnswered OutcomeState = iota + 1
 	// StateUnknown is for a request that may have run.
 	StateUnknown
 	// StateAnswerNotKept is for a request that was answered, but whose answer is not held here: a reader who took
@@ -45,7 +45,7 @@
 type Outcome struct {
 	Key     Key
 	ClaimID uint64
-	State   State
+	State   OutcomeState
 	Answer  string
 	Parts   int
 	Code    string
@@ -58,13 +58,13 @@
 	Incarnation uint64
 }
 
-// Mark says that its writer knew of an era of the log when it appended the batch. Whatever the log lost when the era began was
+// EraMark says that its writer knew of an era of the log when it appended the batch. Whatever the log lost when the era began was
 // appended before.
-type Mark struct {
+type EraMark struct {
 	Era int64
 }
 
-func (Mark) claimRecord()    {}
+func (EraMark) claimRecord() {}
 func (Claim) claimRecord()   {}
 func (Release) claimRecord() {}
 func (Outcome) claimRecord() {}
@@ -149,7 +149,7 @@
 		})
 	case Closed:
 		wire.Closed = append(wire.Closed, recorder.Closed{Entry: r.Entry, Incarnation: r.Incarnation})
-	case Mark:
+	case EraMark:
 		wire.EraMark = max(wire.EraMark, r.Era)
 	}
 }
@@ -218,7 +218,7 @@
 		batch.Records = append(batch.Records, Outcome{
 			Key:     Key{r.Account, r.Key},
 			ClaimID: r.ClaimID,
-			State:   State(r.State),
+			State:   OutcomeState(r.State),
 			Answer:  r.Answer,
 			Parts:   int(r.Parts),
 			Code:    r.Code,
@@ -232,7 +232,7 @@
 		batch.Records = append(batch.Records, Claim{Key: Key{r.Account, r.Key}, Digest: r.Digest, ClaimID: r.ClaimID})
 	}
 	if wire.EraMark > 0 {
-		batch.Records = append(batch.Records, Mark{Era: wire.EraMark})
+		batch.Records = append(batch.Records, EraMark{Era: wire.EraMark})
 	}
 	return batch
 }
--- a/claimer/table.go
+++ b/claimer/table.go
@@ -78,12 +78,12 @@
 	}
 }
 
-// Renew takes the era of the log's next page, and tells whether it is a new one: then a Mark of it must be appended, and the
+// BeginEra takes the era of the log's next page, and tells whether it is a new one: then a Mark of it must be appended, and the
 // stream is read anew from its beginning. In a new era the log may have lost claims whose requests ran. Their keys were born before
 // it began, so this table proves none that is older than the era's first Mark. What it holds stands; which incarnations are
 // closed is for the new era's records to say, as it is for tables that know no others.
 // Symptom without it: an entry that has not read a lost claim wins its key, and the request runs twice.
-func (t *Table) Renew(era int64) bool {
+func (t *Table) BeginEra(era int64) bool {
 	if era <= t.era {
 		return false
 	}
@@ -104,12 +104,12 @@
 	return t.renewed && (t.firstMillis == never || firstKept >= t.firstMillis)
 }
 
-// Gap takes the log's oldest kept offset, once before each page's records. It tells whether records were cut
+// BeginPage takes the log's oldest kept offset, once before each page's records. It tells whether records were cut
 // before this table could read them: from then on the table proves nothing about older keys.
 // If that happens after the start, the incarnation itself may have been closed in the part that is lost.
 // Symptom without it: the entry goes on to dispatch claims that all others hold void, and a request runs twice.
 // So it may win no claim any more, until the process takes a new incarnation, which nobody can have closed yet.
-func (t *Table) Gap(first int64) bool {
+func (t *Table) BeginPage(first int64) bool {
 	fresh := !t.started
 	t.started = true
 	if first <= max(t.next, 1) {
@@ -162,7 +162,7 @@
 			d = t.applyRelease(by, r)
 		case Outcome:
 			d = t.applyOutcome(offset, by, own, r)
-		case Mark:
+		case EraMark:
 			t.applyMark(r)
 		case Closed:
 			d = t.applyClosed(r)
@@ -174,13 +174,13 @@
 		}
 	}
 	if own {
-		out = append(out, Landed{BatchID: batch.BatchID})
+		out = append(out, BatchCommitted{BatchID: batch.BatchID})
 	}
 	return out
 }
 
 // applyMark has keys proved from the first mark of the present era on. One of an earlier era was appended before this one's losses.
-func (t *Table) applyMark(m Mark) {
+func (t *Table) applyMark(m EraMark) {
 	if t.awaitsMark && m.Era == t.era {
 		t.awaitsMark = false
 		t.markMillis = t.logMillis
@@ -188,9 +188,9 @@
 	}
 }
 
-// BeforeEra tells whether a key may have been used before the log last returned from an older copy, so that a claim of it may be
+// PredatesEra tells whether a key may have been used before the log last returned from an older copy, so that a claim of it may be
 // lost. Keys of callers whose clocks are ahead may be older than they say; their claims are not won either.
-func (t *Table) BeforeEra(birth time.Time) bool {
+func (t *Table) PredatesEra(birth time.Time) bool {
 	return t.era > 0 && (t.awaitsMark || birth.UnixMilli() <= t.markMillis)
 }
 
@@ -200,7 +200,7 @@
 		return nil
 	}
 	t.closed[o] = true
-	return ClosedOwner(r)
+	return IncarnationClosed(r)
 }
 
 func (t *Table) applyClaim(offset int64, by owner, own bool, c Claim) Decision {
@@ -228,7 +228,7 @@
 		return nil
 	}
 	if !t.proves(birth) {
-		return Unproved{Key: c.Key, ClaimID: c.ClaimID}
+		return Unverified{Key: c.Key, ClaimID: c.ClaimID}
 	}
 	return Won{Key: c.Key, ClaimID: c.ClaimID, Offset: offset}
 }
@@ -278,7 +278,7 @@
 		return nil
 	}
 	h.held = false
-	return Freed{Key: r.Key}
+	return Released{Key: r.Key}
 }
 
 func (t *Table) applyOutcome(offset int64, by owner, own bool, r Outcome) Decision {
@@ -291,7 +291,7 @@
 	if own {
 		return nil
 	}
-	return ForeignOutcome{Key: r.Key, Holding: t.view(h)}
+	return ForeignOutcome{Key: r.Key, Status: t.view(h)}
 }
 
 func (t *Table) find(k Key) *holding {
@@ -307,21 +307,21 @@
 }
 
 // Lookup tells what the log says of a key; false if no valid claim for it was read.
-func (t *Table) Lookup(k Key) (Holding, bool) {
+func (t *Table) Lookup(k Key) (KeyStatus, bool) {
 	h := t.find(k)
 	if h == nil {
-		return Holding{}, false
+		return KeyStatus{}, false
 	}
 	return t.view(h), true
 }
 
-// CheckProvable refuses a key that a claim could not be proved for, with a *KeyUnprovableError.
+// CheckVerifiable refuses a key that a claim could not be proved for, with a *KeyUnprovableError.
 // It spares the append; Apply asks the same again.
-func (t *Table) CheckProvable(birth time.Time) error {
+func (t *Table) CheckVerifiable(birth time.Time) error {
 	if t.proves(birth.UnixMilli()) {
 		return nil
 	}
-	return &KeyUnprovableError{Birth: birth, Lapsed: t.lapsed}
+	return &KeyUnverifiableError{CreatedAt: birth, Lapsed: t.lapsed}
 }
 
 // Offset gives the last offset read.
@@ -333,8 +333,8 @@
 // Len gives the number of keys that are remembered.
 func (t *Table) Len() int { return len(t.slots) }
 
-// Bad counts records that are no batches and were passed over.
-func (t *Table) Bad() int { return t.bad }
+// BadRecords counts records that are no batches and were passed over.
+func (t *Table) BadRecords() int { return t.bad }
 
 // Lapsed tells that this incarnation may win no claim any more: the process must take a new one.
 func (t *Table) Lapsed() bool { return t.lapsed }
--- a/claimer/table_test.go
+++ b/claimer/table_test.go
@@ -51,14 +51,14 @@
 	return []ClaimRecord{Closed{Entry: entry, Incarnation: inc}}
 }
 
-func holder(entry string, id uint64, offset int64, body [32]byte) Holding {
-	return Holding{Held: true, Entry: entry, Incarnation: 1, ClaimID: id, Offset: offset, Digest: body}
+func holder(entry string, id uint64, offset int64, body [32]byte) KeyStatus {
+	return KeyStatus{Held: true, Entry: entry, Incarnation: 1, ClaimID: id, Offset: offset, Digest: body}
 }
 
-func endedHolder(entry string, id uint64, offset int64, answer string, at int64) Holding {
+func endedHolder(entry string, id uint64, offset int64, answer string, at int64) KeyStatus {
 	h := holder(entry, id, offset, bodyOne)
 	h.Ended = true
-	h.Outcome = Ending{State: StateAnswered, Answer: answer, Parts: 3, Offset: at}
+	h.Outcome = RecordedOutcome{State: StateAnswered, Answer: answer, Parts: 3, Offset: at}
 	return h
 }
 
@@ -75,35 +75,35 @@
 			// Entry a reads b's claim before its own, and so knows that it must not run the request.
 			testName: "the first claim in the log wins, at the other entry too",
 			log:      []landed{{1, 0, "b", 1, claim(7, bodyOne)}, {2, 0, "a", 1, claim(1, bodyOne)}},
-			want:     []Decision{Lost{wall, 1, holder("b", 7, 1, bodyOne), true}, Landed{2}},
+			want:     []Decision{Lost{wall, 1, holder("b", 7, 1, bodyOne), true}, BatchCommitted{2}},
 		},
 		{
 			// Offsets have holes, so the winner's is not one more than the last.
 			testName: "an own claim that lies first is won",
 			log:      []landed{{5, 0, "a", 1, claim(1, bodyOne)}, {9, 0, "b", 1, claim(7, bodyOne)}},
-			want:     []Decision{Won{wall, 1, 5}, Landed{5}},
+			want:     []Decision{Won{wall, 1, 5}, BatchCommitted{5}},
 		},
 		{
 			// A caller reuses a key for another request. Its body differs, so the first answer is not its answer.
 			testName: "a key with another body is told apart",
 			log:      []landed{{1, 0, "b", 1, claim(7, bodyTwo)}, {2, 0, "a", 1, claim(1, bodyOne)}},
-			want:     []Decision{Lost{wall, 1, holder("b", 7, 1, bodyTwo), false}, Landed{2}},
+			want:     []Decision{Lost{wall, 1, holder("b", 7, 1, bodyTwo), false}, BatchCommitted{2}},
 		},
 		{
 			// The reply to an append is lost and a relay sends it again: the batch lies in the log twice.
 			// The second copy must not make the owner run the request again.
 			testName: "a second copy of a winning claim settles nothing",
 			log:      []landed{{1, 0, "a", 1, claim(1, bodyOne)}, {2, 0, "a", 1, claim(1, bodyOne)}},
-			want:     []Decision{Won{wall, 1, 1}, Landed{1}, Landed{2}},
+			want:     []Decision{Won{wall, 1, 1}, BatchCommitted{1}, BatchCommitted{2}},
 		},
 		{
 			// A former process of the same name had claimed the key and died. The new process has the same
 			// entry name, but did not dispatch, and cannot know whether the dead one did.
 			testName: "a former incarnation's claim is another's",
 			log:      []landed{{1, 0, "a", 0, claim(1, bodyOne)}, {2, 0, "a", 1, claim(1, bodyOne)}},
-			want: []Decision{Lost{wall, 1, Holding{
+			want: []Decision{Lost{wall, 1, KeyStatus{
 				Held: true, Entry: "a", ClaimID: 1, Offset: 1, Digest: bodyOne,
-			}, true}, Landed{2}},
+			}, true}, BatchCommitted{2}},
 		},
 		{
 			// b gave its request up while its claim was on its way, then read it back and released it.
@@ -111,14 +111,14 @@
 			testName: "a released key can be won",
 			log: []landed{{1, 0, "b", 1, claim(7, bodyOne)}, {2, 0, "b", 1, release(7)},
 				{3, 0, "a", 1, claim(1, bodyOne)}},
-			want: []Decision{Freed{wall}, Won{wall, 1, 3}, Landed{3}},
+			want: []Decision{Released{wall}, Won{wall, 1, 3}, BatchCommitted{3}},
 		},
 		{
 			// b runs the request. c, by an error or from a former life, releases a claim that is not its own.
 			testName: "only the owner can release",
 			log: []landed{{1, 0, "b", 1, claim(7, bodyOne)}, {2, 0, "c", 1, release(7)}, {3, 0, "b", 2, release(7)},
 				{4, 0, "b", 1, release(8)}, {5, 0, "a", 1, claim(1, bodyOne)}},
-			want: []Decision{Lost{wall, 1, holder("b", 7, 1, bodyOne), true}, Landed{5}},
+			want: []Decision{Lost{wall, 1, holder("b", 7, 1, bodyOne), true}, BatchCommitted{5}},
 		},
 		{
 			// An ended request's owner must not be able to free its key: the next sending would run it again.
@@ -126,7 +126,7 @@
 			log: []landed{{1, 0, "b", 1, claim(7, bodyOne)}, {2, 0, "b", 1, outcome(7, "done")},
 				{3, 0, "b", 1, release(7)}, {4, 0, "a", 1, claim(1, bodyOne)}},
 			want: []Decision{ForeignOutcome{wall, endedHolder("b", 7, 1, "done", 2)},
-				Lost{wall, 1, endedHolder("b", 7, 1, "done", 2), true}, Landed{4}},
+				Lost{wall, 1, endedHolder("b", 7, 1, "done", 2), true}, BatchCommitted{4}},
 		},
 		{
 			// The endpoint's answer to c's own request is filed under b's key, by a confused entry.
@@ -143,61 +143,61 @@
 			testName: "a claim after its incarnation's closing is void",
 			log: []landed{{1, 0, "a", 1, closing("b", 1)}, {2, 0, "b", 1, claim(7, bodyOne)},
 				{3, 0, "a", 1, claim(1, bodyOne)}},
-			want: []Decision{ClosedOwner{"b", 1}, Landed{1}, Won{wall, 1, 3}, Landed{3}},
+			want: []Decision{IncarnationClosed{"b", 1}, BatchCommitted{1}, Won{wall, 1, 3}, BatchCommitted{3}},
 		},
 		{
 			// b had claimed before it was declared dead. It may have dispatched, so the key is never run again.
 			testName: "a claim before its incarnation's closing holds",
 			log: []landed{{1, 0, "b", 1, claim(7, bodyOne)}, {2, 0, "a", 1, closing("b", 1)},
 				{3, 0, "a", 1, claim(1, bodyOne)}},
-			want: []Decision{ClosedOwner{"b", 1}, Landed{2}, Lost{wall, 1, Holding{
+			want: []Decision{IncarnationClosed{"b", 1}, BatchCommitted{2}, Lost{wall, 1, KeyStatus{
 				Held: true, Entry: "b", Incarnation: 1, ClaimID: 7, Offset: 1, Digest: bodyOne, OwnerClosed: true,
-			}, true}, Landed{3}},
+			}, true}, BatchCommitted{3}},
 		},
 		{
 			// a was frozen and declared dead, wakes up and claims. All others hold the claim void, so must a.
 			testName: "a closed incarnation wins nothing",
 			log:      []landed{{1, 0, "c", 1, closing("a", 1)}, {2, 0, "a", 1, claim(1, bodyOne)}},
-			want:     []Decision{ClosedOwner{"a", 1}, Voided{wall, 1, VoidClosed}, Landed{2}},
+			want:     []Decision{IncarnationClosed{"a", 1}, Voided{wall, 1, VoidClosed}, BatchCommitted{2}},
 		},
 		{
 			// The log was slow: the claim lands when the key is past its horizon, and other tables may have
 			// forgotten what became of the key.
 			testName: "a claim that lands past the horizon is void",
 			log:      []landed{{1, 10*time.Minute + time.Second, "a", 1, claim(1, bodyOne)}},
-			want:     []Decision{Voided{wall, 1, VoidTooOld}, Landed{1}},
+			want:     []Decision{Voided{wall, 1, VoidTooOld}, BatchCommitted{1}},
 		},
 		{
 			// The caller's clock is minutes ahead. A fresh table reckons that no claim for a key can lie more
 			// than the skew before the key's birth, so no table may take one that does.
 			testName: "a claim far before its key's birth is void",
 			log:      []landed{{1, -2 * time.Minute, "a", 1, claim(1, bodyOne)}},
-			want:     []Decision{Voided{wall, 1, VoidFromFuture}, Landed{1}},
+			want:     []Decision{Voided{wall, 1, VoidFromFuture}, BatchCommitted{1}},
 		},
 		{
 			// a is new and the log's oldest records are cut: an earlier claim for the key may be among those.
 			testName: "a key from before the oldest record read is not won",
 			first:    10,
 			log:      []landed{{10, time.Minute, "c", 1, nil}, {11, time.Minute, "a", 1, claim(1, bodyOne)}},
-			want:     []Decision{Unproved{wall, 1}, Landed{11}},
+			want:     []Decision{Unverified{wall, 1}, BatchCommitted{11}},
 		},
 		{
 			// The same, but all that was cut is older than any claim for the key can be.
 			testName: "a key from after the oldest record read is won",
 			first:    10,
 			log:      []landed{{10, -2 * time.Minute, "c", 1, nil}, {11, time.Minute, "a", 1, claim(1, bodyOne)}},
-			want:     []Decision{Won{wall, 1, 11}, Landed{11}},
+			want:     []Decision{Won{wall, 1, 11}, BatchCommitted{11}},
 		},
 		{
 			testName: "a key that is no UUIDv7 is void",
 			log:      []landed{{1, 0, "a", 1, []ClaimRecord{Claim{Key: Key{"wallcare", "digest-7"}, ClaimID: 1}}}},
-			want:     []Decision{Voided{Key{"wallcare", "digest-7"}, 1, VoidBadKey}, Landed{1}},
+			want:     []Decision{Voided{Key{"wallcare", "digest-7"}, 1, VoidBadKey}, BatchCommitted{1}},
 		},
 	}
 	for _, s := range scenarios {
 		t.Run(s.testName, func(t *testing.T) {
 			table := New(Config{Entry: "a", Incarnation: 1})
-			table.Gap(s.first)
+			table.BeginPage(s.first)
 			var got []Decision
 			for _, l := range s.log {
 				got = append(got, table.Apply(l.record(t))...)
@@ -212,15 +212,15 @@
 // closing is cut before it wakes. It claims a key that all others hold free: it must not run it.
 func TestAnEntryThatMissedRecordsWinsNothing(t *testing.T) {
 	table := New(Config{Entry: "a", Incarnation: 1})
-	require.False(t, table.Gap(0))
+	require.False(t, table.BeginPage(0))
 	table.Apply(landed{1, -time.Hour, "b", 1, nil}.record(t))
-	require.True(t, table.Gap(20), "records 2 to 19 were cut")
+	require.True(t, table.BeginPage(20), "records 2 to 19 were cut")
 	got := table.Apply(landed{20, time.Minute, "a", 1, claim(1, bodyOne)}.record(t))
-	require.Equal(t, []Decision{Unproved{wall, 1}, Landed{20}}, got)
+	require.Equal(t, []Decision{Unverified{wall, 1}, BatchCommitted{20}}, got)
 	require.True(t, table.Lapsed())
 
-	var unprovable *KeyUnprovableError
-	require.ErrorAs(t, table.CheckProvable(time.UnixMilli(bornMillis).Add(time.Hour)), &unprovable)
+	var unprovable *KeyUnverifiableError
+	require.ErrorAs(t, table.CheckVerifiable(time.UnixMilli(bornMillis).Add(time.Hour)), &unprovable)
 	require.True(t, unprovable.Lapsed, "no key at all, under this incarnation")
 }
 
@@ -228,14 +228,14 @@
 // otherwise take an empty memory for an empty log.
 func TestATableThatWasNotStartedProvesNothing(t *testing.T) {
 	table := New(Config{Entry: "a", Incarnation: 1})
-	require.Equal(t, []Decision{Unproved{wall, 1}, Landed{1}}, table.Apply(landed{1, 0, "a", 1, claim(1, bodyOne)}.record(t)))
+	require.Equal(t, []Decision{Unverified{wall, 1}, BatchCommitted{1}}, table.Apply(landed{1, 0, "a", 1, claim(1, bodyOne)}.record(t)))
 }
 
 // Keys are forgotten by the log's time once they can be claimed no more, and old answers before that,
 // so that a table's memory follows the last horizon's requests.
 func TestMemoryIsBounded(t *testing.T) {
 	table := New(Config{Entry: "a", Incarnation: 1, AnswerBytes: 10})
-	table.Gap(0)
+	table.BeginPage(0)
 	table.Apply(landed{1, 0, "b", 1, append(claim(7, bodyOne), Claim{Key: Key{"wallcare", secondKey}, ClaimID: 8})}.record(t))
 	table.Apply(landed{2, 0, "b", 1, outcome(7, "eight by")}.record(t))
 	table.Apply(landed{3, 0, "b", 1, []ClaimRecord{Outcome{Key: Key{"wallcare", secondKey}, ClaimID: 8, Answer: "eight by"}}}.record(t))
@@ -257,9 +257,9 @@
 // A record that is no batch lies in the log for all to read: it is passed over, and stops nobody.
 func TestABadRecordStopsNobody(t *testing.T) {
 	table := New(Config{Entry: "a", Incarnation: 1})
-	table.Gap(0)
+	table.BeginPage(0)
 	require.Empty(t, table.Apply(recorder.Record{Offset: 1, AtMillis: bornMillis, Data: []byte("{}")}))
-	require.Equal(t, 1, table.Bad())
+	require.Equal(t, 1, table.BadRecords())
 	got := table.Apply(landed{2, 0, "a", 1, claim(1, bodyOne)}.record(t))
-	require.Equal(t, []Decision{Won{wall, 1, 2}, Landed{2}}, got)
+	require.Equal(t, []Decision{Won{wall, 1, 2}, BatchCommitted{2}}, got)
 }
--- a/launcher/check.go
+++ b/launcher/check.go
@@ -113,7 +113,7 @@
 			objects = append(objects, o)
 		}
 	}
-	for _, f := range publisher.CheckWhole(whole) {
+	for _, f := range publisher.CheckConfiguration(whole) {
 		result := from[f.Index]
 		result.Faults = append(result.Faults, objects[f.Index].Fault(f.Fault.Path, f.Fault.Message))
 		result.err = inFile(result.File, &loader.FaultsError{Faults: result.Faults})
--- a/publisher/bench_test.go
+++ b/publisher/bench_test.go
@@ -31,7 +31,7 @@
 
 func foldAll(records []recorder.Record) *Fold {
 	f := New(Config{Entry: "a"})
-	f.Gap(0)
+	f.BeginPage(0)
 	for _, r := range records {
 		f.Apply(r)
 	}
@@ -100,7 +100,7 @@
 	f.Fuzz(func(t *testing.T, data []byte) {
 		for _, first := range []int64{0, 10_000} {
 			fold := foldAll(benchRecords(t, 1))
-			fold.Gap(first)
+			fold.BeginPage(first)
 			before := fold.Offset()
 			fold.Apply(recorder.Record{Offset: 10_001, AtMillis: testMillis, Data: data})
 			require.GreaterOrEqual(t, fold.Offset(), before)
--- a/publisher/fold.go
+++ b/publisher/fold.go
@@ -162,8 +162,8 @@
 // Next gives the offset to read from.
 func (f *Fold) Next() int64 { return f.read + 1 }
 
-// Bad counts records that could not be read and were passed over.
-func (f *Fold) Bad() int { return f.bad }
+// BadRecords counts records that could not be read and were passed over.
+func (f *Fold) BadRecords() int { return f.bad }
 
 // Complete tells that no gap holds changes back.
 func (f *Fold) Complete() bool { return !f.gap.open }
--- a/publisher/fold_test.go
+++ b/publisher/fold_test.go
@@ -43,7 +43,7 @@
 func folded(t *testing.T, changes ...Change) (*Fold, []Verdict) {
 	t.Helper()
 	f := New(Config{Entry: "a"})
-	require.False(t, f.Gap(0))
+	require.False(t, f.BeginPage(0))
 	var verdicts []Verdict
 	for i, c := range changes {
 		r := recordOf(t, int64(2*(i+1)), c)
@@ -169,7 +169,7 @@
 func TestABadRecordStopsNobody(t *testing.T) {
 	f, _ := folded(t, base()...)
 	require.Empty(t, f.Apply(recorder.Record{Offset: 20, AtMillis: testMillis, Data: []byte{0xc1, 0x00}}))
-	require.Equal(t, 1, f.Bad())
+	require.Equal(t, 1, f.BadRecords())
 	require.Equal(t, int64(20), f.Offset())
 	verdicts := f.Apply(recordOf(t, 21, set("x", KindContract, "wallcare", 0, goodContract)))
 	require.Equal(t, Accepted, verdicts[0].State)
@@ -190,7 +190,7 @@
 		return r
 	}
 	late := New(Config{Entry: "c"})
-	require.True(t, late.Gap(11))
+	require.True(t, late.BeginPage(11))
 	for range historyLimit + 50 {
 		r := next()
 		old.Apply(r)
--- a/publisher/gap.go
+++ b/publisher/gap.go
@@ -25,9 +25,9 @@
 	}
 }
 
-// Gap takes the log's oldest kept offset, once before each page's records. It tells whether records that the
+// BeginPage takes the log's oldest kept offset, once before each page's records. It tells whether records that the
 // fold needs may have been cut and no snapshot has made up for them: an alarm. The fold keeps what it has.
-func (f *Fold) Gap(first int64) bool {
+func (f *Fold) BeginPage(first int64) bool {
 	if first > f.read+1 {
 		f.gap = gap{open: true, floor: first - 1}
 		f.snaps.forgetParts()
--- a/publisher/gap_test.go
+++ b/publisher/gap_test.go
@@ -37,13 +37,13 @@
 func TestANewReaderStartsAtASnapshot(t *testing.T) {
 	old, records := written(t)
 	fresh := New(Config{Entry: "b"})
-	require.True(t, fresh.Gap(11), "records were cut and no snapshot is there yet")
+	require.True(t, fresh.BeginPage(11), "records were cut and no snapshot is there yet")
 	var verdicts []Verdict
 	for _, r := range records {
 		require.False(t, fresh.SnapshotDue(time.UnixMilli(testMillis).Add(time.Hour)), "it has nothing to give")
 		verdicts = append(verdicts, fresh.Apply(r)...)
 	}
-	require.False(t, fresh.Gap(11))
+	require.False(t, fresh.BeginPage(11))
 	require.Equal(t, old.Offset(), fresh.Offset())
 	require.Equal(t, fingerprint(old), fingerprint(fresh))
 	require.Len(t, verdicts, 2)
@@ -57,11 +57,11 @@
 	old, records := written(t)
 	reader, _ := folded(t, base()[:4]...)
 	had := fingerprint(reader)
-	require.True(t, reader.Gap(14))
+	require.True(t, reader.BeginPage(14))
 	for _, r := range records[1:] {
 		require.Empty(t, reader.Apply(r))
 	}
-	require.True(t, reader.Gap(14))
+	require.True(t, reader.BeginPage(14))
 	require.Equal(t, int64(8), reader.Offset())
 	require.Equal(t, had, fingerprint(reader))
 
--- a/publisher/model_test.go
+++ b/publisher/model_test.go
@@ -84,7 +84,7 @@
 func (w *world) read(name string, limit int) {
 	f := w.readers[name]
 	wasComplete := f.Complete()
-	if f.Gap(w.first) && wasComplete {
+	if f.BeginPage(w.first) && wasComplete {
 		w.counts["gap"]++
 	}
 	for _, r := range w.records {
--- a/publisher/whole.go
+++ b/publisher/whole.go
@@ -17,8 +17,8 @@
 // kindOrder is the order in which a system is published for the first time: what is referred to comes first.
 var kindOrder = map[string]int{KindPool: 0, KindPipeline: 1, KindContract: 2, KindPlacement: 3}
 
-// CheckWhole checks objects that are the whole configuration together, references between them included.
-func CheckWhole(objects []Object) []ObjectFault {
+// CheckConfiguration checks objects that are the whole configuration together, references between them included.
+func CheckConfiguration(objects []Object) []ObjectFault {
 	order := make([]int, len(objects))
 	for i := range order {
 		order[i] = i
--- a/reducer/ask.go
+++ b/reducer/ask.go
@@ -87,7 +87,7 @@
 	return outcome
 }
 
-func outcomeOf(key claimer.Key, holding claimer.Holding) Outcome {
+func outcomeOf(key claimer.Key, holding claimer.KeyStatus) Outcome {
 	if holding.Outcome.State == claimer.StateAnswerNotKept {
 		return Outcome{State: StateUnknown, Digest: holding.Digest, Failure: answerNotKept(key)}
 	}
@@ -107,7 +107,7 @@
 }
 
 // answerHeld answers a request whose key a claim holds already.
-func (c *Core) answerHeld(id uint64, key claimer.Key, digest [32]byte, holding claimer.Holding, until, now time.Time) {
+func (c *Core) answerHeld(id uint64, key claimer.Key, digest [32]byte, holding claimer.KeyStatus, until, now time.Time) {
 	if holding.Digest != digest {
 		c.refuse(id, key.Key, keyReused())
 		return
@@ -335,7 +335,7 @@
 			continue
 		}
 		delete(c.asked, call)
-		outcome := outcomeOf(d.Key, d.Holding)
+		outcome := outcomeOf(d.Key, d.Status)
 		if ask.outcomeOnly {
 			c.emit(SendOutcome{ID: ask.id, Key: ask.key.Key, Outcome: outcome})
 			continue
--- a/reducer/claim.go
+++ b/reducer/claim.go
@@ -48,7 +48,7 @@
 // claimDelay is how long a claim made now will take to be read back: the mean of recent ones, or what the
 // batcher expects if that is greater.
 func (c *Core) claimDelay(now time.Time) time.Duration {
-	return max(c.claimMean, c.batcher.Delay(now))
+	return max(c.claimMean, c.batcher.ExpectedDelay(now))
 }
 
 // claim appends the request's claim. Nothing is dispatched before it is read back as the key's first.
@@ -146,14 +146,14 @@
 		c.takeLost(d, now)
 	case claimer.Voided:
 		c.takeVoided(d.ClaimID, voidCode(d.Reason), now)
-	case claimer.Unproved:
+	case claimer.Unverified:
 		c.takeUnproved(d, now)
 	case claimer.ForeignOutcome:
 		c.takeForeignOutcome(d, now)
-	case claimer.ClosedOwner:
+	case claimer.IncarnationClosed:
 		c.ownerDied(d.Entry)
-	case claimer.Landed:
-		c.batcher.Landed(d.BatchID, now)
+	case claimer.BatchCommitted:
+		c.batcher.Committed(d.BatchID, now)
 	}
 }
 
@@ -191,7 +191,7 @@
 }
 
 // answerByHolder answers the callers of a request that another claim serves.
-func (c *Core) answerByHolder(r *request, holder claimer.Holding, now time.Time) {
+func (c *Core) answerByHolder(r *request, holder claimer.KeyStatus, now time.Time) {
 	callers := append([]uint64{r.id}, r.joined...)
 	c.drop(r, now)
 	for _, id := range callers {
@@ -256,7 +256,7 @@
 
 // takeUnproved ends a request whose claim is the first that this entry knows, although it may have missed
 // earlier ones. It is neither dispatched nor released, and an earlier claim may have run.
-func (c *Core) takeUnproved(d claimer.Unproved, now time.Time) {
+func (c *Core) takeUnproved(d claimer.Unverified, now time.Time) {
 	r, waiting := c.claiming[d.ClaimID]
 	if !waiting {
 		return
@@ -281,14 +281,14 @@
 	}
 }
 
-func claimState(state State) claimer.State {
+func claimState(state State) claimer.OutcomeState {
 	if state == StateAnswered {
 		return claimer.StateAnswered
 	}
 	return claimer.StateUnknown
 }
 
-func stateOfClaim(state claimer.State) State {
+func stateOfClaim(state claimer.OutcomeState) State {
 	if state == claimer.StateAnswered {
 		return StateAnswered
 	}
--- a/reducer/counters.go
+++ b/reducer/counters.go
@@ -4,7 +4,7 @@
 
 // Busy tells whether any caller waits for this entry or anything is to be appended, so that time matters.
 func (c *Core) Busy() bool {
-	return len(c.requests) > 0 || len(c.asked) > 0 || len(c.publishes) > 0 || c.appending > 0 || c.batcher.Waiting() > 0 ||
+	return len(c.requests) > 0 || len(c.asked) > 0 || len(c.publishes) > 0 || c.appending > 0 || c.batcher.Queued() > 0 ||
 		c.drainer.Phase() != drainer.Serving
 }
 
--- a/reducer/log.go
+++ b/reducer/log.go
@@ -34,12 +34,12 @@
 }
 
 func (c *Core) foldClaims(e LogRead, now time.Time) {
-	if c.table.Renew(e.Era) {
-		c.batcher.Add(claimer.Mark{Era: e.Era})
+	if c.table.BeginEra(e.Era) {
+		c.batcher.Add(claimer.EraMark{Era: e.Era})
 		c.logs[StreamClaims].caughtUp = e.AtEnd
 		c.emit(LogChange{Message: "claims are proved from a mark of the log's era on", Subject: string(StreamClaims), To: strconv.FormatInt(e.Era, 10)})
 	}
-	if c.table.Gap(e.First) {
+	if c.table.BeginPage(e.First) {
 		c.emit(LogChange{Message: "the log cut claims before they were read", Subject: string(StreamClaims)})
 	}
 	for _, record := range e.Records {
@@ -47,7 +47,7 @@
 			c.takeClaimDecision(decision, now)
 		}
 	}
-	c.counters.ClaimsRecordsBad = uint64(c.table.Bad())
+	c.counters.ClaimsRecordsBad = uint64(c.table.BadRecords())
 }
 
 // takeLogFailed notes that a stream can't be read now.
@@ -62,7 +62,7 @@
 
 // foldConfig applies configuration records from the log or from a peer.
 func (c *Core) foldConfig(records []recorder.Record, first int64, now time.Time) {
-	if first > 0 && c.fold.Gap(first) && len(records) > 0 {
+	if first > 0 && c.fold.BeginPage(first) && len(records) > 0 {
 		c.configs.restart(first - 1)
 		c.emit(LogChange{Message: "the log lost configuration that no snapshot covers", Subject: string(StreamConfig)})
 	}
@@ -76,7 +76,7 @@
 			c.takeVerdict(verdict)
 		}
 	}
-	c.counters.ConfigRecordsBad = uint64(c.fold.Bad())
+	c.counters.ConfigRecordsBad = uint64(c.fold.BadRecords())
 	if incomplete {
 		c.applyAll(now)
 	}
--- a/reducer/refusal.go
+++ b/reducer/refusal.go
@@ -56,8 +56,8 @@
 // provable tells whether no claim for the key can have been missed: an entry that started at a log whose oldest
 // records were cut does not know the claims of that time.
 func (c *Core) provable(key claimer.Key) bool {
-	birth, err := claimer.Birth(key.Key)
-	return err == nil && c.table.CheckProvable(birth) == nil
+	birth, err := claimer.KeyTime(key.Key)
+	return err == nil && c.table.CheckVerifiable(birth) == nil
 }
 
 // claimsAge is the longest time since the claims stream was last read to its end. A reading waits a second
@@ -66,7 +66,7 @@
 
 // lostSince tells whether an entry that can't be asked any more was alive when the key may have been used.
 func (c *Core) lostSince(key claimer.Key) bool {
-	birth, err := claimer.Birth(key.Key)
+	birth, err := claimer.KeyTime(key.Key)
 	if err != nil {
 		return false
 	}
@@ -97,8 +97,8 @@
 
 // beforeEra tells whether the log may have lost a claim of the key when it returned from an older copy.
 func (c *Core) beforeEra(key claimer.Key) bool {
-	birth, err := claimer.Birth(key.Key)
-	return err == nil && c.table.BeforeEra(birth)
+	birth, err := claimer.KeyTime(key.Key)
+	return err == nil && c.table.PredatesEra(birth)
 }
 
 // mayHaveRun is the truth about a refused key that another entry may have served.
--- a/reducer/request.go
+++ b/reducer/request.go
@@ -116,7 +116,7 @@
 // notKnown makes the refusal of an entry that has no configuration yet true of the key too: it can't tell whether
 // the pipeline has side effects, nor whether another entry has run them under a key that allows them.
 func notKnown(failure Failure, key string) Failure {
-	if _, err := claimer.Birth(key); failure.Code == CodeNotReady && err == nil {
+	if _, err := claimer.KeyTime(key); failure.Code == CodeNotReady && err == nil {
 		failure.State = StateUnknown
 		failure.Message += "; this attempt did not run"
 	}
@@ -237,7 +237,7 @@
 
 // checkClaimable refuses a request with side effects whose key could not be claimed in time.
 func (c *Core) checkClaimable(e *RequestArrived, now time.Time) *Failure {
-	birth, err := claimer.Birth(e.Key)
+	birth, err := claimer.KeyTime(e.Key)
 	if err != nil {
 		return &Failure{Code: CodeUnsupportedKey, Message: "a request with side effects needs a UUIDv7 as its key", State: StateNotRun}
 	}
@@ -247,7 +247,7 @@
 	if !c.claimsReady(now) {
 		return &Failure{Code: CodeLogUnavailable, Message: "the log can't be read, so the request can't be claimed", State: StateNotRun, RetryAfter: logRetryAfter}
 	}
-	if err := c.table.CheckProvable(birth); err != nil {
+	if err := c.table.CheckVerifiable(birth); err != nil {
 		return &Failure{Code: CodeNotReady, Message: "this entry has not read the claims from the time of the key", State: StateNotRun, RetryAfter: logRetryAfter}
 	}
 	if wait, available := c.batcher.Available(now); !available {
--- a/reducer/stop.go
+++ b/reducer/stop.go
@@ -45,7 +45,7 @@
 	if before == drainer.Serving || c.stopped {
 		return
 	}
-	unhanded := c.batcher.Waiting() + c.appending
+	unhanded := c.batcher.Queued() + c.appending
 	after := c.drainer.Step(len(c.requests)+len(c.asked), unhanded, now)
 	if after == before {
 		return
