--- a/claimer/backlog.go
+++ b/claimer/backlog.go
@@ -5,16 +5,16 @@
 	"time"
 )
 
-// recordOverhead is more than an encoded record needs beside its strings.
+// recordOverhead is an upper bound, in bytes, on an encoded record's size apart from its strings.
 const recordOverhead = 96
 
-// maxDoublings keeps the wait after failures from overflowing.
-const maxDoublings = 16
+// maxBackoffShift keeps the retry backoff from overflowing.
+const maxBackoffShift = 16
 
-// latencyWeight is how much one append counts in the smoothed latency: one part in eight.
-const latencyWeight = 8
+// latencySmoothing is the divisor of the exponential moving average: each append counts for one part in eight.
+const latencySmoothing = 8
 
-func size(record ClaimRecord) int {
+func recordSize(record ClaimRecord) int {
 	switch r := record.(type) {
 	case Claim:
 		return recordOverhead + len(r.Key.Account) + len(r.Key.Key)
@@ -28,75 +28,76 @@
 	return recordOverhead
 }
 
-// take removes the records of the next append from the line; at least one, if there is one.
-func (b *Batcher) take() []ClaimRecord {
+// dequeue removes and returns the records of the next append, at least one if any are queued.
+func (b *Batcher) dequeue() []ClaimRecord {
 	n := 0
-	for bytes := 0; n < len(b.waiting) && n < b.cfg.MaxRecords; n++ {
-		bytes += size(b.waiting[n])
+	for bytes := 0; n < len(b.queue) && n < b.cfg.MaxRecords; n++ {
+		bytes += recordSize(b.queue[n])
 		if n > 0 && bytes > b.cfg.MaxBytes {
 			break
 		}
 	}
-	records := slices.Clone(b.waiting[:n])
-	b.waiting = slices.Delete(b.waiting, 0, n)
+	records := slices.Clone(b.queue[:n])
+	b.queue = slices.Delete(b.queue, 0, n)
 	return records
 }
 
-// requeue puts the records of uncertain batches in line again when their time has come.
+// requeue returns the records of uncertain batches to the queue once their retry time has come.
 func (b *Batcher) requeue(now time.Time) {
 	var ids []uint64
-	for id, f := range b.flights {
-		if f.uncertain && !now.Before(f.againAt) {
+	for id, s := range b.sent {
+		if s.uncertain && !now.Before(s.retryAt) {
 			ids = append(ids, id)
 		}
 	}
 	slices.Sort(ids)
 	for _, id := range ids {
-		b.waiting = append(b.waiting, b.flights[id].records...)
-		delete(b.flights, id)
+		b.queue = append(b.queue, b.sent[id].records...)
+		delete(b.sent, id)
 	}
 }
 
-func withoutClaims(records []ClaimRecord) []ClaimRecord {
+func dropClaims(records []ClaimRecord) []ClaimRecord {
 	return slices.DeleteFunc(records, func(r ClaimRecord) bool {
 		_, ok := r.(Claim)
 		return ok
 	})
 }
 
-func (b *Batcher) fail(now time.Time, wish time.Duration) {
-	wait := b.cfg.RetryAfter << min(b.failures, maxDoublings)
-	wait = max(min(wait, b.cfg.MaxRetryAfter), wish)
+func (b *Batcher) recordFailure(now time.Time, minWait time.Duration) {
+	wait := b.cfg.RetryAfter << min(b.failures, maxBackoffShift)
+	wait = max(min(wait, b.cfg.MaxRetryAfter), minWait)
 	b.failures++
 	b.retryAt = now.Add(wait)
 }
 
-func (b *Batcher) observe(latency time.Duration) {
+func (b *Batcher) observeLatency(latency time.Duration) {
 	if b.latency == 0 {
 		b.latency = latency
 		return
 	}
-	b.latency += (latency - b.latency) / latencyWeight
+	b.latency += (latency - b.latency) / latencySmoothing
 }
 
-// Available tells whether a claim that is added now may be expected to land, and if not, when to come back.
-// With the log down or slow, a request that needs a claim is refused at once rather than held.
+// Available reports whether a claim added now can be expected to be appended and, if not, how long to wait
+// before a retry. While the log is down or slow, a request that needs a claim is refused at once instead of
+// being held.
 func (b *Batcher) Available(now time.Time) (time.Duration, bool) {
 	if b.failures > 0 {
 		return max(b.retryAt.Sub(now), b.cfg.RetryAfter), false
 	}
-	for _, f := range b.flights {
-		if !f.uncertain && now.Sub(f.since) >= b.cfg.AppendTimeout {
+	for _, s := range b.sent {
+		if !s.uncertain && now.Sub(s.since) >= b.cfg.AppendTimeout {
 			return b.cfg.RetryAfter, false
 		}
 	}
 	return 0, true
 }
 
-// ExpectedDelay is the time that a claim added now may be expected to take until its append's reply.
+// ExpectedDelay returns how long a claim added now is expected to take until its append is confirmed.
 func (b *Batcher) ExpectedDelay(now time.Time) time.Duration {
-	return max(b.sentAt.Add(b.cfg.Window).Sub(now), 0) + b.latency
+	return max(b.lastSentAt.Add(b.cfg.Window).Sub(now), 0) + b.latency
 }
 
-// Queued gives the number of records in line.
-func (b *Batcher) Queued() int { return len(b.waiting) }
+// Queued returns the number of records that wait to be appended.
+func (b *Batcher) Queued() int { return len(b.queue) }
--- a/claimer/batcher.go
+++ b/claimer/batcher.go
@@ -5,21 +5,21 @@
 	"time"
 )
 
-// BatcherConfig says how records are grouped into appends.
+// BatcherConfig configures how records are grouped into appends.
 type BatcherConfig struct {
 	Entry       string
 	Incarnation uint64
-	// Window is the shortest time between two appends of this entry; it sets the entry's part of the log's
-	// appends a second, and the longest wait of a claim on an idle log.
+	// Window is the minimum time between two appends of this entry. It determines the entry's share of the
+	// log's appends per second and the longest wait of a claim on an idle log.
 	Window time.Duration
-	// MaxRecords and MaxBytes bound one append.
+	// MaxRecords and MaxBytes limit one append.
 	MaxRecords int
 	MaxBytes   int
-	// MaxInFlight bounds the appends without reply.
+	// MaxInFlight limits the number of unconfirmed appends.
 	MaxInFlight int
-	// AppendTimeout is the age at which an append without reply counts as a failing log.
+	// AppendTimeout is the age at which an unconfirmed append marks the log as failing.
 	AppendTimeout time.Duration
-	// RetryAfter is the first wait after a failed append; it doubles up to MaxRetryAfter.
+	// RetryAfter is the wait after a failed append; it doubles with each failure up to MaxRetryAfter.
 	RetryAfter    time.Duration
 	MaxRetryAfter time.Duration
 }
@@ -35,43 +35,43 @@
 )
 
 func (c BatcherConfig) withDefaults() BatcherConfig {
-	setDuration(&c.Window, defaultWindow)
-	setDuration(&c.AppendTimeout, defaultAppendTimeout)
-	setDuration(&c.RetryAfter, defaultRetryAfter)
-	setDuration(&c.MaxRetryAfter, defaultMaxRetryAfter)
-	setInt(&c.MaxRecords, defaultMaxRecords)
-	setInt(&c.MaxBytes, defaultMaxBytes)
-	setInt(&c.MaxInFlight, defaultMaxInFlight)
+	setDefaultDuration(&c.Window, defaultWindow)
+	setDefaultDuration(&c.AppendTimeout, defaultAppendTimeout)
+	setDefaultDuration(&c.RetryAfter, defaultRetryAfter)
+	setDefaultDuration(&c.MaxRetryAfter, defaultMaxRetryAfter)
+	setDefaultInt(&c.MaxRecords, defaultMaxRecords)
+	setDefaultInt(&c.MaxBytes, defaultMaxBytes)
+	setDefaultInt(&c.MaxInFlight, defaultMaxInFlight)
 	return c
 }
 
-func setDuration(d *time.Duration, value time.Duration) {
+func setDefaultDuration(d *time.Duration, value time.Duration) {
 	if *d <= 0 {
 		*d = value
 	}
 }
 
-func setInt(n *int, value int) {
+func setDefaultInt(n *int, value int) {
 	if *n <= 0 {
 		*n = value
 	}
 }
 
-// AppendResult is how an append ended: AppendDone, AppendRefused or AppendUncertain.
+// AppendResult is the result of an append: AppendDone, AppendRefused or AppendUncertain.
 type AppendResult interface {
 	appendResult()
 }
 
-// AppendDone is for an append that the log confirmed.
+// AppendDone means that the log confirmed the append.
 type AppendDone struct{}
 
-// AppendRefused is for an append that surely did not take place.
+// AppendRefused means that the append certainly did not take place.
 type AppendRefused struct {
-	// RetryAfter is the log's wish, 0 for none.
+	// RetryAfter is the wait that the log requested, 0 for none.
 	RetryAfter time.Duration
 }
 
-// AppendUncertain is for an append that may have taken place or may still do so.
+// AppendUncertain means that the append may have taken place or may still do so.
 type AppendUncertain struct{}
 
 func (AppendDone) appendResult()      {}
@@ -79,59 +79,60 @@
 func (AppendUncertain) appendResult() {}
 
 // Batcher groups the records of one incarnation into appends.
-//
-// A claim is appended at most once. If its append's fate is uncertain, the log itself tells: either the claim is
-// read back, or its owner gives it up and never dispatches it. Outcomes, releases and closings are appended
-// again until their batch was read back, since without them keys would stay unknown for good.
+// A claim is appended at most once. If the result of its append is uncertain, the log decides: either the claim
+// is read back, or its owner gives it up and never dispatches it. Outcomes, releases and closings are appended
+// again until their batch is read back, because without them keys would stay in an unknown state for good.
 type Batcher struct {
-	cfg     BatcherConfig
-	waiting []ClaimRecord
-	flights map[uint64]*flight
-	lastID  uint64
-	// sentAt is the time of the last append.
-	sentAt time.Time
-	// failures counts failed appends in a row; while there are some, one append at a time probes the log.
+	cfg    BatcherConfig
+	queue  []ClaimRecord
+	sent   map[uint64]*sentBatch
+	lastID uint64
+	// lastSentAt is the time of the last append.
+	lastSentAt time.Time
+	// failures counts consecutive failed appends. While it is not zero, the log is probed with one append at a
+	// time.
 	failures int
 	retryAt  time.Time
-	// latency is the smoothed time of an append.
+	// latency is the smoothed append latency.
 	latency time.Duration
-	// doubted is the last batch whose append's fate was uncertain.
-	doubted doubt
+	// lastUncertain is the most recent batch with an uncertain append.
+	lastUncertain uncertainBatch
 }
 
-// doubt is a batch whose append got no reply.
-type doubt struct {
+// uncertainBatch identifies a batch whose append got no reply.
+type uncertainBatch struct {
 	batchID uint64
 	since   time.Time
 }
 
-// flight is a batch that was handed to an append and is not settled.
-type flight struct {
+// sentBatch is a batch whose append has started and is not settled.
+type sentBatch struct {
 	records   []ClaimRecord
 	since     time.Time
 	uncertain bool
-	// landed tells that the batch was read back before its append's end was known.
-	landed bool
-	// againAt is when an uncertain batch's records, but for its claims, are appended again.
-	againAt time.Time
+	// committed is set if the batch was read back before the result of its append was known.
+	committed bool
+	// retryAt is when an uncertain batch's records, except its claims, are appended again.
+	retryAt time.Time
 }
 
-// NewBatcher gives a batcher with nothing to append.
+// NewBatcher returns a batcher with an empty queue.
 func NewBatcher(cfg BatcherConfig) *Batcher {
-	return &Batcher{cfg: cfg.withDefaults(), flights: make(map[uint64]*flight)}
+	return &Batcher{cfg: cfg.withDefaults(), sent: make(map[uint64]*sentBatch)}
 }
 
-// Add puts a record in line. An outcome's texts are cut to what the log takes: one record that is refused for its
-// size would be refused again and again, and with it all others of its batch, claims included.
+// Add queues a record. An outcome is cut to the log's size limits: a record refused for its size would be
+// refused on every retry, together with all other records of its batch, claims included.
 func (b *Batcher) Add(record ClaimRecord) {
 	if r, ok := record.(Outcome); ok {
-		record = fit(r)
+		record = fitToLimits(r)
 	}
-	b.waiting = append(b.waiting, record)
+	b.queue = append(b.queue, record)
 }
 
-// fit leaves out an answer that is too long, as a whole: a caller must not take a part for the answer.
-func fit(r Outcome) Outcome {
+// fitToLimits drops an answer that is too long as a whole, because a caller must not mistake a part of it for
+// the answer.
+func fitToLimits(r Outcome) Outcome {
 	if len(r.Answer) > maxAnswerBytes {
 		r.Answer = ""
 		r.State = StateAnswerNotKept
@@ -141,50 +142,52 @@
 	return r
 }
 
-// Withdraw takes a claim back. It tells whether the claim was surely never appended and never will be, so that
-// "not run" is safe without a look at the log. A false leaves it to the owner never to dispatch the claim.
+// Withdraw removes a queued claim. It reports whether the claim certainly was never appended and never will be,
+// so that "not run" can be answered without reading the log. If it returns false, the owner must never dispatch
+// the claim.
 func (b *Batcher) Withdraw(claimID uint64) bool {
-	for i, record := range b.waiting {
+	for i, record := range b.queue {
 		if c, ok := record.(Claim); ok && c.ClaimID == claimID {
-			b.waiting = append(b.waiting[:i], b.waiting[i+1:]...)
+			b.queue = append(b.queue[:i], b.queue[i+1:]...)
 			return true
 		}
 	}
 	return false
 }
 
-// Due gives the batch to append now, if there is one.
+// Due returns the batch to append now, if there is one.
 func (b *Batcher) Due(now time.Time) (Batch, bool) {
 	at, ok := b.Next(now)
 	if !ok || now.Before(at) {
 		return Batch{}, false
 	}
 	b.requeue(now)
-	records := b.take()
+	records := b.dequeue()
 	if len(records) == 0 && b.failures == 0 {
 		return Batch{}, false
 	}
 	b.lastID++
-	b.flights[b.lastID] = &flight{records: records, since: now}
-	b.sentAt = now
+	b.sent[b.lastID] = &sentBatch{records: records, since: now}
+	b.lastSentAt = now
 	return Batch{Entry: b.cfg.Entry, Incarnation: b.cfg.Incarnation, BatchID: b.lastID, Records: records}, true
 }
 
-// Next gives the time at which Due may give a batch; false if nothing is to be appended as things stand.
+// Next returns the earliest time at which Due may return a batch, or false if nothing is to be appended in the
+// current state.
 func (b *Batcher) Next(now time.Time) (time.Time, bool) {
 	if b.failures > 0 {
-		// The empty batch of a probe shows when the log is back, at one append a retry.
+		// An empty batch probes whether the log accepts appends again, with one append per retry.
 		return b.retryAt, b.inFlight() == 0
 	}
 	if b.inFlight() >= b.cfg.MaxInFlight {
 		return time.Time{}, false
 	}
-	open := b.sentAt.Add(b.cfg.Window)
-	if len(b.waiting) > 0 {
-		return open, true
+	windowEnd := b.lastSentAt.Add(b.cfg.Window)
+	if len(b.queue) > 0 {
+		return windowEnd, true
 	}
-	again, ok := b.earliestAgain()
-	return latest(open, again), ok
+	retry, ok := b.earliestRetry()
+	return latest(windowEnd, retry), ok
 }
 
 func latest(a, b time.Time) time.Time {
@@ -194,12 +197,12 @@
 	return b
 }
 
-func (b *Batcher) earliestAgain() (time.Time, bool) {
+func (b *Batcher) earliestRetry() (time.Time, bool) {
 	var at time.Time
 	found := false
-	for _, f := range b.flights {
-		if f.uncertain && (!found || f.againAt.Before(at)) {
-			at = f.againAt
+	for _, s := range b.sent {
+		if s.uncertain && (!found || s.retryAt.Before(at)) {
+			at = s.retryAt
 			found = true
 		}
 	}
@@ -208,56 +211,57 @@
 
 func (b *Batcher) inFlight() int {
 	n := 0
-	for _, f := range b.flights {
-		if !f.uncertain {
+	for _, s := range b.sent {
+		if !s.uncertain {
 			n++
 		}
 	}
 	return n
 }
 
-// Appended takes the end of an append.
+// Appended records the result of an append.
 func (b *Batcher) Appended(batchID uint64, result AppendResult, now time.Time) {
-	f, ok := b.flights[batchID]
+	s, ok := b.sent[batchID]
 	if !ok {
 		return
 	}
 	switch r := result.(type) {
 	case AppendDone:
 		b.failures = 0
-		b.observe(now.Sub(f.since))
-		delete(b.flights, batchID)
+		b.observeLatency(now.Sub(s.since))
+		delete(b.sent, batchID)
 	case AppendRefused:
-		b.fail(now, r.RetryAfter)
-		delete(b.flights, batchID)
-		b.waiting = append(f.records, b.waiting...)
+		b.recordFailure(now, r.RetryAfter)
+		delete(b.sent, batchID)
+		b.queue = append(s.records, b.queue...)
 	case AppendUncertain:
-		if f.landed {
-			delete(b.flights, batchID)
+		if s.committed {
+			delete(b.sent, batchID)
 			return
 		}
-		b.fail(now, 0)
-		b.doubted = doubt{batchID: batchID, since: f.since}
-		f.uncertain = true
-		f.records = withoutClaims(f.records)
-		f.againAt = b.retryAt
-		if len(f.records) == 0 {
-			delete(b.flights, batchID)
+		b.recordFailure(now, 0)
+		b.lastUncertain = uncertainBatch{batchID: batchID, since: s.since}
+		s.uncertain = true
+		s.records = dropClaims(s.records)
+		s.retryAt = b.retryAt
+		if len(s.records) == 0 {
+			delete(b.sent, batchID)
 		}
 	}
 }
 
-// Committed notes that the table has read a batch back, whatever its append's reply was.
-// A batch that was read back soon proves that the log takes appends and only its replies are lost. Without this a
-// lost reply would count as a failing log, and requests would be refused that could well be claimed.
+// Committed records that the table has read a batch back, whatever the result of its append.
+// A batch that was read back within AppendTimeout proves that the log accepts appends and only replies are
+// lost. Without this, a lost reply would count as a failing log, and requests that could be claimed would be
+// refused.
 func (b *Batcher) Committed(batchID uint64, now time.Time) {
-	if f, ok := b.flights[batchID]; ok {
-		f.landed = true
-		if f.uncertain {
-			delete(b.flights, batchID)
+	if s, ok := b.sent[batchID]; ok {
+		s.committed = true
+		if s.uncertain {
+			delete(b.sent, batchID)
 		}
 	}
-	if batchID == b.doubted.batchID && now.Sub(b.doubted.since) < b.cfg.AppendTimeout {
+	if batchID == b.lastUncertain.batchID && now.Sub(b.lastUncertain.since) < b.cfg.AppendTimeout {
 		b.failures = 0
 	}
 }
--- a/claimer/decision.go
+++ b/claimer/decision.go
@@ -1,75 +1,80 @@
 package claimer
 
-// Decision is what the log has settled: Won, Lost, Voided, Unproved, ForeignOutcome, Freed, ClosedOwner or Landed.
+// Decision is a fact settled by the log: Won, Lost, Voided, Unverified, ForeignOutcome, Released,
+// IncarnationClosed or BatchCommitted.
 type Decision interface {
 	decision()
 }
 
-// Won tells that the own claim is the first valid one for its key: this incarnation, and no other ever, may
-// dispatch. Offset is the claim's, and serves as fencing number. An owner that has already given its caller an
-// answer must release instead; so must one that no longer knows the claim, which may be a late second copy.
+// Won reports that this incarnation's claim is the first valid one for its key, so that it alone may dispatch
+// the request. Offset is the offset of the claim and serves as the fencing token. An owner that has already
+// answered its caller must release the claim instead, and so must one that no longer has the claim, which may
+// be a late second copy.
 type Won struct {
 	Key     Key
 	ClaimID uint64
 	Offset  int64
 }
 
-// Lost tells that the key belongs to another claim.
+// Lost reports that the key is held by another claim.
 type Lost struct {
 	Key     Key
 	ClaimID uint64
 	Holder  KeyStatus
-	// SameDigest tells that the holder's request has the same body; if not, the key was used for two requests.
+	// SameDigest reports whether the holder's request has the same body. If not, the key was used for two
+	// requests.
 	SameDigest bool
 }
 
-// VoidReason tells why no reader takes a claim.
+// VoidReason is the reason why every reader ignores a claim.
 type VoidReason uint8
 
-// Why a claim is void.
+// Reasons for a void claim.
 const (
-	// VoidClosed is for a claim after its own incarnation was closed.
+	// VoidClosed means that the claim follows the closing of its own incarnation.
 	VoidClosed VoidReason = iota + 1
-	// VoidTooOld is for a claim that landed after its key's horizon.
+	// VoidTooOld means that the claim was appended after its key's horizon.
 	VoidTooOld
-	// VoidFromFuture is for a claim whose key is born later than clocks may differ.
+	// VoidFromFuture means that the key's time is ahead of the log's time by more than MaxSkew.
 	VoidFromFuture
-	// VoidBadKey is for a claim whose key is not a UUIDv7.
+	// VoidBadKey means that the key is not a UUIDv7.
 	VoidBadKey
 )
 
-// Voided tells that the own claim holds nothing, for anyone: the request did not run under it.
+// Voided reports that this incarnation's claim is void at every entry: the request did not run under it.
 type Voided struct {
 	Key     Key
 	ClaimID uint64
 	Reason  VoidReason
 }
 
-// Unverified tells that the own claim is the first one this table knows, but that it may have missed earlier ones.
-// It must not be dispatched, nor released: others may take it for the holder or may not.
+// Unverified reports that this incarnation's claim is the first one in this table, but that the table may have
+// missed earlier ones. The claim must be neither dispatched nor released, because other entries may or may not
+// regard it as the holder.
 type Unverified struct {
 	Key     Key
 	ClaimID uint64
 }
 
-// ForeignOutcome tells that a request of another claim ended.
+// ForeignOutcome reports the outcome of a request that another incarnation claimed.
 type ForeignOutcome struct {
 	Key    Key
 	Status KeyStatus
 }
 
-// Released tells that a claim was released: nothing ran under the key, and it may be claimed again.
+// Released reports that a claim was released: nothing ran under the key, and it can be claimed again.
 type Released struct {
 	Key Key
 }
 
-// IncarnationClosed tells that an incarnation was closed: its claims without outcome are of unknown outcome.
+// IncarnationClosed reports that an incarnation was closed. The outcome of its claims without a recorded
+// outcome is unknown.
 type IncarnationClosed struct {
 	Entry       string
 	Incarnation uint64
 }
 
-// BatchCommitted tells that an own batch is in the log.
+// BatchCommitted reports that a batch of this incarnation is in the log.
 type BatchCommitted struct {
 	BatchID uint64
 }
--- a/claimer/expiry.go
+++ b/claimer/expiry.go
@@ -1,67 +1,67 @@
 package claimer
 
-// expiryMillis is the width of the time ranges in which keys expire together.
-const expiryMillis = 10_000
+// expiryBucketMillis is the width of the time ranges in which keys expire together.
+const expiryBucketMillis = 10_000
 
-// expiries holds the keys by the range of log time in which they expire.
-type expiries map[int64][]slot
+// expiries maps each range of log time to the keys that expire in it.
+type expiries map[int64][]keyID
 
-func (e expiries) add(s slot, atMillis int64) {
-	bucket := atMillis/expiryMillis + 1
-	e[bucket] = append(e[bucket], s)
+func (e expiries) add(key keyID, atMillis int64) {
+	bucket := atMillis/expiryBucketMillis + 1
+	e[bucket] = append(e[bucket], key)
 }
 
-// expire forgets the keys whose horizon has passed by the log's time. A claim for such a key that lands
-// later is void by the same time, so forgetting it lets nobody run it again.
+// expire deletes the keys whose horizon has passed by the log's time. A claim for such a key that is appended
+// later is void by the same time, so that the request can't run again.
 func (t *Table) expire() {
-	now := t.logMillis / expiryMillis
-	if t.expired == 0 {
-		t.expired = now
+	now := t.logMillis / expiryBucketMillis
+	if t.lastExpired == 0 {
+		t.lastExpired = now
 	}
-	for ; t.expired < now; t.expired++ {
-		bucket := t.expired + 1
-		for _, s := range t.expiries[bucket] {
-			t.answers.drop(t.slots[s])
-			delete(t.slots, s)
+	for ; t.lastExpired < now; t.lastExpired++ {
+		bucket := t.lastExpired + 1
+		for _, key := range t.expiries[bucket] {
+			t.answers.drop(t.keys[key])
+			delete(t.keys, key)
 		}
 		delete(t.expiries, bucket)
 	}
 	t.answers.trim()
 }
 
-// answers bounds the memory of recorded answers: the oldest are dropped first.
+// answers limits the memory used by recorded answers: the oldest are dropped first.
 type answers struct {
-	held  []*holding
+	queue []*keyState
 	bytes int
 }
 
-func (a *answers) keep(h *holding, limit int) {
-	if h.ending.Answer == "" {
+func (a *answers) add(s *keyState, limit int) {
+	if s.outcome.Answer == "" {
 		return
 	}
-	a.held = append(a.held, h)
-	a.bytes += len(h.ending.Answer)
+	a.queue = append(a.queue, s)
+	a.bytes += len(s.outcome.Answer)
 	for a.bytes > limit {
-		a.drop(a.held[0])
+		a.drop(a.queue[0])
 		a.trim()
 	}
 }
 
-// trim forgets the oldest places whose text is gone.
+// trim removes the oldest elements whose answer was dropped.
 func (a *answers) trim() {
-	for len(a.held) > 0 && a.held[0].ending.Answer == "" {
-		a.held[0] = nil
-		a.held = a.held[1:]
+	for len(a.queue) > 0 && a.queue[0].outcome.Answer == "" {
+		a.queue[0] = nil
+		a.queue = a.queue[1:]
 	}
 }
 
-// drop lets go of one answer's text. The list keeps its place, where it then counts nothing.
-func (a *answers) drop(h *holding) {
-	if h.ending == nil || h.ending.Answer == "" {
+// drop deletes the text of one answer. Its element stays in the queue, where it counts for 0 bytes.
+func (a *answers) drop(s *keyState) {
+	if s.outcome == nil || s.outcome.Answer == "" {
 		return
 	}
-	a.bytes -= len(h.ending.Answer)
-	h.ending.Answer = ""
-	h.ending.State = StateAnswerNotKept
-	h.ending.AnswerInLog = true
+	a.bytes -= len(s.outcome.Answer)
+	s.outcome.Answer = ""
+	s.outcome.State = StateAnswerNotKept
+	s.outcome.AnswerInLog = true
 }
--- a/claimer/holding.go
+++ b/claimer/holding.go
@@ -7,10 +7,10 @@
 	"github.com/google/uuid"
 )
 
-// KeyUnverifiableError tells of a key for which this table may have missed a claim.
+// KeyUnverifiableError reports a key for which this table may have missed a claim.
 type KeyUnverifiableError struct {
 	CreatedAt time.Time
-	// Lapsed tells that it holds for every key, until the process takes a new incarnation.
+	// Lapsed reports that this applies to every key until the process starts a new incarnation.
 	Lapsed bool
 }
 
@@ -21,74 +21,76 @@
 	return fmt.Sprintf("claims from the time of the key, %s, were not all read", e.CreatedAt.UTC().Format(time.RFC3339Nano))
 }
 
-// KeyStatus is what the log says of a key.
+// KeyStatus is the state of a key according to the log.
 type KeyStatus struct {
-	// Held tells that a claim holds the key; false after its release.
+	// Held reports whether a claim holds the key; it is false after the claim's release.
 	Held        bool
 	Entry       string
 	Incarnation uint64
 	ClaimID     uint64
 	Offset      int64
 	Digest      [32]byte
-	// OwnerClosed tells that the owner's incarnation was closed. Without an outcome, the outcome is unknown.
+	// OwnerClosed reports whether the owner's incarnation was closed. If it was and no outcome is recorded, the
+	// outcome is unknown.
 	OwnerClosed bool
-	// Ended tells that the outcome is recorded.
+	// Ended reports whether an outcome is recorded.
 	Ended   bool
 	Outcome RecordedOutcome
 }
 
-// RecordedOutcome is a recorded outcome.
+// RecordedOutcome is an outcome read from the log.
 type RecordedOutcome struct {
 	State   OutcomeState
 	Answer  string
 	Parts   int
 	Code    string
 	Message string
-	// Offset is where in the log the outcome stands.
+	// Offset is the log offset of the outcome.
 	Offset int64
-	// AnswerInLog tells that the answer was let go of, with StateAnswerNotKept, and stands in the log at Offset.
+	// AnswerInLog reports that the answer was dropped from memory, with StateAnswerNotKept, and can be read
+	// from the log at Offset.
 	AnswerInLog bool
 }
 
-// slot is a Key in the form in which it is held: a number for the account and the key's 16 bytes.
-type slot struct {
+// keyID is the compact form of a Key: a number for the account and the key's 16 bytes.
+type keyID struct {
 	account uint32
 	id      uuid.UUID
 }
 
-// owner is one incarnation of an entry.
+// owner identifies one incarnation of an entry.
 type owner struct {
 	entry       uint32
 	incarnation uint64
 }
 
-// claimIdentity names one claim, however often its record was appended.
+// claimIdentity identifies a claim, however often its record was appended.
 type claimIdentity struct {
 	owner   owner
 	claimID uint64
 }
 
-// holding is what is kept of one key. Its expiry is by the key's birth, so no time is kept.
-type holding struct {
+// keyState is the state stored for one key. Its expiry follows from the key's own time, so no time is stored.
+type keyState struct {
 	claim  claimIdentity
 	offset int64
 	digest [32]byte
 	held   bool
-	// ending is nil until the outcome is recorded.
-	ending *RecordedOutcome
+	// outcome is nil until an outcome is recorded.
+	outcome *RecordedOutcome
 }
 
-func (h *holding) hold(claim claimIdentity, offset int64, digest [32]byte) {
-	h.claim = claim
-	h.offset = offset
-	h.digest = digest
-	h.held = true
+func (s *keyState) assign(claim claimIdentity, offset int64, digest [32]byte) {
+	s.claim = claim
+	s.offset = offset
+	s.digest = digest
+	s.held = true
 }
 
-func (h *holding) ended() bool { return h.ending != nil }
+func (s *keyState) ended() bool { return s.outcome != nil }
 
-func (h *holding) end(offset int64, r Outcome) {
-	h.ending = &RecordedOutcome{
+func (s *keyState) recordOutcome(offset int64, r Outcome) {
+	s.outcome = &RecordedOutcome{
 		State:   r.State,
 		Answer:  r.Answer,
 		Parts:   r.Parts,
@@ -98,32 +100,32 @@
 	}
 }
 
-func (t *Table) view(h *holding) KeyStatus {
+func (t *Table) status(s *keyState) KeyStatus {
 	out := KeyStatus{
-		Held:        h.held,
-		Entry:       t.names.name(h.claim.owner.entry),
-		Incarnation: h.claim.owner.incarnation,
-		ClaimID:     h.claim.claimID,
-		Offset:      h.offset,
-		Digest:      h.digest,
-		OwnerClosed: t.closed[h.claim.owner],
+		Held:        s.held,
+		Entry:       t.names.name(s.claim.owner.entry),
+		Incarnation: s.claim.owner.incarnation,
+		ClaimID:     s.claim.claimID,
+		Offset:      s.offset,
+		Digest:      s.digest,
+		OwnerClosed: t.closed[s.claim.owner],
 	}
-	if h.ending != nil {
+	if s.outcome != nil {
 		out.Ended = true
-		out.Outcome = *h.ending
+		out.Outcome = *s.outcome
 	}
 	return out
 }
 
-// names gives each account and entry a small number, so that a name is held once.
-type names struct {
+// nameTable assigns a number to each account and entry, so that each name is stored once.
+type nameTable struct {
 	ids  map[string]uint32
 	text []string
 }
 
-func newNames() names { return names{ids: make(map[string]uint32)} }
+func newNameTable() nameTable { return nameTable{ids: make(map[string]uint32)} }
 
-func (n *names) id(name string) uint32 {
+func (n *nameTable) intern(name string) uint32 {
 	id, ok := n.ids[name]
 	if !ok {
 		id = uint32(len(n.text))
@@ -133,9 +135,9 @@
 	return id
 }
 
-func (n *names) find(name string) (uint32, bool) {
+func (n *nameTable) find(name string) (uint32, bool) {
 	id, ok := n.ids[name]
 	return id, ok
 }
 
-func (n *names) name(id uint32) string { return n.text[id] }
+func (n *nameTable) name(id uint32) string { return n.text[id] }
--- a/claimer/key.go
+++ b/claimer/key.go
@@ -1,5 +1,5 @@
-// Package claimer decides by log order which incarnation of which entry may dispatch a request that must run at
-// most once. Everything here is pure: the log's records go in, decisions come out.
+// Package claimer determines by log order which incarnation of which entry may dispatch a request that must run
+// at most once. The package does no I/O: it turns log records into decisions.
 package claimer
 
 import (
@@ -9,13 +9,13 @@
 	"github.com/google/uuid"
 )
 
-// Key names one request: a client account and its idempotency key. The key is a UUIDv7.
+// Key identifies one request by client account and idempotency key. The idempotency key is a UUIDv7.
 type Key struct {
 	Account string
 	Key     string
 }
 
-// KeyFormatError tells of an idempotency key that does not hold its time of birth.
+// KeyFormatError reports an idempotency key that doesn't contain its creation time.
 type KeyFormatError struct {
 	Key string
 }
@@ -24,7 +24,7 @@
 	return fmt.Sprintf("idempotency key %q is not a UUIDv7 of 36 characters", e.Key)
 }
 
-// KeyTooOldError tells of a key that is past its horizon: what became of it may be forgotten.
+// KeyTooOldError reports a key that is past its horizon. The outcome of its request may have been forgotten.
 type KeyTooOldError struct {
 	CreatedAt time.Time
 	Horizon   time.Duration
@@ -34,7 +34,7 @@
 	return fmt.Sprintf("idempotency key of %s is older than %s", e.CreatedAt.UTC().Format(time.RFC3339Nano), e.Horizon)
 }
 
-// KeyFromFutureError tells of a key whose birth is later than clocks may differ.
+// KeyFromFutureError reports a key whose creation time is further ahead than clocks may differ.
 type KeyFromFutureError struct {
 	CreatedAt time.Time
 }
@@ -43,12 +43,13 @@
 	return fmt.Sprintf("idempotency key of %s is from the future", e.CreatedAt.UTC().Format(time.RFC3339Nano))
 }
 
-// MaxSkew is how far the clocks of callers, entries and the log may differ.
+// MaxSkew is the maximum difference between the clocks of callers, entries and the log.
 const MaxSkew = time.Minute
 
 const uuidTextBytes = 36
 
-// parseKey takes only the canonical text form, in either case, so that one key has one meaning.
+// parseKey accepts only the canonical text form, in upper or lower case, so that a key has only one
+// interpretation.
 func parseKey(key string) (uuid.UUID, error) {
 	id, err := uuid.Parse(key)
 	if err != nil || len(key) != uuidTextBytes || id.Version() != 7 || id.Variant() != uuid.RFC4122 {
@@ -57,17 +58,17 @@
 	return id, nil
 }
 
-// KeyTime gives the time at which the caller made the key, to the millisecond, or a *KeyFormatError.
+// KeyTime returns the time at which the caller created the key, in millisecond precision, or a *KeyFormatError.
 func KeyTime(key string) (time.Time, error) {
 	id, err := parseKey(key)
 	if err != nil {
 		return time.Time{}, err
 	}
-	return time.UnixMilli(birthMillis(id)), nil
+	return time.UnixMilli(keyTimeMillis(id)), nil
 }
 
-// birthMillis reads the first 48 bits, which hold the Unix milliseconds (RFC 9562, 5.7).
-func birthMillis(id uuid.UUID) int64 {
+// keyTimeMillis returns the first 48 bits, which hold Unix milliseconds (RFC 9562, 5.7).
+func keyTimeMillis(id uuid.UUID) int64 {
 	var millis int64
 	for _, b := range id[:6] {
 		millis = millis<<8 | int64(b)
@@ -75,13 +76,14 @@
 	return millis
 }
 
-// CheckAge refuses a key that is past its horizon (*KeyTooOldError) or from the future (*KeyFromFutureError).
-func CheckAge(birth, now time.Time, horizon time.Duration) error {
-	if now.Sub(birth) > horizon {
-		return &KeyTooOldError{CreatedAt: birth, Horizon: horizon}
+// CheckAge returns a *KeyTooOldError for a key past its horizon and a *KeyFromFutureError for one that is more
+// than MaxSkew ahead of now.
+func CheckAge(createdAt, now time.Time, horizon time.Duration) error {
+	if now.Sub(createdAt) > horizon {
+		return &KeyTooOldError{CreatedAt: createdAt, Horizon: horizon}
 	}
-	if birth.Sub(now) > MaxSkew {
-		return &KeyFromFutureError{CreatedAt: birth}
+	if createdAt.Sub(now) > MaxSkew {
+		return &KeyFromFutureError{CreatedAt: createdAt}
 	}
 	return nil
 }
--- a/claimer/record.go
+++ b/claimer/record.go
@@ -6,12 +6,12 @@
 	"geraniumline/recorder"
 )
 
-// ClaimRecord is one of the records that a batch holds: Claim, Release, Outcome, Closed or Mark.
+// ClaimRecord is a record in a batch: Claim, Release, Outcome, Closed or EraMark.
 type ClaimRecord interface {
 	claimRecord()
 }
 
-// Claim says that the batch's incarnation wants to be the only one that dispatches the key's request.
+// Claim requests that the batch's incarnation be the only one to dispatch the key's request.
 type Claim struct {
 	Key Key
 	// Digest is the SHA-256 of the request's body.
@@ -20,28 +20,28 @@
 	ClaimID uint64
 }
 
-// Release says that the batch's incarnation dispatched nothing under its claim and never will.
-// It may be made only for a claim that was read back as Won.
+// Release declares that the batch's incarnation dispatched nothing under its claim and never will. Only a claim
+// that was read back as Won may be released.
 type Release struct {
 	Key     Key
 	ClaimID uint64
 }
 
-// OutcomeState tells how a request ended.
+// OutcomeState is the way a request ended.
 type OutcomeState uint8
 
-// How a request ends.
+// Outcome states.
 const (
-	// StateAnswered is for a request whose whole answer is known.
+	// StateAnswered means that the complete answer is known.
 	StateAnswered OutcomeState = iota + 1
-	// StateUnknown is for a request that may have run.
+	// StateUnknown means that the request may have run.
 	StateUnknown
-	// StateAnswerNotKept is for a request that was answered, but whose answer is not held here: a reader who took
-	// the empty text for the answer would hand its caller something other than the whole answer.
+	// StateAnswerNotKept means that the request was answered, but that the answer is not stored here. It keeps
+	// readers from returning the empty text as the complete answer.
 	StateAnswerNotKept
 )
 
-// Outcome says how the request of the batch's incarnation's claim ended.
+// Outcome records how the request under a claim of the batch's incarnation ended.
 type Outcome struct {
 	Key     Key
 	ClaimID uint64
@@ -52,14 +52,14 @@
 	Message string
 }
 
-// Closed says that claims of an entry's incarnation which come later in the log are void.
+// Closed voids every claim of an entry's incarnation that follows it in the log.
 type Closed struct {
 	Entry       string
 	Incarnation uint64
 }
 
-// EraMark says that its writer knew of an era of the log when it appended the batch. Whatever the log lost when the era began was
-// appended before.
+// EraMark declares that its writer had observed an era of the log when it appended the batch. Everything that
+// the log lost at the start of the era had been appended before the mark.
 type EraMark struct {
 	Era int64
 }
@@ -70,9 +70,9 @@
 func (Outcome) claimRecord() {}
 func (Closed) claimRecord()  {}
 
-// Batch is one append to the claims stream, by one incarnation of an entry. Readers take its releases first,
-// then the outcomes, the closed incarnations and the claims, so the order within Records is without meaning.
-// A batch without records shows that the log takes appends again.
+// Batch is one append to the claims stream by one incarnation of an entry. Readers apply its releases first,
+// then the outcomes, the closed incarnations and the claims, so the order of Records has no meaning. A batch
+// without records shows that the log accepts appends again.
 type Batch struct {
 	Entry       string
 	Incarnation uint64
@@ -80,7 +80,8 @@
 	Records     []ClaimRecord
 }
 
-// Limits on one record, in bytes. The answer's leaves room for the rest of the record in the log's largest append.
+// Limits on one record, in bytes. The limit on the answer leaves room for the rest of the record in the log's
+// largest append.
 const (
 	maxAnswerBytes  = 1_000_000
 	maxMessageBytes = 1024
@@ -88,7 +89,7 @@
 	maxNameBytes    = 128
 )
 
-// RecordLimitError tells of a record that is too large to be kept.
+// RecordLimitError reports a record with a field that exceeds its size limit.
 type RecordLimitError struct {
 	Field string
 	Bytes int
@@ -99,17 +100,17 @@
 	return fmt.Sprintf("%s has %d bytes, more than %d", e.Field, e.Bytes, e.Limit)
 }
 
-// DecodeError tells of a log record that is not a batch.
+// DecodeError reports a log record that is not a batch.
 type DecodeError struct {
 	Cause error
 }
 
 func (e *DecodeError) Error() string { return fmt.Sprintf("not a batch of claims: %v", e.Cause) }
 
-// Unwrap gives the codec's error.
+// Unwrap returns the cause of the decoding failure.
 func (e *DecodeError) Unwrap() error { return e.Cause }
 
-// Encode gives the data of one append, or a *RecordLimitError.
+// Encode returns the data of one append, or a *RecordLimitError.
 func Encode(batch Batch) ([]byte, error) {
 	wire := recorder.ClaimBatch{Entry: batch.Entry, Incarnation: batch.Incarnation, BatchID: batch.BatchID}
 	for _, record := range batch.Records {
@@ -154,7 +155,8 @@
 	}
 }
 
-// checkLimits refuses what the log would refuse for its size, again and again, and the batch's other records with it.
+// checkLimits rejects records that the log would refuse for their size on every retry, together with the
+// batch's other records.
 func checkLimits(record ClaimRecord) error {
 	switch r := record.(type) {
 	case Claim:
@@ -194,7 +196,7 @@
 	return nil
 }
 
-// Decode takes the data of one append apart, or gives a *DecodeError.
+// Decode parses the data of one append. It returns a *DecodeError if the data is not a batch.
 func Decode(data []byte) (Batch, error) {
 	var wire recorder.ClaimBatch
 	rest, err := wire.UnmarshalMsg(data)
--- a/claimer/table.go
+++ b/claimer/table.go
@@ -7,14 +7,14 @@
 	"geraniumline/recorder"
 )
 
-// Config says whose table this is and how long a key is remembered.
+// Config identifies the owner of a Table and limits what the table stores.
 type Config struct {
 	Entry       string
 	Incarnation uint64
-	// Horizon is the age to which a key may be claimed. It must be well below the log's retention, or an
-	// entry that starts anew finds no key that it may claim.
+	// Horizon is the maximum age at which a key can be claimed. It must be well below the log's retention;
+	// otherwise a restarted entry finds no key that it may claim.
 	Horizon time.Duration
-	// AnswerBytes bounds the answers that are held; older ones are dropped and can be read from the log again.
+	// AnswerBytes limits the answers held in memory. Older ones are dropped and can be read from the log again.
 	AnswerBytes int
 }
 
@@ -23,43 +23,44 @@
 	defaultAnswerBytes = 8 << 20
 )
 
-// never is a log time that no record reaches.
-const never = math.MaxInt64
+// maxLogMillis is a log time that no record reaches.
+const maxLogMillis = math.MaxInt64
 
-// Table is what one entry has read of the claims stream.
+// Table is the state of the claims stream as read by one entry.
 type Table struct {
 	cfg   Config
-	names names
-	// next is the lowest offset that was not read.
+	names nameTable
+	// next is the lowest offset that has not been read.
 	next int64
-	// logMillis is the highest log time read. All ages are reckoned by it, so that all tables agree.
+	// logMillis is the highest log time read. All ages are measured against it, so that all tables agree.
 	logMillis int64
-	// sinceMillis is the log time after which this table has read every record.
-	sinceMillis int64
-	// started tells that the first page's start is known.
+	// completeAfterMillis is the log time after which this table has read every record.
+	completeAfterMillis int64
+	// started is set once the first page's start is known.
 	started bool
-	// lapsed tells that records were cut before this table read them, after it had started.
+	// lapsed is set once records were cut before this table read them, after it had started.
 	lapsed bool
-	// afterGap tells that the next record is the first one that was kept.
+	// afterGap is set while the next record is the first one that was kept.
 	afterGap bool
-	// firstMillis is the log time of the first record that this table has read in its life; never before that.
-	firstMillis int64
-	// renewed tells that the stream is read anew.
-	renewed bool
-	// era is that of the log's pages, awaitsMark is set until a Mark of it was read, at the log time markMillis.
-	era        int64
-	awaitsMark bool
-	markMillis int64
-	closed     map[owner]bool
-	slots      map[slot]*holding
-	expiries   expiries
-	// expired is the last range of expiries that was forgotten.
-	expired int64
-	answers answers
-	bad     int
+	// firstReadMillis is the log time of the first record that this table ever read, maxLogMillis before that.
+	firstReadMillis int64
+	// rereading is set once the stream is read again from its beginning.
+	rereading bool
+	// era is the era of the log's pages. awaitingMark is set until an EraMark of it is read; markMillis is the
+	// log time of that mark.
+	era          int64
+	awaitingMark bool
+	markMillis   int64
+	closed       map[owner]bool
+	keys         map[keyID]*keyState
+	expiries     expiries
+	// lastExpired is the last range of expiries that was deleted.
+	lastExpired int64
+	answers     answers
+	badRecords  int
 }
 
-// New gives a table that has read nothing and so can prove nothing.
+// New returns a table that has read nothing and so can verify no key.
 func New(cfg Config) *Table {
 	if cfg.Horizon <= 0 {
 		cfg.Horizon = defaultHorizon
@@ -68,63 +69,67 @@
 		cfg.AnswerBytes = defaultAnswerBytes
 	}
 	return &Table{
-		cfg:         cfg,
-		names:       newNames(),
-		sinceMillis: never,
-		firstMillis: never,
-		closed:      make(map[owner]bool),
-		slots:       make(map[slot]*holding),
-		expiries:    make(expiries),
+		cfg:                 cfg,
+		names:               newNameTable(),
+		completeAfterMillis: maxLogMillis,
+		firstReadMillis:     maxLogMillis,
+		closed:              make(map[owner]bool),
+		keys:                make(map[keyID]*keyState),
+		expiries:            make(expiries),
 	}
 }
 
-// BeginEra takes the era of the log's next page, and tells whether it is a new one: then a Mark of it must be appended, and the
-// stream is read anew from its beginning. In a new era the log may have lost claims whose requests ran. Their keys were born before
-// it began, so this table proves none that is older than the era's first Mark. What it holds stands; which incarnations are
-// closed is for the new era's records to say, as it is for tables that know no others.
-// Symptom without it: an entry that has not read a lost claim wins its key, and the request runs twice.
+// BeginEra sets the era of the log's next page and reports whether it is a new one. If so, an EraMark of it
+// must be appended, and the stream is read again from its beginning.
+// In a new era the log may have lost claims whose requests ran. The keys of those requests were created before
+// the era began, so this table verifies no key older than the era's first EraMark. Without this rule, an entry
+// that has not read a lost claim would win its key, and the request would run twice.
+// The table keeps its keys but clears its closed incarnations: the records of the new era determine those, as
+// they do for tables that read no earlier records.
 func (t *Table) BeginEra(era int64) bool {
 	if era <= t.era {
 		return false
 	}
 	t.era = era
-	t.awaitsMark = true
-	t.sinceMillis = never
+	t.awaitingMark = true
+	t.completeAfterMillis = maxLogMillis
 	t.next = 0
-	t.renewed = t.renewed || t.started
+	t.rereading = t.rereading || t.started
 	t.started = false
 	t.afterGap = false
 	clear(t.closed)
 	return true
 }
 
-// mayHaveBeenClosed tells whether the own incarnation may have been closed in records that were cut before the first one kept: in
-// those that came after this table's first one.
+// mayHaveBeenClosed reports whether this incarnation may have been closed in records that were cut before the
+// first one kept, that is, in those that followed this table's first one.
 func (t *Table) mayHaveBeenClosed(firstKept int64) bool {
-	return t.renewed && (t.firstMillis == never || firstKept >= t.firstMillis)
+	return t.rereading && (t.firstReadMillis == maxLogMillis || firstKept >= t.firstReadMillis)
 }
 
-// BeginPage takes the log's oldest kept offset, once before each page's records. It tells whether records were cut
-// before this table could read them: from then on the table proves nothing about older keys.
-// If that happens after the start, the incarnation itself may have been closed in the part that is lost.
-// Symptom without it: the entry goes on to dispatch claims that all others hold void, and a request runs twice.
-// So it may win no claim any more, until the process takes a new incarnation, which nobody can have closed yet.
+// BeginPage must be called with the log's oldest kept offset once before the records of each page are applied.
+// It reports whether records were cut before this table could read them. From then on the table verifies no
+// older key.
+// If that happens after the start, this incarnation may itself have been closed in the lost part. All other
+// entries would then regard its claims as void, and a request that it dispatched could run twice. So it wins no
+// more claims until the process starts a new incarnation, which nobody can have closed yet.
 func (t *Table) BeginPage(first int64) bool {
-	fresh := !t.started
+	firstPage := !t.started
 	t.started = true
 	if first <= max(t.next, 1) {
-		if fresh && !t.awaitsMark {
-			t.sinceMillis = math.MinInt64
+		if firstPage && !t.awaitingMark {
+			t.completeAfterMillis = math.MinInt64
 		}
 		return false
 	}
-	t.lapsed = t.lapsed || !fresh
+	t.lapsed = t.lapsed || !firstPage
 	t.afterGap = true
 	t.next = first
 	return true
 }
 
-// Apply takes the stream's next record and gives what it settled, in order. A record read before settles nothing.
+// Apply processes the stream's next record and returns the resulting decisions in order. A record that was read
+// before results in none.
 func (t *Table) Apply(r recorder.Record) []Decision {
 	if r.Offset < t.next {
 		return nil
@@ -134,40 +139,40 @@
 	if t.afterGap && t.mayHaveBeenClosed(r.AtMillis) {
 		t.lapsed = true
 	}
-	t.firstMillis = min(t.firstMillis, r.AtMillis)
+	t.firstReadMillis = min(t.firstReadMillis, r.AtMillis)
 	if t.afterGap {
-		// Records that were cut may bear the same millisecond as the first one kept.
+		// Records that were cut may have the same millisecond timestamp as the first one kept.
 		t.afterGap = false
-		if !t.awaitsMark {
-			t.sinceMillis = t.logMillis
+		if !t.awaitingMark {
+			t.completeAfterMillis = t.logMillis
 		}
 	}
 	t.expire()
 	batch, err := Decode(r.Data)
 	if err != nil {
-		t.bad++
+		t.badRecords++
 		return nil
 	}
 	return t.applyBatch(r.Offset, &batch)
 }
 
 func (t *Table) applyBatch(offset int64, batch *Batch) []Decision {
-	by := owner{entry: t.names.id(batch.Entry), incarnation: batch.Incarnation}
+	author := owner{entry: t.names.intern(batch.Entry), incarnation: batch.Incarnation}
 	own := batch.Entry == t.cfg.Entry && batch.Incarnation == t.cfg.Incarnation
 	var out []Decision
 	for _, record := range batch.Records {
 		var d Decision
 		switch r := record.(type) {
 		case Release:
-			d = t.applyRelease(by, r)
+			d = t.applyRelease(author, r)
 		case Outcome:
-			d = t.applyOutcome(offset, by, own, r)
+			d = t.applyOutcome(offset, author, own, r)
 		case EraMark:
 			t.applyMark(r)
 		case Closed:
 			d = t.applyClosed(r)
 		case Claim:
-			d = t.applyClaim(offset, by, own, r)
+			d = t.applyClaim(offset, author, own, r)
 		}
 		if d != nil {
 			out = append(out, d)
@@ -179,23 +184,25 @@
 	return out
 }
 
-// applyMark has keys proved from the first mark of the present era on. One of an earlier era was appended before this one's losses.
+// applyMark makes keys verifiable from the first mark of the current era on. A mark of an earlier era was
+// appended before the losses of this one.
 func (t *Table) applyMark(m EraMark) {
-	if t.awaitsMark && m.Era == t.era {
-		t.awaitsMark = false
+	if t.awaitingMark && m.Era == t.era {
+		t.awaitingMark = false
 		t.markMillis = t.logMillis
-		t.sinceMillis = t.logMillis
+		t.completeAfterMillis = t.logMillis
 	}
 }
 
-// PredatesEra tells whether a key may have been used before the log last returned from an older copy, so that a claim of it may be
-// lost. Keys of callers whose clocks are ahead may be older than they say; their claims are not won either.
-func (t *Table) PredatesEra(birth time.Time) bool {
-	return t.era > 0 && (t.awaitsMark || birth.UnixMilli() <= t.markMillis)
+// PredatesEra reports whether a key may have been used before the log last returned from an older copy, so that
+// a claim for it may be lost. A key from a caller whose clock is ahead may be older than its time says; claims
+// for such keys are not won either.
+func (t *Table) PredatesEra(createdAt time.Time) bool {
+	return t.era > 0 && (t.awaitingMark || createdAt.UnixMilli() <= t.markMillis)
 }
 
 func (t *Table) applyClosed(r Closed) Decision {
-	o := owner{entry: t.names.id(r.Entry), incarnation: r.Incarnation}
+	o := owner{entry: t.names.intern(r.Entry), incarnation: r.Incarnation}
 	if t.closed[o] {
 		return nil
 	}
@@ -203,98 +210,98 @@
 	return IncarnationClosed(r)
 }
 
-func (t *Table) applyClaim(offset int64, by owner, own bool, c Claim) Decision {
+func (t *Table) applyClaim(offset int64, author owner, own bool, c Claim) Decision {
 	id, err := parseKey(c.Key.Key)
 	if err != nil {
-		return voided(own, c, VoidBadKey)
+		return voidDecision(own, c, VoidBadKey)
 	}
-	birth := birthMillis(id)
-	if reason := t.voidReason(by, birth); reason != 0 {
-		return voided(own, c, reason)
+	createdMillis := keyTimeMillis(id)
+	if reason := t.voidReason(author, createdMillis); reason != 0 {
+		return voidDecision(own, c, reason)
 	}
-	s := slot{account: t.names.id(c.Key.Account), id: id}
-	claim := claimIdentity{owner: by, claimID: c.ClaimID}
-	h := t.slots[s]
-	if h == nil {
-		h = &holding{}
-		t.slots[s] = h
-		t.expiries.add(s, birth+t.cfg.Horizon.Milliseconds())
+	key := keyID{account: t.names.intern(c.Key.Account), id: id}
+	claim := claimIdentity{owner: author, claimID: c.ClaimID}
+	s := t.keys[key]
+	if s == nil {
+		s = &keyState{}
+		t.keys[key] = s
+		t.expiries.add(key, createdMillis+t.cfg.Horizon.Milliseconds())
 	}
-	if h.held {
-		return t.lost(h, claim, own, c)
+	if s.held {
+		return t.lostDecision(s, claim, own, c)
 	}
-	h.hold(claim, offset, c.Digest)
+	s.assign(claim, offset, c.Digest)
 	if !own {
 		return nil
 	}
-	if !t.proves(birth) {
+	if !t.verifiable(createdMillis) {
 		return Unverified{Key: c.Key, ClaimID: c.ClaimID}
 	}
 	return Won{Key: c.Key, ClaimID: c.ClaimID, Offset: offset}
 }
 
-// voidReason tells why no table takes the claim, or 0. It depends on the log alone: a claim that lands after
-// the tables have forgotten its key must not find the key free.
-func (t *Table) voidReason(by owner, birth int64) VoidReason {
+// voidReason returns the reason why every table ignores the claim, or 0. It depends on the log alone: a claim
+// that is appended after the tables have deleted its key must not find the key free.
+func (t *Table) voidReason(author owner, createdMillis int64) VoidReason {
 	switch {
-	case t.closed[by]:
+	case t.closed[author]:
 		return VoidClosed
-	case t.logMillis > birth+t.cfg.Horizon.Milliseconds():
+	case t.logMillis > createdMillis+t.cfg.Horizon.Milliseconds():
 		return VoidTooOld
-	case birth > t.logMillis+MaxSkew.Milliseconds():
+	case createdMillis > t.logMillis+MaxSkew.Milliseconds():
 		return VoidFromFuture
 	default:
 		return 0
 	}
 }
 
-func voided(own bool, c Claim, reason VoidReason) Decision {
+func voidDecision(own bool, c Claim, reason VoidReason) Decision {
 	if !own {
 		return nil
 	}
 	return Voided{Key: c.Key, ClaimID: c.ClaimID, Reason: reason}
 }
 
-func (t *Table) lost(h *holding, claim claimIdentity, own bool, c Claim) Decision {
-	if h.claim == claim {
-		// A second copy of the holder's own claim: its append was sent again after a lost reply.
+func (t *Table) lostDecision(s *keyState, claim claimIdentity, own bool, c Claim) Decision {
+	if s.claim == claim {
+		// This is a second copy of the holder's own claim: its append was sent again after a lost reply.
 		return nil
 	}
 	if !own {
 		return nil
 	}
-	return Lost{Key: c.Key, ClaimID: c.ClaimID, Holder: t.view(h), SameDigest: h.digest == c.Digest}
+	return Lost{Key: c.Key, ClaimID: c.ClaimID, Holder: t.status(s), SameDigest: s.digest == c.Digest}
 }
 
-// proves tells that no earlier claim for a key of this birth can have been missed. Claims that land more than
-// MaxSkew before their key's birth are void, so earlier parts of the log do not matter.
-func (t *Table) proves(birth int64) bool {
-	return !t.lapsed && t.sinceMillis < birth-MaxSkew.Milliseconds()
+// verifiable reports whether no earlier claim can have been missed for a key of this creation time. Claims that
+// are appended more than MaxSkew before their key's time are void, so earlier parts of the log do not matter.
+func (t *Table) verifiable(createdMillis int64) bool {
+	return !t.lapsed && t.completeAfterMillis < createdMillis-MaxSkew.Milliseconds()
 }
 
-func (t *Table) applyRelease(by owner, r Release) Decision {
-	h := t.find(r.Key)
-	if h == nil || !h.held || h.ended() || h.claim != (claimIdentity{owner: by, claimID: r.ClaimID}) {
+func (t *Table) applyRelease(author owner, r Release) Decision {
+	s := t.find(r.Key)
+	if s == nil || !s.held || s.ended() || s.claim != (claimIdentity{owner: author, claimID: r.ClaimID}) {
 		return nil
 	}
-	h.held = false
+	s.held = false
 	return Released{Key: r.Key}
 }
 
-func (t *Table) applyOutcome(offset int64, by owner, own bool, r Outcome) Decision {
-	h := t.find(r.Key)
-	if h == nil || !h.held || h.ended() || h.claim != (claimIdentity{owner: by, claimID: r.ClaimID}) {
+func (t *Table) applyOutcome(offset int64, author owner, own bool, r Outcome) Decision {
+	s := t.find(r.Key)
+	if s == nil || !s.held || s.ended() || s.claim != (claimIdentity{owner: author, claimID: r.ClaimID}) {
 		return nil
 	}
-	h.end(offset, r)
-	t.answers.keep(h, t.cfg.AnswerBytes)
+	s.recordOutcome(offset, r)
+	t.answers.add(s, t.cfg.AnswerBytes)
 	if own {
 		return nil
 	}
-	return ForeignOutcome{Key: r.Key, Status: t.view(h)}
+	return ForeignOutcome{Key: r.Key, Status: t.status(s)}
 }
 
-func (t *Table) find(k Key) *holding {
+func (t *Table) find(k Key) *keyState {
 	id, err := parseKey(k.Key)
 	if err != nil {
 		return nil
@@ -303,38 +310,38 @@
 	if !ok {
 		return nil
 	}
-	return t.slots[slot{account: account, id: id}]
+	return t.keys[keyID{account: account, id: id}]
 }
 
-// Lookup tells what the log says of a key; false if no valid claim for it was read.
+// Lookup returns the state of a key according to the log, or false if no valid claim for it was read.
 func (t *Table) Lookup(k Key) (KeyStatus, bool) {
-	h := t.find(k)
-	if h == nil {
+	s := t.find(k)
+	if s == nil {
 		return KeyStatus{}, false
 	}
-	return t.view(h), true
+	return t.status(s), true
 }
 
-// CheckVerifiable refuses a key that a claim could not be proved for, with a *KeyUnprovableError.
-// It spares the append; Apply asks the same again.
-func (t *Table) CheckVerifiable(birth time.Time) error {
-	if t.proves(birth.UnixMilli()) {
+// CheckVerifiable returns a *KeyUnverifiableError for a key whose claim could not be verified. It saves the
+// append; Apply checks again.
+func (t *Table) CheckVerifiable(createdAt time.Time) error {
+	if t.verifiable(createdAt.UnixMilli()) {
 		return nil
 	}
-	return &KeyUnverifiableError{CreatedAt: birth, Lapsed: t.lapsed}
+	return &KeyUnverifiableError{CreatedAt: createdAt, Lapsed: t.lapsed}
 }
 
-// Offset gives the last offset read.
+// Offset returns the last offset read.
 func (t *Table) Offset() int64 { return t.next - 1 }
 
-// Next gives the offset to read from.
+// Next returns the offset to read from.
 func (t *Table) Next() int64 { return t.next }
 
-// Len gives the number of keys that are remembered.
-func (t *Table) Len() int { return len(t.slots) }
+// Len returns the number of stored keys.
+func (t *Table) Len() int { return len(t.keys) }
 
-// BadRecords counts records that are no batches and were passed over.
-func (t *Table) BadRecords() int { return t.bad }
+// BadRecords returns the number of skipped records that were not batches.
+func (t *Table) BadRecords() int { return t.badRecords }
 
-// Lapsed tells that this incarnation may win no claim any more: the process must take a new one.
+// Lapsed reports that this incarnation can win no more claims, so that the process must start a new one.
 func (t *Table) Lapsed() bool { return t.lapsed }
