--- a/claimer/batcher_test.go
+++ b/claimer/batcher_test.go
@@ -7,9 +7,9 @@
 	"github.com/stretchr/testify/require"
 )
 
-var noon = time.UnixMilli(bornMillis)
+var testTime = time.UnixMilli(createdMillis)
 
-func at(millis int) time.Time { return noon.Add(time.Duration(millis) * time.Millisecond) }
+func at(millis int) time.Time { return testTime.Add(time.Duration(millis) * time.Millisecond) }
 
 func testBatcher() *Batcher {
 	return NewBatcher(BatcherConfig{
@@ -24,11 +24,13 @@
 	})
 }
 
-func oneClaim(id uint64) ClaimRecord { return Claim{Key: wall, ClaimID: id} }
+func claimWithID(id uint64) ClaimRecord { return Claim{Key: requestKey, ClaimID: id} }
 
-func oneOutcome(id uint64) ClaimRecord { return Outcome{Key: wall, ClaimID: id, State: StateAnswered} }
+func outcomeWithID(id uint64) ClaimRecord {
+	return Outcome{Key: requestKey, ClaimID: id, State: StateAnswered}
+}
 
-func due(t *testing.T, b *Batcher, now time.Time, want ...ClaimRecord) uint64 {
+func requireDue(t *testing.T, b *Batcher, now time.Time, want ...ClaimRecord) uint64 {
 	t.Helper()
 	batch, ok := b.Due(now)
 	require.True(t, ok, "an append is due")
@@ -36,50 +38,51 @@
 	return batch.BatchID
 }
 
-func notDue(t *testing.T, b *Batcher, now time.Time) {
+func requireNotDue(t *testing.T, b *Batcher, now time.Time) {
 	t.Helper()
 	_, ok := b.Due(now)
 	require.False(t, ok, "no append is due")
 }
 
-// The log takes some hundred appends a second for all entries. A lone claim must not wait for company,
-// and a stream of claims must not take more than one append a window.
-func TestAWindowGroupsClaims(t *testing.T) {
+// The log accepts a few hundred appends per second for all entries. A single claim must be appended at once,
+// and a stream of claims must cause at most one append per window.
+func TestWindowBatchesClaims(t *testing.T) {
 	b := testBatcher()
-	notDue(t, b, at(0))
-	b.Add(oneClaim(1))
-	due(t, b, at(0), oneClaim(1))
-	b.Add(oneClaim(2))
-	b.Add(oneClaim(3))
-	notDue(t, b, at(39))
+	requireNotDue(t, b, at(0))
+	b.Add(claimWithID(1))
+	requireDue(t, b, at(0), claimWithID(1))
+	b.Add(claimWithID(2))
+	b.Add(claimWithID(3))
+	requireNotDue(t, b, at(39))
 	next, ok := b.Next(at(39))
 	require.True(t, ok)
 	require.Equal(t, at(40), next)
-	due(t, b, at(40), oneClaim(2), oneClaim(3))
+	requireDue(t, b, at(40), claimWithID(2), claimWithID(3))
 
-	b.Add(oneClaim(4))
+	b.Add(claimWithID(4))
 	_, ok = b.Next(at(90))
 	require.False(t, ok, "two appends are in flight")
 	b.Appended(1, AppendDone{}, at(91))
-	due(t, b, at(91), oneClaim(4))
+	requireDue(t, b, at(91), claimWithID(4))
 }
 
-// Long answers must not make an append that the log refuses for its size, and a single long one must still go.
-func TestAnAppendIsBoundedInBytes(t *testing.T) {
+// Guards against an append that the log refuses for its size because of long answers. A single long record must
+// still be appended.
+func TestAppendSizeIsLimited(t *testing.T) {
 	b := testBatcher()
-	long := Outcome{Key: wall, ClaimID: 1, Answer: string(make([]byte, 2000))}
+	long := Outcome{Key: requestKey, ClaimID: 1, Answer: string(make([]byte, 2000))}
 	b.Add(long)
-	b.Add(oneClaim(2))
-	due(t, b, at(0), long)
-	due(t, b, at(40), oneClaim(2))
+	b.Add(claimWithID(2))
+	requireDue(t, b, at(0), long)
+	requireDue(t, b, at(40), claimWithID(2))
 }
 
-// An endpoint's answer or error text is longer than the log takes. The batch must still be one that can be appended,
-// and the caller must be told that the answer was not kept, not be handed its first part.
-func TestAnOutcomeIsMadeToFit(t *testing.T) {
+// An endpoint's answer or error text is longer than the log's limit. The batch must still be appendable, and
+// the outcome must say that the answer was not kept instead of containing its first part.
+func TestOutcomeIsCutToLimits(t *testing.T) {
 	b := testBatcher()
 	long := string(make([]byte, maxAnswerBytes+1))
-	b.Add(Outcome{Key: wall, ClaimID: 1, State: StateAnswered, Answer: long, Message: long})
+	b.Add(Outcome{Key: requestKey, ClaimID: 1, State: StateAnswered, Answer: long, Message: long})
 	batch, ok := b.Due(at(0))
 	require.True(t, ok)
 	_, err := Encode(batch)
@@ -89,46 +92,47 @@
 	require.Equal(t, StateAnswerNotKept, got.State)
 }
 
-// The log refuses an append for its rate. Nothing of it was recorded, so its callers can still be told "not run",
-// and the rest goes in the old order when the log wishes.
-func TestARefusedAppendIsTriedAgain(t *testing.T) {
+// The log refuses an append for its rate. None of it was recorded, so callers can still be answered "not run".
+// The remaining records are appended in the same order after the wait that the log requested.
+func TestRefusedAppendIsRetried(t *testing.T) {
 	b := testBatcher()
-	b.Add(oneClaim(1))
-	b.Add(oneOutcome(2))
-	b.Add(oneClaim(3))
-	id := due(t, b, at(0), oneClaim(1), oneOutcome(2), oneClaim(3))
-	require.False(t, b.Withdraw(1), "it may be recorded")
+	b.Add(claimWithID(1))
+	b.Add(outcomeWithID(2))
+	b.Add(claimWithID(3))
+	id := requireDue(t, b, at(0), claimWithID(1), outcomeWithID(2), claimWithID(3))
+	require.False(t, b.Withdraw(1), "the claim may have been appended")
 	b.Appended(id, AppendRefused{RetryAfter: 500 * time.Millisecond}, at(10))
-	require.True(t, b.Withdraw(1), "it surely was not")
+	require.True(t, b.Withdraw(1), "the claim was not appended")
 	wait, ok := b.Available(at(10))
 	require.False(t, ok)
 	require.Equal(t, 500*time.Millisecond, wait)
-	notDue(t, b, at(509))
-	id = due(t, b, at(510), oneOutcome(2), oneClaim(3))
+	requireNotDue(t, b, at(509))
+	id = requireDue(t, b, at(510), outcomeWithID(2), claimWithID(3))
 	b.Appended(id, AppendDone{}, at(520))
 	_, ok = b.Available(at(520))
 	require.True(t, ok)
 }
 
-// The reply is lost. A claim that is sent again could land twice and minutes late, so it is left to the log to
-// tell; an outcome that is not sent again would leave its caller with "unknown" for good.
-func TestAnUncertainAppendKeepsItsOutcomes(t *testing.T) {
+// The reply to an append is lost. A claim that is sent again could be appended twice and minutes late, so only
+// the log decides on it. An outcome that is not sent again would leave its caller with "unknown" for good.
+func TestUncertainAppendRetriesOutcomes(t *testing.T) {
 	b := testBatcher()
-	b.Add(oneClaim(1))
-	b.Add(oneOutcome(2))
-	id := due(t, b, at(0), oneClaim(1), oneOutcome(2))
+	b.Add(claimWithID(1))
+	b.Add(outcomeWithID(2))
+	id := requireDue(t, b, at(0), claimWithID(1), outcomeWithID(2))
 	b.Appended(id, AppendUncertain{}, at(100))
-	notDue(t, b, at(349))
-	id = due(t, b, at(350), oneOutcome(2))
+	requireNotDue(t, b, at(349))
+	id = requireDue(t, b, at(350), outcomeWithID(2))
 	b.Appended(id, AppendUncertain{}, at(400))
 	b.Committed(id, at(1400))
-	id = due(t, b, at(1400))
+	id = requireDue(t, b, at(1400))
 	b.Appended(id, AppendDone{}, at(1410))
-	notDue(t, b, at(2500))
+	requireNotDue(t, b, at(2500))
 }
 
-// Only the reply is lost: the batch is read back at once, just before or after its append's end is known. The log
-// takes appends, so the next claim is not refused and no probe is needed. A batch read back late proves nothing.
+// Only the reply is lost: the batch is read back at once, just before or after the result of its append is
+// known. The log accepts appends, so the next claim is not refused and no probe is needed. A batch that is read
+// back late proves nothing.
 func TestALostReplyIsNoOutage(t *testing.T) {
 	for _, s := range []struct {
 		testName  string
@@ -136,14 +140,14 @@
 		readAt    int
 		available bool
 	}{
-		{"read back before", true, 20, true},
-		{"read back after", false, 40, true},
+		{"read back before the result", true, 20, true},
+		{"read back after the result", false, 40, true},
 		{"read back late", false, 1040, false},
 	} {
 		t.Run(s.testName, func(t *testing.T) {
 			b := testBatcher()
-			b.Add(oneClaim(1))
-			id := due(t, b, at(0), oneClaim(1))
+			b.Add(claimWithID(1))
+			id := requireDue(t, b, at(0), claimWithID(1))
 			if s.readFirst {
 				b.Committed(id, at(s.readAt))
 			}
@@ -154,20 +158,20 @@
 			_, available := b.Available(at(s.readAt))
 			require.Equal(t, s.available, available)
 			if s.available {
-				notDue(t, b, at(3000))
+				requireNotDue(t, b, at(3000))
 			}
 		})
 	}
 }
 
-// The log is down: requests that need a claim are refused at once with a time to return, and one empty append at a
-// time, ever more seldom, shows when the log is back.
-func TestALogThatIsDownIsProbed(t *testing.T) {
+// The log is down: requests that need a claim are refused at once with a retry time. One empty append at a
+// time, at growing intervals, detects when the log is back.
+func TestUnavailableLogIsProbed(t *testing.T) {
 	b := testBatcher()
-	b.Add(oneClaim(1))
-	due(t, b, at(0), oneClaim(1))
+	b.Add(claimWithID(1))
+	requireDue(t, b, at(0), claimWithID(1))
 	wait, ok := b.Available(at(1000))
-	require.False(t, ok, "an append has been without reply for a second")
+	require.False(t, ok, "an append has had no reply for a second")
 	require.Equal(t, 250*time.Millisecond, wait)
 	b.Appended(1, AppendUncertain{}, at(1000))
 	now, waits := at(1000), []int{}
@@ -176,7 +180,7 @@
 		require.True(t, ok)
 		waits = append(waits, int(next.Sub(now).Milliseconds()))
 		now = next
-		b.Appended(due(t, b, now), AppendUncertain{}, now)
+		b.Appended(requireDue(t, b, now), AppendUncertain{}, now)
 	}
 	require.Equal(t, []int{250, 500, 1000, 1000}, waits)
 }
--- a/claimer/bench_test.go
+++ b/claimer/bench_test.go
@@ -11,23 +11,24 @@
 	"geraniumline/recorder"
 )
 
-// benchAccounts is how many client accounts the benchmarks' keys spread over.
+// benchAccounts is the number of client accounts that the benchmarks' keys are spread over.
 const benchAccounts = 1000
 
 func benchKey(n int) Key {
 	id := uuid.UUID{}
-	binary.BigEndian.PutUint64(id[:8], uint64(bornMillis)<<16)
+	binary.BigEndian.PutUint64(id[:8], uint64(createdMillis)<<16)
 	binary.BigEndian.PutUint64(id[8:], uint64(n))
 	id[6] |= 0x70
 	id[8] = id[8]&0x3f | 0x80
 	return Key{Account: fmt.Sprintf("account-%05d", n%benchAccounts), Key: id.String()}
 }
 
-// benchBatch holds n claims of one entry, as a window of 40 ms at 2,000 claims a second over seven entries has them.
+// benchBatch returns n claims of one entry. A window of 40 ms at 2,000 claims per second over seven entries has
+// claimsPerWindow of them.
 func benchBatch(first, n int) Batch {
 	batch := Batch{Entry: "b", Incarnation: 1, BatchID: uint64(first)}
 	for i := range n {
-		batch.Records = append(batch.Records, Claim{Key: benchKey(first + i), Digest: bodyOne, ClaimID: uint64(first + i)})
+		batch.Records = append(batch.Records, Claim{Key: benchKey(first + i), Digest: digestOne, ClaimID: uint64(first + i)})
 	}
 	return batch
 }
@@ -57,7 +58,7 @@
 	}
 }
 
-// BenchmarkApply gives the time and the memory of one claim in tables of growing size.
+// BenchmarkApply measures the time and the memory per claim in tables of growing size.
 func BenchmarkApply(b *testing.B) {
 	for _, keys := range []int{10_000, 100_000, 1_000_000} {
 		b.Run(fmt.Sprint(keys), func(b *testing.B) {
@@ -67,7 +68,7 @@
 				if err != nil {
 					b.Fatal(err)
 				}
-				records = append(records, recorder.Record{Offset: int64(first + 1), AtMillis: bornMillis, Data: data})
+				records = append(records, recorder.Record{Offset: int64(first + 1), AtMillis: createdMillis, Data: data})
 			}
 			for b.Loop() {
 				before := heapBytes()
--- a/claimer/era_test.go
+++ b/claimer/era_test.go
@@ -9,7 +9,7 @@
 	"geraniumline/recorder"
 )
 
-// batchAt gives a record that holds a batch of an entry.
+// batchAt returns a record that contains a batch.
 func batchAt(t *testing.T, offset, millis int64, batch Batch) recorder.Record {
 	t.Helper()
 	data, err := Encode(batch)
@@ -17,17 +17,17 @@
 	return recorder.Record{Offset: offset, AtMillis: millis, Data: data}
 }
 
-// Guards against an incarnation that goes on to win claims in a new era of the log although the record that closed it was cut before
-// the stream was read anew: others hold its claims void.
-func TestARenewedTableLapsesWhereItMayHaveBeenClosed(t *testing.T) {
+// Guards against an incarnation that continues to win claims in a new era of the log although the record that
+// closed it was cut before the stream was read again. Other entries regard its claims as void.
+func TestTableLapsesInNewEraIfItMayHaveBeenClosed(t *testing.T) {
 	for _, tc := range []struct {
 		name      string
 		firstKept int64
 		lapsed    bool
 	}{
-		{"records of its life were cut", 2000, true},
-		{"at the moment of its first record", 1000, true},
-		{"none of its life were cut", 999, false},
+		{"records since its first one were cut", 2000, true},
+		{"cut up to the time of its first record", 1000, true},
+		{"only earlier records were cut", 999, false},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			table := New(Config{Entry: "b", Incarnation: 2})
@@ -41,8 +41,9 @@
 	}
 }
 
-// Guards against keys that are proved in a new era before its mark, or that are as old as what the log has lost.
-func TestANewEraProvesKeysFromItsMarkOn(t *testing.T) {
+// Guards against keys that are verified in a new era before its mark, or that are as old as the records that
+// the log lost.
+func TestNewEraVerifiesKeysCreatedAfterItsMark(t *testing.T) {
 	table := New(Config{Entry: "a", Incarnation: 1})
 	table.BeginPage(0)
 	at := time.UnixMilli
--- a/claimer/property_test.go
+++ b/claimer/property_test.go
@@ -11,7 +11,8 @@
 	"pgregory.net/rapid"
 )
 
-// The runs of CI: the same seed gives the same verdict. Override on the command line to search further.
+// TestMain sets rapid's flags for CI, where the same seed gives the same result. Override them on the command
+// line to search further.
 func TestMain(m *testing.M) {
 	for name, value := range map[string]string{"rapid.nofailfile": "true", "rapid.seed": "20", "rapid.checks": "1500", "rapid.steps": "400"} {
 		if err := flag.Set(name, value); err != nil {
@@ -21,59 +22,61 @@
 	os.Exit(m.Run())
 }
 
-// Callers send one key to several entries, again and again, while appends are lost, doubled, delayed by minutes or
-// land without a reply, entries are killed, frozen and declared dead though they live, and old records are cut.
-// The endpoints' ledger must never show a key twice, nor an attempt whose caller was told that it did not run.
+// Callers send one key to several entries repeatedly. Meanwhile appends are lost, duplicated, delayed by
+// minutes or committed without a reply, entries are killed, frozen and declared dead while they are alive, and
+// old records are cut. The endpoints' ledger must never show a key twice, nor an attempt whose caller was
+// answered that it did not run.
 func TestAtMostOnceUnderAnyOrderOfEvents(t *testing.T) {
 	totals := map[string]int{}
 	rapid.Check(t, func(t *rapid.T) {
 		retention := rapid.SampledFrom([]time.Duration{13 * time.Minute, 3 * time.Minute}).Draw(t, "retention")
-		w := newWorld(retention, "a", "b", "c")
+		w := newSimulation(retention, "a", "b", "c")
 		w.newKey(0)
 		t.Repeat(actions(w, totals))
-		for name, n := range w.faults {
+		for name, n := range w.counts {
 			totals[name] += n
 		}
 		for _, runs := range w.ledger {
 			totals["runs"] += len(runs)
 		}
 	})
-	t.Logf("steps and faults tried: %v", totals)
+	t.Logf("executed steps and faults: %v", totals)
 	for _, name := range []string{"runs", "kill", "freeze", "replyLost", "late", "copied", "closeLive", "gap", "lapsed", "gaveUpInFlight"} {
-		require.NotZero(t, totals[name], "the run must have tried %s", name)
+		require.NotZero(t, totals[name], "the run must exercise %s", name)
 	}
 }
 
-// The same while the log returns from copies some seconds old, again and again: claims, releases, outcomes and closings that it had
-// acknowledged are gone, their offsets are given out again, and appends of before land after it.
+// Like TestAtMostOnceUnderAnyOrderOfEvents, but the log repeatedly returns from copies that are some seconds
+// old: claims, releases, outcomes and closings that it had acknowledged are lost, their offsets are assigned
+// again, and appends from before the return are committed after it.
 func TestAtMostOnceWhileTheLogReturnsFromOlderCopies(t *testing.T) {
 	totals := map[string]int{}
 	rapid.Check(t, func(t *rapid.T) {
 		retention := rapid.SampledFrom([]time.Duration{13 * time.Minute, 3 * time.Minute}).Draw(t, "retention")
-		w := newWorld(retention, "a", "b", "c")
+		w := newSimulation(retention, "a", "b", "c")
 		w.newKey(0)
 		all := actions(w, totals)
 		all["return"] = func(t *rapid.T) {
-			if seldom(t, 4) {
+			if oneIn(t, 4) {
 				age := time.Duration(rapid.IntRange(0, 6000).Draw(t, "age")) * time.Millisecond
-				w.faults["lostRecords"] += w.log.returnFrom(w.now.Add(-age))
+				w.counts["lostRecords"] += w.log.returnFrom(w.now.Add(-age))
 			}
 		}
 		t.Repeat(all)
-		for name, n := range w.faults {
+		for name, n := range w.counts {
 			totals[name] += n
 		}
 		for _, runs := range w.ledger {
 			totals["runs"] += len(runs)
 		}
 	})
-	t.Logf("steps and faults tried: %v", totals)
+	t.Logf("executed steps and faults: %v", totals)
 	for _, name := range []string{"runs", "renewed", "lostRecords", "kill", "freeze", "late", "closeLive", "unproved"} {
-		require.NotZero(t, totals[name], "the run must have tried %s", name)
+		require.NotZero(t, totals[name], "the run must exercise %s", name)
 	}
 }
 
-func actions(w *world, totals map[string]int) map[string]func(*rapid.T) {
+func actions(w *simulation, totals map[string]int) map[string]func(*rapid.T) {
 	step := func(f func(t *rapid.T, p *process)) func(*rapid.T) {
 		return func(t *rapid.T) {
 			totals["steps"]++
@@ -83,17 +86,17 @@
 				return
 			}
 			f(t, p)
-			w.emitAll()
+			w.startAppends()
 		}
 	}
 	send := step(func(t *rapid.T, p *process) {
 		w.send(p, w.drawKey(t), [32]byte{byte(rapid.IntRange(1, 2).Draw(t, "body"))})
 	})
 	read := step(func(t *rapid.T, p *process) { w.read(p, rapid.IntRange(1, 40).Draw(t, "limit")) })
-	land := step(func(t *rapid.T, _ *process) { w.landOne(t, true) })
+	commit := step(func(t *rapid.T, _ *process) { w.commitOne(t, true) })
 	return map[string]func(*rapid.T){
-		"send": send, "sendAgain": send, "read": read, "readMore": read, "readOn": read, "land": land, "landMore": land,
-		"landWithoutReply": step(func(t *rapid.T, _ *process) { w.landOne(t, false) }),
+		"send": send, "sendAgain": send, "read": read, "readMore": read, "readOn": read, "land": commit, "landMore": commit,
+		"landWithoutReply": step(func(t *rapid.T, _ *process) { w.commitOne(t, false) }),
 		"finish":           step(func(_ *rapid.T, p *process) { w.finish(p) }),
 		"giveUp":           step(func(t *rapid.T, p *process) { w.giveUpOne(t, p) }),
 		"newKey": step(func(t *rapid.T, _ *process) {
@@ -103,64 +106,64 @@
 		"freeze": step(func(t *rapid.T, p *process) { w.freezeOne(t, p) }),
 		"kill":   step(func(t *rapid.T, p *process) { w.killOne(t, p) }),
 		"close":  step(func(t *rapid.T, p *process) { w.closeOne(t, p) }),
-		"wait":   step(func(t *rapid.T, _ *process) { w.wait(t) }),
+		"wait":   step(func(t *rapid.T, _ *process) { w.advance(t) }),
 		"": func(t *rapid.T) {
-			require.Empty(t, w.faulty)
+			require.Empty(t, w.violations)
 		},
 	}
 }
 
-// seldom is true once in n draws.
-func seldom(t *rapid.T, n int) bool { return rapid.IntRange(1, n).Draw(t, "seldom") == n }
+// oneIn returns true once in n draws on average.
+func oneIn(t *rapid.T, n int) bool { return rapid.IntRange(1, n).Draw(t, "seldom") == n }
 
-func (w *world) drawKey(t *rapid.T) Key {
-	// Mostly the newest keys: the others are past their horizon after a while.
+func (w *simulation) drawKey(t *rapid.T) Key {
+	// Draw one of the newest keys, because the others are past their horizon after a while.
 	back := min(len(w.keys), rapid.IntRange(1, 4).Draw(t, "back"))
 	return w.keys[len(w.keys)-back]
 }
 
-func (w *world) emitAll() {
+func (w *simulation) startAppends() {
 	for _, name := range w.names {
 		if p := w.entries[name]; p.frozen == 0 {
-			w.emit(p)
+			w.startAppend(p)
 		}
 	}
 }
 
-func (w *world) drawPending(t *rapid.T) (int, bool) {
+func (w *simulation) drawPending(t *rapid.T) (int, bool) {
 	if len(w.pending) == 0 {
 		return 0, false
 	}
 	return rapid.IntRange(0, len(w.pending)-1).Draw(t, "append"), true
 }
 
-func (w *world) landOne(t *rapid.T, reply bool) {
+func (w *simulation) commitOne(t *rapid.T, reply bool) {
 	i, ok := w.drawPending(t)
 	if !ok {
 		return
 	}
 	copied := rapid.IntRange(0, 9).Draw(t, "copied") == 0
 	if copied {
-		w.faults["copied"]++
+		w.counts["copied"]++
 	}
-	if w.pending[i].told {
-		w.faults["late"]++
+	if w.pending[i].replied {
+		w.counts["late"]++
 	}
-	w.land(i, reply, copied, int64(rapid.IntRange(0, 2).Draw(t, "hole")))
+	w.commit(i, reply, copied, int64(rapid.IntRange(0, 2).Draw(t, "hole")))
 }
 
-func (w *world) loseOne(t *rapid.T) {
+func (w *simulation) loseOne(t *rapid.T) {
 	i, ok := w.drawPending(t)
 	if !ok {
 		return
 	}
 	switch rapid.IntRange(0, 3).Draw(t, "how") {
 	case 0:
-		w.faults["lost"]++
+		w.counts["lost"]++
 		w.drop(i, AppendUncertain{})
 	case 1:
-		if !w.pending[i].told {
-			w.faults["refused"]++
+		if !w.pending[i].replied {
+			w.counts["refused"]++
 			w.drop(i, AppendRefused{})
 		}
 	default:
@@ -168,10 +171,10 @@
 	}
 }
 
-func (w *world) giveUpOne(t *rapid.T, p *process) {
+func (w *simulation) giveUpOne(t *rapid.T, p *process) {
 	var ids []uint64
 	for id, a := range p.attempts {
-		if !a.dispatched && a.told == "" {
+		if !a.dispatched && a.answer == "" {
 			ids = append(ids, id)
 		}
 	}
@@ -181,37 +184,37 @@
 	}
 }
 
-func (w *world) freezeOne(t *rapid.T, p *process) {
-	if seldom(t, 3) {
-		w.faults["freeze"]++
+func (w *simulation) freezeOne(t *rapid.T, p *process) {
+	if oneIn(t, 3) {
+		w.counts["freeze"]++
 		p.frozen = rapid.IntRange(1, 40).Draw(t, "steps")
 	}
 }
 
-func (w *world) killOne(t *rapid.T, p *process) {
-	if seldom(t, 4) {
-		w.faults["kill"]++
+func (w *simulation) killOne(t *rapid.T, p *process) {
+	if oneIn(t, 4) {
+		w.counts["kill"]++
 		w.kill(p.name)
 	}
 }
 
-// closeOne lets p declare some incarnation dead: a former one, or one that in truth lives.
-func (w *world) closeOne(t *rapid.T, p *process) {
-	if !seldom(t, 6) {
+// closeOne makes p declare an incarnation dead: a former one, or one that is still alive.
+func (w *simulation) closeOne(t *rapid.T, p *process) {
+	if !oneIn(t, 6) {
 		return
 	}
 	other := w.entries[rapid.SampledFrom(w.names).Draw(t, "other")]
 	inc := rapid.Uint64Range(1, other.inc).Draw(t, "incarnation")
 	if inc == other.inc {
-		w.faults["closeLive"]++
+		w.counts["closeLive"]++
 	}
 	p.batcher.Add(Closed{Entry: other.name, Incarnation: inc})
 }
 
-func (w *world) wait(t *rapid.T) {
+func (w *simulation) advance(t *rapid.T) {
 	waits := []time.Duration{50 * time.Millisecond, time.Second, 5 * time.Second, time.Minute, 5 * time.Minute, 14 * time.Minute}
 	long := len(waits) - 1
-	if !seldom(t, 12) {
+	if !oneIn(t, 12) {
 		long = 2
 	}
 	w.now = w.now.Add(waits[rapid.IntRange(0, long).Draw(t, "wait")])
--- a/claimer/record_test.go
+++ b/claimer/record_test.go
@@ -9,14 +9,14 @@
 
 func fullBatch() Batch {
 	return Batch{Entry: "a", Incarnation: 3, BatchID: 9, Records: []ClaimRecord{
-		Release{Key: wall, ClaimID: 4},
-		Outcome{Key: wall, ClaimID: 5, State: StateUnknown, Answer: "half", Parts: 2, Code: "cut", Message: "the stream was cut"},
+		Release{Key: requestKey, ClaimID: 4},
+		Outcome{Key: requestKey, ClaimID: 5, State: StateUnknown, Answer: "half", Parts: 2, Code: "cut", Message: "the stream was cut"},
 		Closed{Entry: "b", Incarnation: 1},
-		Claim{Key: wall, Digest: bodyOne, ClaimID: 6},
+		Claim{Key: requestKey, Digest: digestOne, ClaimID: 6},
 	}}
 }
 
-func TestABatchSurvivesTheLog(t *testing.T) {
+func TestBatchRoundTrip(t *testing.T) {
 	for _, batch := range []Batch{fullBatch(), {Entry: "a", BatchID: 1, Records: []ClaimRecord{}}} {
 		data, err := Encode(batch)
 		require.NoError(t, err)
@@ -26,21 +26,21 @@
 	}
 }
 
-// One record past the log's largest append would be refused again and again, and every other record of its batch
-// with it: no claim of this entry would ever land.
-func TestEncodeRefusesWhatTheLogWould(t *testing.T) {
+// A record larger than the log's largest append would be refused on every retry, together with every other
+// record of its batch, so that no claim of this entry would ever be appended.
+func TestEncodeRejectsOversizedRecords(t *testing.T) {
 	long := strings.Repeat("x", maxAnswerBytes+1)
 	for _, record := range []ClaimRecord{
 		Claim{Key: Key{Account: long, Key: testKey}},
 		Release{Key: Key{Account: "a", Key: long}},
-		Outcome{Key: wall, Answer: long},
-		Outcome{Key: wall, Code: long},
-		Outcome{Key: wall, Message: long},
+		Outcome{Key: requestKey, Answer: long},
+		Outcome{Key: requestKey, Code: long},
+		Outcome{Key: requestKey, Message: long},
 		Closed{Entry: long},
 	} {
-		var limit *RecordLimitError
+		var limitErr *RecordLimitError
 		_, err := Encode(Batch{Records: []ClaimRecord{record}})
-		require.ErrorAs(t, err, &limit, "%T", record)
+		require.ErrorAs(t, err, &limitErr, "%T", record)
 	}
 }
 
@@ -54,13 +54,13 @@
 	f.Fuzz(func(t *testing.T, data []byte) {
 		batch, err := Decode(data)
 		if err != nil {
-			var decode *DecodeError
-			require.ErrorAs(t, err, &decode)
+			var decodeErr *DecodeError
+			require.ErrorAs(t, err, &decodeErr)
 			return
 		}
 		if _, err := Encode(batch); err != nil {
-			var limit *RecordLimitError
-			require.ErrorAs(t, err, &limit)
+			var limitErr *RecordLimitError
+			require.ErrorAs(t, err, &limitErr)
 		}
 	})
 }
--- a/claimer/window_test.go
+++ b/claimer/window_test.go
@@ -12,8 +12,8 @@
 	"github.com/HdrHistogram/hdrhistogram-go"
 )
 
-// The model's load and log: seven entries, 2,000 claims a second with Poisson arrivals, each with an outcome
-// 300 ms later; an append takes 4 to 12 ms and is read back 1 ms after its reply.
+// The model's load and log: seven entries, 2,000 claims per second with Poisson arrivals, each with an outcome
+// 300 ms later. An append takes 4 to 12 ms and is read back 1 ms after its reply.
 const (
 	windowEntries = 7
 	windowRate    = 2000
@@ -25,7 +25,7 @@
 type windowEvent struct {
 	at    time.Duration
 	entry int
-	// do is what happens before the batcher is looked at.
+	// do runs before the batcher is polled.
 	do func(now time.Time)
 }
 
@@ -41,19 +41,19 @@
 	return last
 }
 
-// windowRun is one step-driven run: no wall clock, and the same figures each time.
+// windowRun is a discrete-event simulation without a wall clock, so that each run has the same results.
 type windowRun struct {
 	rng      *rand.Rand
 	queue    windowQueue
 	batchers []*Batcher
-	// wakes holds the time at which each entry is looked at next, so that no time is queued twice.
-	wakes   [windowEntries]time.Time
-	now     time.Duration
-	appends int
-	bytes   int
-	nextID  uint64
-	added   map[uint64]time.Duration
-	latency *hdrhistogram.Histogram
+	// nextPoll holds the time of each entry's next poll, so that no time is queued twice.
+	nextPoll [windowEntries]time.Time
+	now      time.Duration
+	appends  int
+	bytes    int
+	nextID   uint64
+	added    map[uint64]time.Duration
+	latency  *hdrhistogram.Histogram
 }
 
 func newWindowRun(window time.Duration) *windowRun {
@@ -76,17 +76,17 @@
 	r.nextID++
 	id := r.nextID
 	r.added[id] = r.now
-	r.batchers[entry].Add(Claim{Key: wall, ClaimID: id})
+	r.batchers[entry].Add(Claim{Key: requestKey, ClaimID: id})
 	r.after(runMillis*time.Millisecond, entry, func(time.Time) {
-		r.batchers[entry].Add(Outcome{Key: wall, ClaimID: id, State: StateAnswered, Answer: "a summary of the case"})
+		r.batchers[entry].Add(Outcome{Key: requestKey, ClaimID: id, State: StateAnswered, Answer: "a summary of the case"})
 	})
 	gap := time.Duration(r.rng.ExpFloat64() * float64(time.Second) / windowRate)
 	next := r.rng.IntN(windowEntries)
 	r.after(gap, next, func(time.Time) { r.arrive(next) })
 }
 
-// look appends what is due at an entry, and asks to be called again when more may be.
-func (r *windowRun) look(entry int, now time.Time) {
+// poll appends the batch that is due at an entry, and schedules the next poll.
+func (r *windowRun) poll(entry int, now time.Time) {
 	b := r.batchers[entry]
 	if batch, ok := b.Due(now); ok {
 		r.appends++
@@ -102,8 +102,8 @@
 			}
 		})
 	}
-	if next, ok := b.Next(now); ok && next.After(now) && next != r.wakes[entry] {
-		r.wakes[entry] = next
+	if next, ok := b.Next(now); ok && next.After(now) && next != r.nextPoll[entry] {
+		r.nextPoll[entry] = next
 		r.after(next.Sub(now), entry, func(time.Time) {})
 	}
 }
@@ -113,9 +113,9 @@
 	for r.now < windowSeconds*time.Second {
 		e := heap.Pop(&r.queue).(windowEvent)
 		r.now = e.at
-		now := noon.Add(e.at)
+		now := testTime.Add(e.at)
 		e.do(now)
-		r.look(e.entry, now)
+		r.poll(e.entry, now)
 	}
 }
 
@@ -125,12 +125,12 @@
 	return float64(r.latency.ValueAtQuantile(quantile)) / 1000
 }
 
-// The log takes several hundred appends a second for everything. At the default window, claims and outcomes of
-// 2,000 requests a second over seven entries must stay under 200.
-func TestClaimsStayUnderTheLogsRate(t *testing.T) {
+// The log accepts several hundred appends per second in total. At the default window, claims and outcomes of
+// 2,000 requests per second over seven entries must stay below 200 appends per second.
+func TestAppendRateStaysBelowLogLimit(t *testing.T) {
 	r := newWindowRun(defaultWindow)
 	r.run()
-	t.Logf("appends/s %.1f, added ms p50 %.1f p99 %.1f", r.appendsPerSecond(), r.millis(50), r.millis(99))
+	t.Logf("appends/s %.1f, claim latency ms p50 %.1f p99 %.1f", r.appendsPerSecond(), r.millis(50), r.millis(99))
 	require.Less(t, r.appendsPerSecond(), 200.0)
 	require.Less(t, r.millis(99), 60.0)
 }
