--- a/publisher/change.go
+++ b/publisher/change.go
@@ -6,20 +6,20 @@
 	"geraniumline/recorder"
 )
 
-// Change is one operator's change of one object, by compare and set: it is accepted only
-// if BaseVersion is the version of the object in force, or 0 for an object that is not there.
+// Change is an operator's change of one object, with compare-and-set semantics: it is accepted only if
+// BaseVersion is the version of the object in force, or 0 for an object that does not exist.
 type Change = recorder.Change
 
-// VerdictState tells what became of a change.
+// VerdictState is the result of a change.
 type VerdictState uint8
 
-// What becomes of a change.
+// Results of a change.
 const (
-	// Accepted changes are in force from their offset on.
+	// Accepted means that the change is in force from its offset on.
 	Accepted VerdictState = iota + 1
-	// Conflict is for a change whose base version was no longer in force.
+	// Conflict means that the change's base version was no longer in force.
 	Conflict
-	// Invalid is for a change that must not be in force whatever its base.
+	// Invalid means that the change is not allowed, whatever its base version.
 	Invalid
 )
 
@@ -36,7 +36,7 @@
 	}
 }
 
-// Verdict is the fold's decision on one change; it is the same at every entry.
+// Verdict is the decision on one change. Every entry reaches the same one.
 type Verdict struct {
 	OperationID string
 	Operator    string
@@ -46,12 +46,11 @@
 	// Version is the object's version in force after the change, 0 for none.
 	Version int64
 	Message string
-	// AtMillis is the log's time of the change, in Unix milliseconds.
+	// AtMillis is the log time of the change, in Unix milliseconds.
 	AtMillis int64
 }
 
-// EncodeError tells of a change that readers would pass over: a field is too long, or the
-// operation id is missing.
+// EncodeError reports a change that readers would skip: a field is too long, or the operation ID is missing.
 type EncodeError struct {
 	OperationID string
 	Cause       error
@@ -61,11 +60,11 @@
 	return fmt.Sprintf("change %q cannot be recorded: %v", e.OperationID, e.Cause)
 }
 
-// Unwrap gives the reason.
+// Unwrap returns the cause.
 func (e *EncodeError) Unwrap() error { return e.Cause }
 
-// EncodeChange gives the record to append for a change, or an *EncodeError. The record is read back here:
-// one that every entry would pass over as bad would leave its operator without a verdict.
+// EncodeChange returns the record to append for a change, or an *EncodeError. The record is decoded again as a
+// check, because an operator whose record is skipped by every entry would never get a verdict.
 func EncodeChange(c Change) ([]byte, error) {
 	record := recorder.ConfigRecord{Change: &c}
 	data, err := record.MarshalMsg(nil)
--- a/publisher/check.go
+++ b/publisher/check.go
@@ -10,9 +10,9 @@
 
 // Limits on configuration objects.
 const (
-	// maxBodyBytes is the largest body of one object.
+	// maxBodyBytes is the maximum size of an object's body.
 	maxBodyBytes = 64 << 10
-	// minStages and MaxStages bound a pipeline's length.
+	// minStages and MaxStages limit the length of a pipeline.
 	minStages = 3
 	MaxStages = 6
 
@@ -27,29 +27,29 @@
 	credentialPattern = regexp.MustCompile(`^[0-9a-f]{64}$`)
 )
 
-// Check gives every fault that an object has in itself. References to other objects are CheckChange's matter.
+// Check returns every fault in an object itself. References to other objects are checked by CheckChange.
 func Check(kind, name string, body []byte) []Fault {
 	_, faults := parse(kind, name, body)
 	return faults
 }
 
-// parsed holds one object in its typed form; exactly one field is set.
-type parsed struct {
+// parsedObject is an object in its typed form; exactly one field is set.
+type parsedObject struct {
 	pool      *Pool
 	pipeline  *Pipeline
 	contract  *Contract
 	placement *Placement
 }
 
-func parse(kind, name string, body []byte) (parsed, []Fault) {
+func parse(kind, name string, body []byte) (parsedObject, []Fault) {
 	var faults []Fault
 	if !namePattern.MatchString(name) {
 		faults = append(faults, Fault{Message: fmt.Sprintf("the object's name must match %s", namePattern)})
 	}
 	if len(body) > maxBodyBytes {
-		return parsed{}, append(faults, Fault{Message: fmt.Sprintf("has %d bytes, more than %d", len(body), maxBodyBytes)})
+		return parsedObject{}, append(faults, Fault{Message: fmt.Sprintf("has %d bytes, more than %d", len(body), maxBodyBytes)})
 	}
-	var p parsed
+	var p parsedObject
 	switch kind {
 	case KindPool:
 		p.pool = parsePool(name, body, &faults)
@@ -67,7 +67,7 @@
 
 func parsePool(name string, body []byte, faults *[]Fault) *Pool {
 	r := newFieldReader("", body, faults)
-	defer r.close()
+	defer r.reportUnknown()
 	return &Pool{
 		Name:             r.optionalName("name", name),
 		Kind:             r.oneOf("kind", PoolEncoder, PoolRetriever, PoolReranker, PoolEngine, PoolService),
@@ -78,14 +78,14 @@
 
 func parsePipeline(name string, body []byte, faults *[]Fault) *Pipeline {
 	r := newFieldReader("", body, faults)
-	defer r.close()
+	defer r.reportUnknown()
 	p := &Pipeline{Name: r.optionalName("name", name)}
 	var stages []json.RawMessage
 	if !r.read("stages", "a list of stages", true, &stages) {
 		return p
 	}
 	if len(stages) < minStages || len(stages) > MaxStages {
-		r.fault("stages", "must have from %d to %d stages", minStages, MaxStages)
+		r.addFault("stages", "must have from %d to %d stages", minStages, MaxStages)
 		return p
 	}
 	seen := make(map[string]bool)
@@ -93,7 +93,7 @@
 		path := fmt.Sprintf("stages[%d]", i)
 		stage := parseStage(path, raw, faults)
 		if stage.Name != "" && seen[stage.Name] {
-			r.fault(path+".name", "is used by an earlier stage")
+			r.addFault(path+".name", "is used by an earlier stage")
 		}
 		seen[stage.Name] = true
 		p.Stages = append(p.Stages, stage)
@@ -103,13 +103,14 @@
 
 func parseStage(path string, body []byte, faults *[]Fault) Stage {
 	r := newFieldReader(path, body, faults)
-	defer r.close()
+	defer r.reportUnknown()
 	return Stage{
 		Name:      r.name("name", true),
 		Pool:      r.name("pool", true),
 		Model:     r.name("model", false),
 		MaxTokens: int(r.integer("maxTokens", false, 0, maxTokens)),
-		// A forgotten field must not make a billed stage repeatable, nor a cheap one a matter of claims.
+		// The field is required: a default would make a billed stage repeatable or require claims for a cheap
+		// one.
 		Repeatable:     r.boolean("repeatable", true),
 		ExpectedMillis: r.integer("expectedMillis", true, 1, maxExpectedMillis),
 	}
@@ -117,7 +118,7 @@
 
 func parseContract(name string, body []byte, faults *[]Fault) *Contract {
 	r := newFieldReader("", body, faults)
-	defer r.close()
+	defer r.reportUnknown()
 	c := &Contract{
 		Account:       r.optionalName("account", name),
 		Weight:        r.positive("weight"),
@@ -128,10 +129,10 @@
 		Urgency:       r.oneOf("urgency", Urgent, Normal, Relaxed),
 	}
 	if r.read("credentialSha256", "a string", true, &c.CredentialSha256) && !credentialPattern.MatchString(c.CredentialSha256) {
-		r.fault("credentialSha256", "must be 64 lower case hex digits")
+		r.addFault("credentialSha256", "must be 64 lower case hex digits")
 	}
 	if c.Burst > 0 && c.Burst < 1 {
-		r.fault("burst", "must be at least 1, or no request would pass")
+		r.addFault("burst", "must be at least 1, or no request would pass")
 	}
 	checkPipelines(r, c)
 	return c
@@ -140,13 +141,13 @@
 func checkPipelines(r *fieldReader, c *Contract) {
 	if r.read("pipelines", "a list of pipeline names", true, &c.Pipelines) {
 		if len(c.Pipelines) == 0 || len(c.Pipelines) > maxPipelines {
-			r.fault("pipelines", "must name from 1 to %d pipelines", maxPipelines)
+			r.addFault("pipelines", "must name from 1 to %d pipelines", maxPipelines)
 		}
 	}
 	allowed := make(map[string]bool)
 	for i, name := range c.Pipelines {
 		if allowed[name] {
-			r.fault(fmt.Sprintf("pipelines[%d]", i), "names %q a second time", name)
+			r.addFault(fmt.Sprintf("pipelines[%d]", i), "names %q a second time", name)
 		}
 		allowed[name] = true
 	}
@@ -154,12 +155,12 @@
 	for _, name := range slices.Sorted(maps.Keys(c.PipelineUrgency)) {
 		field := "pipelineUrgency." + name
 		if !allowed[name] {
-			r.fault(field, "is not one of the contract's pipelines")
+			r.addFault(field, "is not one of the contract's pipelines")
 		}
 		switch c.PipelineUrgency[name] {
 		case Urgent, Normal, Relaxed:
 		default:
-			r.fault(field, "must be one of %v", []string{Urgent, Normal, Relaxed})
+			r.addFault(field, "must be one of %v", []string{Urgent, Normal, Relaxed})
 		}
 	}
 }
--- a/publisher/fields.go
+++ b/publisher/fields.go
@@ -7,9 +7,9 @@
 	"strconv"
 )
 
-// Fault is one thing that is wrong with a configuration object.
+// Fault is one error in a configuration object.
 type Fault struct {
-	// Path names the field, such as stages[1].pool; it is empty for the object as a whole.
+	// Path is the path of the field, such as stages[1].pool, or empty for the object as a whole.
 	Path    string `json:"path"`
 	Message string `json:"message"`
 }
@@ -21,8 +21,8 @@
 	return f.Path + ": " + f.Message
 }
 
-// fieldReader takes the fields of one JSON object apart and gathers every fault,
-// where encoding/json would stop at the first.
+// fieldReader reads the fields of one JSON object and collects every fault, whereas encoding/json stops at the
+// first.
 type fieldReader struct {
 	path   string
 	fields map[string]json.RawMessage
@@ -33,12 +33,12 @@
 func newFieldReader(path string, body []byte, faults *[]Fault) *fieldReader {
 	r := &fieldReader{path: path, known: make(map[string]bool), faults: faults}
 	if err := json.Unmarshal(body, &r.fields); err != nil || r.fields == nil {
-		r.fault("", "must be a JSON object")
+		r.addFault("", "must be a JSON object")
 	}
 	return r
 }
 
-func (r *fieldReader) fault(field, format string, args ...any) {
+func (r *fieldReader) addFault(field, format string, args ...any) {
 	*r.faults = append(*r.faults, Fault{Path: joinPath(r.path, field), Message: fmt.Sprintf(format, args...)})
 }
 
@@ -49,28 +49,28 @@
 	return path + "." + field
 }
 
-// read decodes a field into dst and tells whether it was there and of the right type.
+// read decodes a field into dst and reports whether the field exists and has the right type.
 func (r *fieldReader) read(field, want string, required bool, dst any) bool {
 	r.known[field] = true
 	raw, ok := r.fields[field]
 	if !ok {
 		if required && r.fields != nil {
-			r.fault(field, "is missing")
+			r.addFault(field, "is missing")
 		}
 		return false
 	}
 	if string(raw) == "null" || json.Unmarshal(raw, dst) != nil {
-		r.fault(field, "must be %s", want)
+		r.addFault(field, "must be %s", want)
 		return false
 	}
 	return true
 }
 
-// optionalName reads the object's own name, which may be left out but not differ.
+// optionalName reads the object's own name, which may be omitted but must not differ.
 func (r *fieldReader) optionalName(field, name string) string {
 	var own string
 	if r.read(field, "a string", false, &own) && own != name {
-		r.fault(field, "is %q, but the object's name is %q", own, name)
+		r.addFault(field, "is %q, but the object's name is %q", own, name)
 	}
 	return name
 }
@@ -78,7 +78,7 @@
 func (r *fieldReader) name(field string, required bool) string {
 	var s string
 	if r.read(field, "a string", required, &s) && !namePattern.MatchString(s) {
-		r.fault(field, "must match %s", namePattern)
+		r.addFault(field, "must match %s", namePattern)
 	}
 	return s
 }
@@ -86,7 +86,7 @@
 func (r *fieldReader) oneOf(field string, allowed ...string) string {
 	var s string
 	if r.read(field, "a string", true, &s) && !slices.Contains(allowed, s) {
-		r.fault(field, "must be one of %v", allowed)
+		r.addFault(field, "must be one of %v", allowed)
 	}
 	return s
 }
@@ -97,25 +97,26 @@
 	return b
 }
 
-func (r *fieldReader) integer(field string, required bool, least, most int64) int64 {
+func (r *fieldReader) integer(field string, required bool, lowest, highest int64) int64 {
 	var n int64
-	if r.read(field, "a whole number", required, &n) && (n < least || n > most) {
-		r.fault(field, "must be from %d to %d", least, most)
+	if r.read(field, "a whole number", required, &n) && (n < lowest || n > highest) {
+		r.addFault(field, "must be from %d to %d", lowest, highest)
 	}
 	return n
 }
 
-// positive reads a number above zero.
+// positive reads a number greater than zero.
 func (r *fieldReader) positive(field string) float64 {
 	var x float64
 	if r.read(field, "a number", true, &x) && (x <= 0 || x > maxQuantity) {
-		r.fault(field, "must be above 0 and at most %s", strconv.FormatFloat(maxQuantity, 'f', -1, 64))
+		r.addFault(field, "must be above 0 and at most %s", strconv.FormatFloat(maxQuantity, 'f', -1, 64))
 	}
 	return x
 }
 
-// close reports the fields that no read asked for: a misspelt field would silently be without effect.
-func (r *fieldReader) close() {
+// reportUnknown reports the fields that were never read, because a misspelt field would silently have no
+// effect.
+func (r *fieldReader) reportUnknown() {
 	unknown := make([]string, 0)
 	for field := range r.fields {
 		if !r.known[field] {
@@ -124,6 +125,6 @@
 	}
 	slices.Sort(unknown)
 	for _, field := range unknown {
-		r.fault(field, "is not a field of this kind of object")
+		r.addFault(field, "is not a field of this kind of object")
 	}
 }
--- a/publisher/fold.go
+++ b/publisher/fold.go
@@ -7,20 +7,20 @@
 	"geraniumline/recorder"
 )
 
-// Config says how a Fold keeps its stream alive. Retention is the log's; SnapshotEvery must be
-// well below it, a third or less, so that a complete snapshot is there before its predecessor expires.
+// Config configures a Fold and its snapshots. SnapshotEvery must be well below the log's retention, a third or
+// less, so that a complete snapshot exists before its predecessor expires.
 type Config struct {
-	// Entry is this entry's name, for the names of its snapshots.
+	// Entry is the name of this entry, used in the names of its snapshots.
 	Entry string
-	// SnapshotEvery is the longest time between snapshots.
+	// SnapshotEvery is the maximum time between snapshots.
 	SnapshotEvery time.Duration
-	// SnapshotChanges is how many changes may follow a snapshot before the next one is due.
+	// SnapshotChanges is the number of changes after a snapshot at which the next one is due.
 	SnapshotChanges int
-	// SnapshotRetry is how long a snapshot may take until it is read back, before another is tried.
+	// SnapshotRetry is how long to wait for a snapshot to be read back before another is tried.
 	SnapshotRetry time.Duration
-	// PartBytes bounds one record of a snapshot.
+	// PartBytes limits one record of a snapshot.
 	PartBytes int
-	// MaxHeld bounds the changes that are held back behind a gap.
+	// MaxHeld limits the number of changes that are held back behind a gap.
 	MaxHeld int
 }
 
@@ -51,41 +51,43 @@
 	return c
 }
 
-// Fold is the configuration in force at one entry. It never goes to a lower offset.
+// Fold is the configuration in force at one entry, computed from the configuration stream. Its offset never
+// decreases.
 type Fold struct {
 	cfg   Config
 	state *state
-	// offset is the last record that is in force; read is the last that was read, held back ones included.
-	offset int64
-	read   int64
-	gap    gap
-	snaps  snapshots
-	bad    int
+	// offset is the last record that is in force; lastRead is the last one that was read, including those held
+	// back.
+	offset     int64
+	lastRead   int64
+	gap        gap
+	snaps      snapshotTracker
+	badRecords int
 }
 
-// New gives a fold that has read nothing.
+// New returns a Fold that has read nothing.
 func New(cfg Config) *Fold {
-	return &Fold{cfg: cfg.withDefaults(), state: newState(), snaps: newSnapshots()}
+	return &Fold{cfg: cfg.withDefaults(), state: newState(), snaps: newSnapshotTracker()}
 }
 
-// Apply takes the stream's next record and gives the verdicts that it settled: none for a record read before,
-// a bad one or one that is held back behind a gap, several when a snapshot closes a gap.
+// Apply processes the stream's next record and returns the resulting verdicts: none for a record that was read
+// before, is malformed or is held back behind a gap, several when a snapshot closes a gap.
 func (f *Fold) Apply(r recorder.Record) []Verdict {
-	if r.Offset <= f.read {
+	if r.Offset <= f.lastRead {
 		return nil
 	}
-	f.read = r.Offset
+	f.lastRead = r.Offset
 	record, err := decode(r.Data)
 	if err != nil {
-		// A bad record must not stop the entries: all of them read it, and all would stop for good.
-		f.bad++
+		// A malformed record must not stop the entries: all of them read it, and all would stop for good.
+		f.badRecords++
 		f.advance()
 		return nil
 	}
 	if record.Snapshot != nil {
-		return f.takePart(r, record.Snapshot)
+		return f.applyPart(r, record.Snapshot)
 	}
-	f.snaps.sawRecord(r.AtMillis)
+	f.snaps.noteFirstRecord(r.AtMillis)
 	held := heldChange{offset: r.Offset, atMillis: r.AtMillis, change: record.Change}
 	if f.gap.open {
 		f.gap.hold(held, f.cfg.MaxHeld)
@@ -100,10 +102,10 @@
 	return f.state.apply(h.offset, h.atMillis, h.change)
 }
 
-// advance moves the offset in force to the last record read, unless a gap holds it.
+// advance sets the offset in force to the last record read, unless a gap is open.
 func (f *Fold) advance() {
 	if !f.gap.open {
-		f.offset = f.read
+		f.offset = f.lastRead
 	}
 }
 
@@ -127,13 +129,13 @@
 		return nil, errNotOneKind
 	case record.Change != nil:
 		return &record, checkNames(record.Change)
-	case !wellFormed(record.Snapshot):
+	case !validPart(record.Snapshot):
 		return nil, errBadPart
 	}
 	return &record, nil
 }
 
-// The limits on who changes what; they bound what is remembered of each verdict.
+// Limits on operation IDs and operator names. They bound the memory used for each verdict.
 const (
 	maxOperationIDBytes = 64
 	maxOperatorBytes    = 128
@@ -149,29 +151,29 @@
 	return nil
 }
 
-// CheckChange gives every fault that a change would be refused for, references to other objects included.
-// It is asked before the append; the fold asks it again by log order.
+// CheckChange returns every fault for which a change would be rejected, including faults in references to other
+// objects. It is called before the append; the Fold checks again in log order.
 func (f *Fold) CheckChange(c Change) []Fault {
 	_, faults := f.state.check(&c)
 	return faults
 }
 
-// Offset gives the offset of the last record in force.
+// Offset returns the offset of the last record in force.
 func (f *Fold) Offset() int64 { return f.offset }
 
-// Next gives the offset to read from.
-func (f *Fold) Next() int64 { return f.read + 1 }
+// Next returns the offset to read from.
+func (f *Fold) Next() int64 { return f.lastRead + 1 }
 
-// BadRecords counts records that could not be read and were passed over.
-func (f *Fold) BadRecords() int { return f.bad }
+// BadRecords returns the number of skipped records that could not be decoded.
+func (f *Fold) BadRecords() int { return f.badRecords }
 
-// Complete tells that no gap holds changes back.
+// Complete reports that no gap holds back changes.
 func (f *Fold) Complete() bool { return !f.gap.open }
 
-// Verdict gives the verdict on an operation, if it is among the remembered ones.
+// Verdict returns the verdict on an operation if it is still stored.
 func (f *Fold) Verdict(operationID string) (Verdict, bool) {
 	return f.state.history.find(operationID)
 }
 
-// History gives up to n verdicts, newest first.
+// History returns up to n verdicts, newest first.
 func (f *Fold) History(n int) []Verdict { return f.state.history.newest(n) }
--- a/publisher/history.go
+++ b/publisher/history.go
@@ -1,16 +1,18 @@
 package publisher
 
-// historyLimit is how many verdicts every entry remembers. It is the same everywhere and forever: the verdict on
-// a doubled operation id depends on it, and two entries that remembered differently would part for good.
+// historyLimit is the number of verdicts that every entry stores. It must be the same at all entries and never
+// change: the verdict on a repeated operation ID depends on it, and entries with different limits would diverge
+// for good.
 const historyLimit = 1024
 
 const maxMessageBytes = 1024
 
-// history remembers the newest verdicts, oldest first.
+// history stores the newest verdicts, oldest first.
 type history struct {
 	verdicts []Verdict
 	byID     map[string]int
-	// dropped counts verdicts that were forgotten; byID holds positions counted from the first verdict ever.
+	// dropped is the number of verdicts that were removed; byID holds positions counted from the first verdict
+	// ever.
 	dropped int
 }
 
@@ -36,7 +38,7 @@
 	return h.verdicts[position-h.dropped], true
 }
 
-// newest gives up to n verdicts, newest first.
+// newest returns up to n verdicts, newest first.
 func (h *history) newest(n int) []Verdict {
 	n = max(0, min(n, len(h.verdicts)))
 	out := make([]Verdict, 0, n)
--- a/publisher/object.go
+++ b/publisher/object.go
@@ -1,19 +1,19 @@
-// Package publisher folds the records of the configuration stream into the configuration in force.
-// The fold is pure: the same records give the same configuration and the same verdicts at every entry.
+// Package publisher computes the configuration in force by applying the records of the configuration stream.
+// It does no I/O: the same records result in the same configuration and the same verdicts at every entry.
 package publisher
 
 import "geraniumline/recorder"
 
-// The kinds of configuration object.
+// Kinds of configuration object.
 const (
 	KindPool     = "pool"
 	KindPipeline = "pipeline"
 	KindContract = "contract"
-	// KindPlacement says which models a pool's engines are to hold.
+	// KindPlacement defines which models a pool's engines must hold.
 	KindPlacement = "placement"
 )
 
-// The kinds of pool.
+// Kinds of pool.
 const (
 	PoolEncoder   = "encoder"
 	PoolRetriever = "retriever"
@@ -22,14 +22,14 @@
 	PoolService   = "service"
 )
 
-// The roles of an engine.
+// Roles of an engine.
 const (
 	RolePrefill = "prefill"
 	RoleDecode  = "decode"
 	RoleBoth    = "both"
 )
 
-// The classes of urgency.
+// Urgency classes.
 const (
 	Urgent  = "urgent"
 	Normal  = "normal"
@@ -43,9 +43,9 @@
 type Pool struct {
 	Name string `json:"name"`
 	Kind string `json:"kind"`
-	// HonoursFence tells that the pool's endpoints refuse a call with an old fencing number.
+	// HonoursFence reports whether the pool's endpoints reject calls with an outdated fencing token.
 	HonoursFence bool `json:"honoursFence"`
-	// SlotsPerEndpoint is how many calls an endpoint runs at once.
+	// SlotsPerEndpoint is the number of calls that an endpoint runs concurrently.
 	SlotsPerEndpoint int `json:"slotsPerEndpoint"`
 }
 
@@ -55,7 +55,7 @@
 	Pool      string `json:"pool"`
 	Model     string `json:"model,omitempty"`
 	MaxTokens int    `json:"maxTokens,omitempty"`
-	// Repeatable tells that a second run of the stage does no harm.
+	// Repeatable reports whether the stage can safely be run a second time.
 	Repeatable bool `json:"repeatable"`
 	// ExpectedMillis is the stage's usual duration, used until quantiles have been measured.
 	ExpectedMillis int64 `json:"expectedMillis"`
@@ -67,7 +67,7 @@
 	Stages []Stage `json:"stages"`
 }
 
-// HasSideEffect tells that at least one stage must not be run twice.
+// HasSideEffect reports whether at least one stage must not be run twice.
 func (p *Pipeline) HasSideEffect() bool {
 	for i := range p.Stages {
 		if !p.Stages[i].Repeatable {
@@ -77,20 +77,20 @@
 	return false
 }
 
-// Contract is everything that one client account is due; each limit on it follows from here.
+// Contract is the service contract of one client account. All limits on the account derive from it.
 type Contract struct {
 	Account string `json:"account"`
-	// CredentialSha256 is the SHA-256 of the account's password, in lower case hex.
+	// CredentialSha256 is the SHA-256 of the account's password, in lower-case hex.
 	CredentialSha256 string  `json:"credentialSha256"`
 	Weight           float64 `json:"weight"`
 	// RatePerSecond and Burst limit requests over all entries together.
 	RatePerSecond float64 `json:"ratePerSecond"`
 	Burst         float64 `json:"burst"`
 	Concurrency   int     `json:"concurrency"`
-	// CostPerSecond limits endpoint milliseconds a second.
+	// CostPerSecond limits endpoint milliseconds per second.
 	CostPerSecond float64  `json:"costPerSecond"`
 	Urgency       string   `json:"urgency"`
 	Pipelines     []string `json:"pipelines"`
-	// PipelineUrgency gives single pipelines another urgency than the contract's.
+	// PipelineUrgency overrides the contract's urgency for single pipelines.
 	PipelineUrgency map[string]string `json:"pipelineUrgency,omitempty"`
 }
--- a/publisher/snapshot.go
+++ b/publisher/snapshot.go
@@ -7,43 +7,43 @@
 	"geraniumline/recorder"
 )
 
-// maxAssemblies bounds the snapshots whose parts are being gathered at once.
+// maxAssemblies limits the number of snapshots whose parts are collected at the same time.
 const maxAssemblies = 4
 
-// perPartOverhead is more than an encoded object or verdict needs beside its strings.
-const perPartOverhead = 64
+// itemOverhead is an upper bound, in bytes, on the size of an encoded object or verdict apart from its strings.
+const itemOverhead = 64
 
-// maxItemsPerPart stays below the schema's limits on the lists of a part.
+// maxItemsPerPart is below the schema's limits on the lists of a part.
 const maxItemsPerPart = 2000
 
-// snapshots knows which snapshots the stream holds.
-type snapshots struct {
+// snapshotTracker tracks the snapshots in the stream.
+type snapshotTracker struct {
 	assemblies []*assembly
-	// sinceMillis is the log's time of the newest complete snapshot, or of the first record; 0 for neither.
+	// sinceMillis is the log time of the newest complete snapshot, or of the first record; 0 for neither.
 	sinceMillis int64
-	// changes counts the changes since then.
+	// changes is the number of changes since then.
 	changes int
-	// retryAt is when another snapshot may be made.
+	// retryAt is the earliest time for another snapshot.
 	retryAt time.Time
-	made    int
+	created int
 }
 
-func newSnapshots() snapshots { return snapshots{} }
+func newSnapshotTracker() snapshotTracker { return snapshotTracker{} }
 
-func (s *snapshots) sawRecord(atMillis int64) {
+func (s *snapshotTracker) noteFirstRecord(atMillis int64) {
 	if s.sinceMillis == 0 {
 		s.sinceMillis = atMillis
 	}
 }
 
-func (s *snapshots) forgetParts() { s.assemblies = nil }
+func (s *snapshotTracker) discardParts() { s.assemblies = nil }
 
-// assembly gathers the parts of one snapshot, which other records may lie between.
+// assembly collects the parts of one snapshot. Other records may come between the parts.
 type assembly struct {
-	id      string
-	through int64
-	parts   []*recorder.SnapshotPart
-	missing int
+	id            string
+	throughOffset int64
+	parts         []*recorder.SnapshotPart
+	missing       int
 }
 
 func (a *assembly) add(p *recorder.SnapshotPart) {
@@ -53,17 +53,17 @@
 	}
 }
 
-func (s *snapshots) assembly(p *recorder.SnapshotPart) *assembly {
+func (s *snapshotTracker) assembly(p *recorder.SnapshotPart) *assembly {
 	for _, a := range s.assemblies {
-		if a.id == p.SnapshotID && a.through == p.ThroughOffset && len(a.parts) == p.Parts {
+		if a.id == p.SnapshotID && a.throughOffset == p.ThroughOffset && len(a.parts) == p.Parts {
 			return a
 		}
 	}
 	a := &assembly{
-		id:      p.SnapshotID,
-		through: p.ThroughOffset,
-		parts:   make([]*recorder.SnapshotPart, p.Parts),
-		missing: p.Parts,
+		id:            p.SnapshotID,
+		throughOffset: p.ThroughOffset,
+		parts:         make([]*recorder.SnapshotPart, p.Parts),
+		missing:       p.Parts,
 	}
 	s.assemblies = append(s.assemblies, a)
 	if len(s.assemblies) > maxAssemblies {
@@ -72,7 +72,7 @@
 	return a
 }
 
-func (s *snapshots) drop(done *assembly) {
+func (s *snapshotTracker) remove(done *assembly) {
 	for i, a := range s.assemblies {
 		if a == done {
 			s.assemblies = append(s.assemblies[:i:i], s.assemblies[i+1:]...)
@@ -81,59 +81,59 @@
 	}
 }
 
-// takePart takes one record of a snapshot. A fold without a gap has all that the snapshot says and only notes
-// that it is there; a fold with one puts it in force if it is newer.
-func (f *Fold) takePart(r recorder.Record, p *recorder.SnapshotPart) []Verdict {
+// applyPart processes one record of a snapshot. A Fold without a gap already has the snapshot's content and
+// only notes that the snapshot exists; one with a gap installs the snapshot if it is newer.
+func (f *Fold) applyPart(r recorder.Record, p *recorder.SnapshotPart) []Verdict {
 	f.advance()
 	if p.ThroughOffset >= r.Offset {
-		f.bad++
+		f.badRecords++
 		return nil
 	}
 	a := f.snaps.assembly(p)
 	if !f.gap.open {
-		// The objects are not needed, so their memory is not held.
+		// The objects are not needed, so they are not kept in memory.
 		p = &recorder.SnapshotPart{Part: p.Part}
 	}
 	a.add(p)
 	if a.missing > 0 {
 		return nil
 	}
-	f.snaps.drop(a)
+	f.snaps.remove(a)
 	if !f.gap.open {
-		f.snaps.noteComplete(r.AtMillis)
+		f.snaps.noteSnapshot(r.AtMillis)
 		return nil
 	}
-	return f.adopt(a, r.AtMillis)
+	return f.installOverGap(a, r.AtMillis)
 }
 
-func (s *snapshots) noteComplete(atMillis int64) {
+func (s *snapshotTracker) noteSnapshot(atMillis int64) {
 	s.sinceMillis = atMillis
 	s.changes = 0
 	s.retryAt = time.Time{}
 }
 
-func wellFormed(p *recorder.SnapshotPart) bool {
+func validPart(p *recorder.SnapshotPart) bool {
 	return p.Parts > 0 && p.Parts <= maxParts && p.Part >= 0 && p.Part < p.Parts && p.ThroughOffset >= 0
 }
 
 const maxParts = 4096
 
-// adopt puts a snapshot in force over a gap, if it is newer than what is in force.
-// A snapshot that ends before the floor leaves a hole that nothing can fill: a newer one must come.
-func (f *Fold) adopt(a *assembly, atMillis int64) []Verdict {
-	if a.through < f.gap.floor || a.through < f.offset {
+// installOverGap installs a snapshot over a gap if it is newer than the state in force. A snapshot that ends
+// before gap.minThrough leaves out records that nothing can replace, so a newer one is needed.
+func (f *Fold) installOverGap(a *assembly, atMillis int64) []Verdict {
+	if a.throughOffset < f.gap.minThrough || a.throughOffset < f.offset {
 		return nil
 	}
 	s, ok := a.state()
 	if !ok {
-		f.bad++
+		f.badRecords++
 		return nil
 	}
-	f.snaps.noteComplete(atMillis)
-	return f.closeGap(s, a.through)
+	f.snaps.noteSnapshot(atMillis)
+	return f.installSnapshot(s, a.throughOffset)
 }
 
-// state gives the configuration that the parts hold.
+// state returns the configuration that the parts contain.
 func (a *assembly) state() (*state, bool) {
 	s := newState()
 	for _, part := range a.parts {
@@ -142,7 +142,7 @@
 			if len(faults) > 0 {
 				return nil, false
 			}
-			s.set(objectID{kind: object.Kind, name: object.Name}, &entryOf{object: object, parsed: p})
+			s.set(objectID{kind: object.Kind, name: object.Name}, &objectEntry{object: object, parsed: p})
 		}
 		for _, v := range part.Verdicts {
 			s.history.add(fromWire(v))
@@ -151,7 +151,7 @@
 	return s, true
 }
 
-// SnapshotDue tells that a snapshot should be appended. A fold with a gap has none to give.
+// SnapshotDue reports whether a snapshot should be appended. It is false while a gap is open.
 func (f *Fold) SnapshotDue(now time.Time) bool {
 	if f.gap.open || f.snaps.sinceMillis == 0 || now.Before(f.snaps.retryAt) {
 		return false
@@ -162,13 +162,13 @@
 	return now.Sub(time.UnixMilli(f.snaps.sinceMillis)) >= f.cfg.SnapshotEvery
 }
 
-// Snapshot gives the whole configuration in force as records to append one after another.
-// Changes of others may come between: a reader folds in those after throughOffset itself.
+// Snapshot returns the whole configuration in force as records to append one after another. Other entries'
+// changes may come between them: a reader applies those after throughOffset itself.
 func (f *Fold) Snapshot(now time.Time) ([][]byte, error) {
 	f.snaps.retryAt = now.Add(f.cfg.SnapshotRetry)
-	f.snaps.made++
-	id := fmt.Sprintf("%s-%d-%d", f.cfg.Entry, f.offset, f.snaps.made)
-	parts := f.split()
+	f.snaps.created++
+	id := fmt.Sprintf("%s-%d-%d", f.cfg.Entry, f.offset, f.snaps.created)
+	parts := f.splitParts()
 	out := make([][]byte, 0, len(parts))
 	for i, part := range parts {
 		part.SnapshotID = id
@@ -185,54 +185,55 @@
 	return out, nil
 }
 
-// split lays objects and verdicts into parts of bounded size.
-func (f *Fold) split() []*recorder.SnapshotPart {
+// splitParts distributes objects and verdicts over parts of limited size.
+func (f *Fold) splitParts() []*recorder.SnapshotPart {
 	parts := []*recorder.SnapshotPart{{}}
-	room := f.cfg.PartBytes
+	remaining := f.cfg.PartBytes
 	next := func(size int) *recorder.SnapshotPart {
 		last := parts[len(parts)-1]
-		if size > room && room < f.cfg.PartBytes || len(last.Objects)+len(last.Verdicts) >= maxItemsPerPart {
+		if size > remaining && remaining < f.cfg.PartBytes || len(last.Objects)+len(last.Verdicts) >= maxItemsPerPart {
 			last = &recorder.SnapshotPart{}
 			parts = append(parts, last)
-			room = f.cfg.PartBytes
+			remaining = f.cfg.PartBytes
 		}
-		room -= size
+		remaining -= size
 		return last
 	}
 	for _, object := range f.Objects("", "") {
-		part := next(len(object.Kind) + len(object.Name) + len(object.Body) + perPartOverhead)
+		part := next(len(object.Kind) + len(object.Name) + len(object.Body) + itemOverhead)
 		part.Objects = append(part.Objects, object)
 	}
 	for _, v := range f.state.history.verdicts {
 		size := len(v.OperationID) + len(v.Operator) + len(v.Kind) + len(v.Name) + len(v.Message)
-		part := next(size + perPartOverhead)
+		part := next(size + itemOverhead)
 		part.Verdicts = append(part.Verdicts, toWire(v))
 	}
 	return parts
 }
 
-// Restore puts a peer's snapshot in force, if it is complete and newer than what is in force.
+// Restore installs a peer's snapshot if it is complete and newer than the configuration in force. It reports
+// whether it did.
 func (f *Fold) Restore(parts [][]byte, now time.Time) bool {
 	var a *assembly
-	gathered := newSnapshots()
+	tracker := newSnapshotTracker()
 	for _, data := range parts {
 		record, err := decode(data)
 		if err != nil || record.Snapshot == nil {
-			f.bad++
+			f.badRecords++
 			return false
 		}
-		a = gathered.assembly(record.Snapshot)
+		a = tracker.assembly(record.Snapshot)
 		a.add(record.Snapshot)
 	}
-	if a == nil || a.missing > 0 || a.through <= f.offset {
+	if a == nil || a.missing > 0 || a.throughOffset <= f.offset {
 		return false
 	}
 	s, ok := a.state()
 	if !ok {
-		f.bad++
+		f.badRecords++
 		return false
 	}
-	f.snaps.sawRecord(now.UnixMilli())
-	f.closeGap(s, a.through)
+	f.snaps.noteFirstRecord(now.UnixMilli())
+	f.installSnapshot(s, a.throughOffset)
 	return true
 }
--- a/publisher/state.go
+++ b/publisher/state.go
@@ -6,28 +6,28 @@
 	"strings"
 )
 
-// objectID names one object.
+// objectID identifies one object.
 type objectID struct {
 	kind, name string
 }
 
-// entryOf is an object as published and in its typed form.
-type entryOf struct {
+// objectEntry is an object as published and in its typed form.
+type objectEntry struct {
 	object Object
-	parsed parsed
+	parsed parsedObject
 }
 
-// state is the configuration after some offset, with the verdicts that are remembered.
+// state is the configuration after some offset, with the stored verdicts.
 type state struct {
-	objects map[objectID]*entryOf
+	objects map[objectID]*objectEntry
 	history history
-	// lists holds the objects by kind and name, for kinds that did not change since they were asked for.
-	lists map[string]*list
+	// lists caches the objects of each kind, sorted by name. A change of a kind removes its list.
+	lists map[string]*objectList
 }
 
-// list is the objects of one kind by name, also in their typed form.
-type list struct {
-	entries    []*entryOf
+// objectList is the objects of one kind, sorted by name, also in their typed form.
+type objectList struct {
+	entries    []*objectEntry
 	pools      []*Pool
 	pipelines  []*Pipeline
 	contracts  []*Contract
@@ -36,14 +36,14 @@
 
 func newState() *state {
 	return &state{
-		objects: make(map[objectID]*entryOf),
+		objects: make(map[objectID]*objectEntry),
 		history: newHistory(),
-		lists:   make(map[string]*list),
+		lists:   make(map[string]*objectList),
 	}
 }
 
-// set puts an object in force, or takes it out with a nil entry.
-func (s *state) set(id objectID, e *entryOf) {
+// set puts an object in force, or removes it if the entry is nil.
+func (s *state) set(id objectID, e *objectEntry) {
 	delete(s.lists, id.kind)
 	if e == nil {
 		delete(s.objects, id)
@@ -59,7 +59,8 @@
 	return 0
 }
 
-// apply folds one change in and gives its verdict; a known operation id gets its first verdict again.
+// apply applies one change and returns its verdict. For a known operation ID it returns the first verdict
+// again.
 func (s *state) apply(offset, atMillis int64, c *Change) Verdict {
 	if first, ok := s.history.find(c.OperationID); ok {
 		return first
@@ -82,7 +83,7 @@
 	p, faults := s.check(c)
 	if len(faults) > 0 {
 		v.State = Invalid
-		v.Message = clip(faults[0].String())
+		v.Message = truncateMessage(faults[0].String())
 		return v
 	}
 	v.State = Accepted
@@ -92,23 +93,23 @@
 		return v
 	}
 	object := Object{Kind: c.Kind, Name: c.Name, Version: offset, Body: c.Body}
-	s.set(id, &entryOf{object: object, parsed: p})
+	s.set(id, &objectEntry{object: object, parsed: p})
 	v.Version = offset
 	return v
 }
 
-// clip keeps a message inside the limit of the record's schema.
-func clip(message string) string {
+// clip cuts a message to the limit of the record's schema.
+func truncateMessage(message string) string {
 	if len(message) > maxMessageBytes {
 		return strings.ToValidUTF8(message[:maxMessageBytes], "")
 	}
 	return message
 }
 
-// check gives the change's typed object and every fault, references included.
-func (s *state) check(c *Change) (parsed, []Fault) {
+// check returns the change's typed object and every fault, including those in references.
+func (s *state) check(c *Change) (parsedObject, []Fault) {
 	if c.Remove {
-		return parsed{}, s.checkRemoval(c)
+		return parsedObject{}, s.checkRemoval(c)
 	}
 	p, faults := parse(c.Kind, c.Name, c.Body)
 	if p.pipeline != nil {
@@ -118,7 +119,7 @@
 		faults = append(faults, s.missingPipelines(p.contract)...)
 	}
 	if p.placement != nil {
-		faults = append(faults, s.notEngines(p.placement.Pool)...)
+		faults = append(faults, s.checkEnginePool(p.placement.Pool)...)
 	}
 	return p, faults
 }
@@ -131,8 +132,8 @@
 	return faults
 }
 
-// notEngines refuses a placement of a pool whose endpoints hold no model.
-func (s *state) notEngines(pool string) []Fault {
+// checkEnginePool rejects a placement for a pool whose endpoints hold no model.
+func (s *state) checkEnginePool(pool string) []Fault {
 	e, known := s.objects[objectID{kind: KindPool, name: pool}]
 	if known && e.parsed.pool.Kind != PoolEngine {
 		return []Fault{{Path: "pool", Message: fmt.Sprintf("is a pool of kind %q, whose endpoints hold no model", e.parsed.pool.Kind)}}
@@ -167,10 +168,10 @@
 		return []Fault{{Message: fmt.Sprintf("there is no %s %q", c.Kind, c.Name)}}
 	}
 	var faults []Fault
-	for _, kind := range userKinds(c.Kind) {
-		for _, user := range s.list(kind).entries {
-			if user.parsed.uses(id) {
-				message := fmt.Sprintf("is used by %s %q", user.object.Kind, user.object.Name)
+	for _, kind := range referringKinds(c.Kind) {
+		for _, referrer := range s.list(kind).entries {
+			if referrer.parsed.refersTo(id) {
+				message := fmt.Sprintf("is used by %s %q", referrer.object.Kind, referrer.object.Name)
 				faults = append(faults, Fault{Message: message})
 			}
 		}
@@ -178,8 +179,8 @@
 	return faults
 }
 
-// userKinds gives the kinds of object that refer to objects of the kind.
-func userKinds(kind string) []string {
+// referringKinds returns the kinds of object that refer to objects of the given kind.
+func referringKinds(kind string) []string {
 	switch kind {
 	case KindPool:
 		return []string{KindPipeline, KindPlacement}
@@ -190,7 +191,7 @@
 	}
 }
 
-func (p parsed) uses(id objectID) bool {
+func (p parsedObject) refersTo(id objectID) bool {
 	if p.pipeline != nil {
 		return slices.ContainsFunc(p.pipeline.Stages, func(s Stage) bool { return s.Pool == id.name })
 	}
@@ -203,19 +204,19 @@
 	return false
 }
 
-// list gives the objects of a kind by name; an empty kind means none. It is made once for many askers: the core
-// asks for the pools several times a second, beside tens of thousands of contracts.
-func (s *state) list(kind string) *list {
+// list returns the objects of a kind, sorted by name; an empty kind matches none. The result is cached, because
+// the core requests the pools several times a second, beside tens of thousands of contracts.
+func (s *state) list(kind string) *objectList {
 	if l, ok := s.lists[kind]; ok {
 		return l
 	}
-	l := &list{}
+	l := &objectList{}
 	for id, e := range s.objects {
 		if id.kind == kind {
 			l.entries = append(l.entries, e)
 		}
 	}
-	slices.SortFunc(l.entries, func(a, b *entryOf) int { return strings.Compare(a.object.Name, b.object.Name) })
+	slices.SortFunc(l.entries, func(a, b *objectEntry) int { return strings.Compare(a.object.Name, b.object.Name) })
 	for _, e := range l.entries {
 		l.add(e.parsed)
 	}
@@ -223,7 +224,7 @@
 	return l
 }
 
-func (l *list) add(p parsed) {
+func (l *objectList) add(p parsedObject) {
 	switch {
 	case p.pool != nil:
 		l.pools = append(l.pools, p.pool)
--- a/publisher/view.go
+++ b/publisher/view.go
@@ -1,6 +1,6 @@
 package publisher
 
-// Pool gives the pool of this name in force. The result must not be changed.
+// Pool returns the pool of this name in force. The result must not be modified.
 func (f *Fold) Pool(name string) (*Pool, bool) {
 	e, ok := f.state.objects[objectID{kind: KindPool, name: name}]
 	if !ok {
@@ -9,7 +9,7 @@
 	return e.parsed.pool, true
 }
 
-// Pipeline gives the pipeline of this name in force. The result must not be changed.
+// Pipeline returns the pipeline of this name in force. The result must not be modified.
 func (f *Fold) Pipeline(name string) (*Pipeline, bool) {
 	e, ok := f.state.objects[objectID{kind: KindPipeline, name: name}]
 	if !ok {
@@ -18,7 +18,7 @@
 	return e.parsed.pipeline, true
 }
 
-// Contract gives the contract of a client account in force. The result must not be changed.
+// Contract returns the contract of a client account in force. The result must not be modified.
 func (f *Fold) Contract(account string) (*Contract, bool) {
 	e, ok := f.state.objects[objectID{kind: KindContract, name: account}]
 	if !ok {
@@ -27,16 +27,16 @@
 	return e.parsed.contract, true
 }
 
-// Pools gives all pools by name. The result must not be changed.
+// Pools returns all pools, sorted by name. The result must not be modified.
 func (f *Fold) Pools() []*Pool { return f.state.list(KindPool).pools }
 
-// Pipelines gives all pipelines by name. The result must not be changed.
+// Pipelines returns all pipelines, sorted by name. The result must not be modified.
 func (f *Fold) Pipelines() []*Pipeline { return f.state.list(KindPipeline).pipelines }
 
-// Contracts gives all contracts by account. The result must not be changed.
+// Contracts returns all contracts, sorted by account. The result must not be modified.
 func (f *Fold) Contracts() []*Contract { return f.state.list(KindContract).contracts }
 
-// Objects gives the objects in force by kind and name; an empty kind or name stands for all.
+// Objects returns the objects in force, sorted by kind and name; an empty kind or name matches all.
 func (f *Fold) Objects(kind, name string) []Object {
 	var out []Object
 	for _, k := range []string{KindContract, KindPipeline, KindPlacement, KindPool} {
--- a/publisher/whole.go
+++ b/publisher/whole.go
@@ -7,17 +7,17 @@
 	"geraniumline/recorder"
 )
 
-// ObjectFault is a fault of one object among several.
+// ObjectFault is a fault in one object of a list.
 type ObjectFault struct {
-	// Index is the object's place in the list that was checked.
+	// Index is the object's index in the list that was checked.
 	Index int
 	Fault Fault
 }
 
-// kindOrder is the order in which a system is published for the first time: what is referred to comes first.
+// kindOrder is the order in which objects are first published: objects come after those that they refer to.
 var kindOrder = map[string]int{KindPool: 0, KindPipeline: 1, KindContract: 2, KindPlacement: 3}
 
-// CheckConfiguration checks objects that are the whole configuration together, references between them included.
+// CheckConfiguration checks objects that form a complete configuration, including the references between them.
 func CheckConfiguration(objects []Object) []ObjectFault {
 	order := make([]int, len(objects))
 	for i := range order {
