--- a/publisher/bench_test.go
+++ b/publisher/bench_test.go
@@ -12,13 +12,13 @@
 	"geraniumline/recorder"
 )
 
-// benchRecords puts the base objects and then n contracts of other accounts in force.
+// benchRecords returns records that put the base objects and then n contracts of other accounts in force.
 func benchRecords(tb testing.TB, n int) []recorder.Record {
 	tb.Helper()
-	changes := base()
+	changes := baseChanges()
 	for i := range n {
 		name := fmt.Sprintf("account-%05d", i)
-		changes = append(changes, set("new-"+name, KindContract, name, 0, goodContract))
+		changes = append(changes, setChange("new-"+name, KindContract, name, 0, validContract))
 	}
 	records := make([]recorder.Record, 0, len(changes))
 	for i, c := range changes {
@@ -29,7 +29,7 @@
 	return records
 }
 
-func foldAll(records []recorder.Record) *Fold {
+func applyAll(records []recorder.Record) *Fold {
 	f := New(Config{Entry: "a"})
 	f.BeginPage(0)
 	for _, r := range records {
@@ -38,14 +38,14 @@
 	return f
 }
 
-// BenchmarkApply gives the time and the memory of one contract in configurations of growing size.
+// BenchmarkApply measures the time and the memory per contract in configurations of growing size.
 func BenchmarkApply(b *testing.B) {
 	for _, contracts := range []int{1_000, 10_000, 43_000} {
 		b.Run(fmt.Sprint(contracts), func(b *testing.B) {
 			records := benchRecords(b, contracts)
 			for b.Loop() {
 				before := heapBytes()
-				f := foldAll(records)
+				f := applyAll(records)
 				b.ReportMetric(float64(heapBytes()-before)/float64(contracts), "heap-B/contract")
 				runtime.KeepAlive(f)
 			}
@@ -54,10 +54,10 @@
 	}
 }
 
-// BenchmarkSnapshot gives the time to write a snapshot, its size and the time to start from it.
+// BenchmarkSnapshot measures the time to write a snapshot, its size and the time to restore it.
 func BenchmarkSnapshot(b *testing.B) {
 	for _, contracts := range []int{1_000, 10_000, 43_000} {
-		f := foldAll(benchRecords(b, contracts))
+		f := applyAll(benchRecords(b, contracts))
 		var parts [][]byte
 		b.Run(fmt.Sprintf("write/%d", contracts), func(b *testing.B) {
 			for b.Loop() {
@@ -87,19 +87,19 @@
 	return stats.HeapAlloc
 }
 
-// FuzzApply gives the fold any record, in a stream and behind a gap: it must stand, and what it then has in force
-// must survive a snapshot.
+// FuzzApply applies any record to a Fold, in a complete stream and behind a gap. The Fold must not panic, and
+// its resulting configuration must survive a snapshot.
 func FuzzApply(f *testing.F) {
 	for _, r := range benchRecords(f, 1) {
 		f.Add(r.Data)
 	}
-	parts, err := foldAll(benchRecords(f, 1)).Snapshot(time.UnixMilli(testMillis))
+	parts, err := applyAll(benchRecords(f, 1)).Snapshot(time.UnixMilli(testMillis))
 	require.NoError(f, err)
 	f.Add(parts[0])
 	f.Add([]byte("no record"))
 	f.Fuzz(func(t *testing.T, data []byte) {
 		for _, first := range []int64{0, 10_000} {
-			fold := foldAll(benchRecords(t, 1))
+			fold := applyAll(benchRecords(t, 1))
 			fold.BeginPage(first)
 			before := fold.Offset()
 			fold.Apply(recorder.Record{Offset: 10_001, AtMillis: testMillis, Data: data})
@@ -112,15 +112,15 @@
 		}
 		if c, err := decode(data); err == nil && c.Change != nil {
 			_, err := EncodeChange(*c.Change)
-			var encode *EncodeError
-			require.True(t, err == nil || errors.As(err, &encode))
+			var encodeErr *EncodeError
+			require.True(t, err == nil || errors.As(err, &encodeErr))
 		}
 	})
 }
 
-// BenchmarkPools asks for the pools beside many contracts, as the core does at each tick.
+// BenchmarkPools requests the pools beside many contracts, as the core does at each tick.
 func BenchmarkPools(b *testing.B) {
-	f := foldAll(benchRecords(b, 43_000))
+	f := applyAll(benchRecords(b, 43_000))
 	for b.Loop() {
 		if len(f.Pools()) != 3 {
 			b.Fatal("three pools")
--- a/publisher/model_test.go
+++ b/publisher/model_test.go
@@ -8,40 +8,40 @@
 	"geraniumline/recorder"
 )
 
-// world is a log, its readers and a reader of truth that never misses a record.
-type world struct {
+// simulation models a log, its readers and a reference reader that never misses a record.
+type simulation struct {
 	now       time.Time
 	retention time.Duration
 	records   []recorder.Record
 	first     int64
 	last      int64
-	// pending are appends on their way; they land in any order or never.
-	pending [][]byte
-	readers map[string]*Fold
-	names   []string
-	truth   *Fold
-	// states are the truth's configuration and verdicts after each record.
-	states map[int64]string
-	ops    int
-	counts map[string]int
-	faulty []string
+	// pending holds the appends in flight; they are committed in any order or never.
+	pending   [][]byte
+	readers   map[string]*Fold
+	names     []string
+	reference *Fold
+	// states holds the reference's configuration and verdicts after each record.
+	states     map[int64]string
+	ops        int
+	counts     map[string]int
+	violations []string
 }
 
 func testConfig(entry string) Config {
 	return Config{Entry: entry, SnapshotEvery: time.Minute, SnapshotChanges: 20, PartBytes: 400, MaxHeld: 15}
 }
 
-func newModel(retention time.Duration, names ...string) *world {
-	w := &world{
+func newSimulation(retention time.Duration, names ...string) *simulation {
+	w := &simulation{
 		now:       time.UnixMilli(1_700_000_000_000),
 		retention: retention,
 		readers:   make(map[string]*Fold),
 		names:     names,
-		truth:     New(testConfig("truth")),
+		reference: New(testConfig("truth")),
 		states:    make(map[int64]string),
 		counts:    make(map[string]int),
 	}
-	w.states[0] = fingerprint(w.truth)
+	w.states[0] = fingerprint(w.reference)
 	for _, name := range names {
 		w.readers[name] = New(testConfig(name))
 	}
@@ -56,23 +56,23 @@
 	return out + fmt.Sprint(f.History(historyLimit))
 }
 
-func (w *world) violate(format string, args ...any) {
-	w.faulty = append(w.faulty, fmt.Sprintf(format, args...))
+func (w *simulation) violate(format string, args ...any) {
+	w.violations = append(w.violations, fmt.Sprintf(format, args...))
 }
 
-// land puts an append in the log, where the truth reads it at once.
-func (w *world) land(i int, hole int64) {
-	w.last += 1 + hole
+// commit appends a pending record to the log, where the reference reads it at once.
+func (w *simulation) commit(i int, gap int64) {
+	w.last += 1 + gap
 	r := recorder.Record{Offset: w.last, AtMillis: w.now.UnixMilli(), Data: w.pending[i]}
 	w.pending = slices.Delete(w.pending, i, i+1)
 	w.records = append(w.records, r)
-	for _, v := range w.truth.Apply(r) {
+	for _, v := range w.reference.Apply(r) {
 		w.counts[v.State.String()]++
 	}
-	w.states[w.last] = fingerprint(w.truth)
+	w.states[w.last] = fingerprint(w.reference)
 }
 
-func (w *world) cut() {
+func (w *simulation) cut() {
 	oldest := w.now.Add(-w.retention).UnixMilli()
 	for len(w.records) > 0 && w.records[0].AtMillis < oldest {
 		w.first = w.records[0].Offset + 1
@@ -80,8 +80,8 @@
 	}
 }
 
-// read gives a reader the next records, as one page.
-func (w *world) read(name string, limit int) {
+// read applies the next records to a reader as one page.
+func (w *simulation) read(name string, limit int) {
 	f := w.readers[name]
 	wasComplete := f.Complete()
 	if f.BeginPage(w.first) && wasComplete {
@@ -101,27 +101,27 @@
 	}
 }
 
-func (w *world) applyAt(name string, f *Fold, r recorder.Record) {
+func (w *simulation) applyAt(name string, f *Fold, r recorder.Record) {
 	before := f.Offset()
 	for _, v := range f.Apply(r) {
-		if truth, ok := w.truth.Verdict(v.OperationID); !ok || truth != v {
-			w.violate("%s gave %v, the truth is %v", name, v, truth)
+		if reference, ok := w.reference.Verdict(v.OperationID); !ok || reference != v {
+			w.violate("%s: verdict %v, want %v", name, v, reference)
 		}
 	}
 	w.check(name, f, before)
 }
 
-// check holds a reader against the truth at the offset that it says is in force.
-func (w *world) check(name string, f *Fold, before int64) {
+// check compares a reader with the reference at the offset that the reader reports to be in force.
+func (w *simulation) check(name string, f *Fold, before int64) {
 	if f.Offset() < before {
-		w.violate("%s went back from %d to %d", name, before, f.Offset())
+		w.violate("%s: offset decreased from %d to %d", name, before, f.Offset())
 	}
 	if got := fingerprint(f); got != w.states[f.Offset()] {
-		w.violate("%s at %d has\n%s\nbut the truth was\n%s", name, f.Offset(), got, w.states[f.Offset()])
+		w.violate("%s at offset %d: got\n%s\nwant\n%s", name, f.Offset(), got, w.states[f.Offset()])
 	}
 }
 
-func (w *world) snapshot(name string) {
+func (w *simulation) snapshot(name string) {
 	f := w.readers[name]
 	if !f.SnapshotDue(w.now) {
 		return
@@ -135,8 +135,8 @@
 	w.pending = append(w.pending, parts...)
 }
 
-// restore gives one reader another's snapshot, as peers do when the log is down.
-func (w *world) restore(name, from string) {
+// restore restores one reader from another's snapshot, as peers do when the log is down.
+func (w *simulation) restore(name, from string) {
 	parts, err := w.readers[from].Snapshot(w.now)
 	if err != nil {
 		w.violate("snapshot: %v", err)
@@ -149,7 +149,7 @@
 	w.check(name, f, before)
 }
 
-func (w *world) publish(c Change) {
+func (w *simulation) publish(c Change) {
 	data, err := EncodeChange(c)
 	if err != nil {
 		w.violate("encode: %v", err)
