--- a/claimer/batcher.go
+++ b/claimer/batcher.go
@@ -79,6 +79,7 @@
 func (AppendUncertain) appendResult() {}
 
 // Batcher groups the records of one incarnation into appends.
+//
 // A claim is appended at most once. If the result of its append is uncertain, the log decides: either the claim
 // is read back, or its owner gives it up and never dispatches it. Outcomes, releases and closings are appended
 // again until their batch is read back, because without them keys would stay in an unknown state for good.
@@ -251,6 +252,7 @@
 }
 
 // Committed records that the table has read a batch back, whatever the result of its append.
+//
 // A batch that was read back within AppendTimeout proves that the log accepts appends and only replies are
 // lost. Without this, a lost reply would count as a failing log, and requests that could be claimed would be
 // refused.
--- a/claimer/table.go
+++ b/claimer/table.go
@@ -81,9 +81,11 @@
 
 // BeginEra sets the era of the log's next page and reports whether it is a new one. If so, an EraMark of it
 // must be appended, and the stream is read again from its beginning.
+//
 // In a new era the log may have lost claims whose requests ran. The keys of those requests were created before
 // the era began, so this table verifies no key older than the era's first EraMark. Without this rule, an entry
 // that has not read a lost claim would win its key, and the request would run twice.
+//
 // The table keeps its keys but clears its closed incarnations: the records of the new era determine those, as
 // they do for tables that read no earlier records.
 func (t *Table) BeginEra(era int64) bool {
@@ -110,6 +112,7 @@
 // BeginPage must be called with the log's oldest kept offset once before the records of each page are applied.
 // It reports whether records were cut before this table could read them. From then on the table verifies no
 // older key.
+//
 // If that happens after the start, this incarnation may itself have been closed in the lost part. All other
 // entries would then regard its claims as void, and a request that it dispatched could run twice. So it wins no
 // more claims until the process starts a new incarnation, which nobody can have closed yet.
--- a/publisher/gap.go
+++ b/publisher/gap.go
@@ -8,6 +8,7 @@
 }
 
 // gap is open while records that this Fold needs may have been cut from the log.
+//
 // Changes read after the gap are held until a snapshot covers it. Applied at once, they would be checked
 // against an outdated object, so that this entry could reject as a conflict what all others accepted.
 type gap struct {
--- a/publisher/history.go
+++ b/publisher/history.go
@@ -1,8 +1,8 @@
 package publisher
 
 // historyLimit is the number of verdicts that every entry stores. It must be the same at all entries and never
-// change: the verdict on a repeated operation ID depends on it, and entries with different limits would diverge
-// for good.
+// change: the verdict on a repeated operation ID depends on it, and two entries with different limits would
+// diverge for good.
 const historyLimit = 1024
 
 const maxMessageBytes = 1024
--- a/publisher/property_test.go
+++ b/publisher/property_test.go
@@ -24,8 +24,8 @@
 	os.Exit(m.Run())
 }
 
-// Operators publish at several entries at once, from versions that are in force or not, with repeated operation
-// IDs. Appends are committed late, out of order or never. Entries are replaced, fall behind the log's
+// Operators publish at several entries at once, from versions that are in force or not, with operation IDs sent
+// twice. Appends are committed late, out of order or never. Entries are replaced, fall behind the log's
 // retention, and read snapshots whose parts are interleaved with other changes, or a peer's snapshot. At every
 // offset that an entry reports to be in force, it must have the same configuration as a reader that missed
 // nothing, and its offset must never decrease.
