--- a/cataloger/cataloger_test.go
+++ b/cataloger/cataloger_test.go
@@ -18,14 +18,14 @@
 	return c
 }
 
-func TestMatchTakesTheLongestPrefix(t *testing.T) {
+func TestMatchPrefersTheLongestPrefix(t *testing.T) {
 	c := newCatalog(t, Config{Routes: []Route{route("short", "/a/"), route("long", "/a/b/")}})
 	for _, tc := range []struct{ name, host, path, want string }{
 		{"longest", "a.example", "/a/b/c", "long"},
 		{"shorter", "a.example", "/a/c", "short"},
-		{"host in capitals with port", "A.Example:8080", "/a/c", "short"},
+		{"upper-case host with port", "A.Example:8080", "/a/c", "short"},
 		{"other host", "b.example", "/a/c", ""},
-		{"prefix without its last slash", "a.example", "/a", ""},
+		{"prefix without its trailing slash", "a.example", "/a", ""},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			got, found := c.Match(tc.host, tc.path)
@@ -49,14 +49,14 @@
 	require.InDelta(t, 1000, n, 150)
 }
 
-func TestLastStagesAreThoseThatNothingFollows(t *testing.T) {
+func TestFinalStagesHaveNoDependents(t *testing.T) {
 	r := Route{Stages: []Stage{{}, {}, {DependsOn: []int{1}}, {DependsOn: []int{2}}}}
 	require.Equal(t, []int{0, 3}, r.FinalStages([]int{2, 1, 6, 16}))
 	require.Equal(t, []int{3}, r.FinalStages([]int{0, 1, 6, 16}))
 	require.Equal(t, []int{0, 2}, r.FinalStages([]int{2, 1, 6, 0}))
 }
 
-func TestNewRefusesWhatCannotBeCarriedOut(t *testing.T) {
+func TestNewRejectsInvalidRoutes(t *testing.T) {
 	bad := route("r", "/a/")
 	bad.Stages = []Stage{{Service: "s", DependsOn: []int{0}}}
 	_, err := New(Config{Routes: []Route{bad}})
@@ -78,13 +78,13 @@
 		{"idempotent", Route{Kind: Idempotent}, true},
 		{"not idempotent", Route{Kind: NonIdempotent, Resumable: true}, false},
 		{"stream", Route{Kind: Streaming}, false},
-		{"stream that may be resumed", Route{Kind: Streaming, Resumable: true}, true},
+		{"resumable stream", Route{Kind: Streaming, Resumable: true}, true},
 	} {
 		t.Run(tc.name, func(t *testing.T) { require.Equal(t, tc.want, tc.route.Repeatable()) })
 	}
 }
 
-func TestKeysNameAccounts(t *testing.T) {
+func TestAccountsAreFoundByKey(t *testing.T) {
 	c := newCatalog(t, Config{Accounts: []Account{{Name: "small", Keys: []string{"k1", "k2"}}}})
 	require.True(t, c.RequiresKeys())
 	a, known := c.Account("k2")
