--- a/reducer/ask.go
+++ b/reducer/ask.go
@@ -91,7 +91,7 @@
 }
 
 // outcomeFromHolding converts an ended claim of the claims table to an outcome.
-func outcomeFromHolding(key claimer.Key, holding claimer.Holding) Outcome {
+func outcomeFromHolding(key claimer.Key, holding claimer.KeyStatus) Outcome {
 	if holding.Outcome.State == claimer.StateAnswerNotKept {
 		return Outcome{State: StateUnknown, Digest: holding.Digest, Failure: answerNotKeptFailure(key)}
 	}
@@ -111,7 +111,7 @@
 }
 
 // answerClaimed answers a request whose key is already claimed. If the claim has not ended, its owner is queried.
-func (c *Core) answerClaimed(id uint64, key claimer.Key, digest [32]byte, holding claimer.Holding, deadline, now time.Time) {
+func (c *Core) answerClaimed(id uint64, key claimer.Key, digest [32]byte, holding claimer.KeyStatus, deadline, now time.Time) {
 	if holding.Digest != digest {
 		c.refuse(id, key.Key, keyReusedFailure())
 		return
@@ -342,7 +342,7 @@
 			continue
 		}
 		delete(c.peerQueries, call)
-		outcome := outcomeFromHolding(d.Key, d.Holding)
+		outcome := outcomeFromHolding(d.Key, d.Status)
 		if query.outcomeOnly {
 			c.emit(SendOutcome{ID: query.id, Key: query.key.Key, Outcome: outcome})
 			continue
--- a/reducer/claim.go
+++ b/reducer/claim.go
@@ -48,7 +48,7 @@
 // claimDelay estimates how long a claim made now takes to be read back: the moving average of recent claims, or the
 // batcher's estimate if that is greater.
 func (c *Core) claimDelay(now time.Time) time.Duration {
-	return max(c.meanClaimDelay, c.batcher.Delay(now))
+	return max(c.meanClaimDelay, c.batcher.ExpectedDelay(now))
 }
 
 // appendClaim queues the request's claim for the log. No stage is dispatched before the claim has been read back
@@ -148,14 +148,14 @@
 		c.handleClaimLost(d, now)
 	case claimer.Voided:
 		c.handleClaimVoided(d.ClaimID, voidCode(d.Reason), now)
-	case claimer.Unproved:
+	case claimer.Unverified:
 		c.handleClaimUnproved(d, now)
 	case claimer.ForeignOutcome:
 		c.handleForeignOutcome(d, now)
-	case claimer.ClosedOwner:
+	case claimer.IncarnationClosed:
 		c.failOwnerQueries(d.Entry)
-	case claimer.Landed:
-		c.batcher.Landed(d.BatchID, now)
+	case claimer.BatchCommitted:
+		c.batcher.Committed(d.BatchID, now)
 	}
 }
 
@@ -194,7 +194,7 @@
 }
 
 // answerByHolder drops a request whose key another claim holds, and answers its callers from that claim.
-func (c *Core) answerByHolder(r *request, holder claimer.Holding, now time.Time) {
+func (c *Core) answerByHolder(r *request, holder claimer.KeyStatus, now time.Time) {
 	callers := append([]uint64{r.id}, r.joined...)
 	c.dropRequest(r, now)
 	for _, id := range callers {
@@ -261,7 +261,7 @@
 
 // handleClaimUnproved ends a request whose claim is the first for its key that this entry has read, although it may
 // have missed earlier ones. The claim is neither dispatched nor released, since an earlier one may have run.
-func (c *Core) handleClaimUnproved(d claimer.Unproved, now time.Time) {
+func (c *Core) handleClaimUnproved(d claimer.Unverified, now time.Time) {
 	r, waiting := c.claiming[d.ClaimID]
 	if !waiting {
 		return
@@ -286,14 +286,14 @@
 	}
 }
 
-func stateToClaim(state State) claimer.State {
+func stateToClaim(state State) claimer.OutcomeState {
 	if state == StateAnswered {
 		return claimer.StateAnswered
 	}
 	return claimer.StateUnknown
 }
 
-func stateFromClaim(state claimer.State) State {
+func stateFromClaim(state claimer.OutcomeState) State {
 	if state == claimer.StateAnswered {
 		return StateAnswered
 	}
--- a/reducer/counters.go
+++ b/reducer/counters.go
@@ -5,7 +5,7 @@
 // Busy reports whether the core has work that depends on time: requests in flight, pending queries or changes,
 // records to append, or a planned stop.
 func (c *Core) Busy() bool {
-	return len(c.requests) > 0 || len(c.peerQueries) > 0 || len(c.pendingChanges) > 0 || c.claimAppendsInFlight > 0 || c.batcher.Waiting() > 0 ||
+	return len(c.requests) > 0 || len(c.peerQueries) > 0 || len(c.pendingChanges) > 0 || c.claimAppendsInFlight > 0 || c.batcher.Queued() > 0 ||
 		c.drainer.Phase() != drainer.Serving
 }
 
--- a/reducer/log.go
+++ b/reducer/log.go
@@ -35,12 +35,12 @@
 
 // foldClaims applies the records of a page to the claims table and handles the decisions that follow.
 func (c *Core) foldClaims(e LogRead, now time.Time) {
-	if c.table.Renew(e.Era) {
-		c.batcher.Add(claimer.Mark{Era: e.Era})
+	if c.table.BeginEra(e.Era) {
+		c.batcher.Add(claimer.EraMark{Era: e.Era})
 		c.streams[StreamClaims].caughtUp = e.AtEnd
 		c.emit(LogChange{Message: "claims of the new log era are provable from the mark that this entry appends", Subject: string(StreamClaims), To: strconv.FormatInt(e.Era, 10)})
 	}
-	if c.table.Gap(e.First) {
+	if c.table.BeginPage(e.First) {
 		c.emit(LogChange{Message: "log truncated claims before they were read", Subject: string(StreamClaims)})
 	}
 	for _, record := range e.Records {
@@ -48,7 +48,7 @@
 			c.handleClaimDecision(decision, now)
 		}
 	}
-	c.counters.ClaimRecordsInvalid = uint64(c.table.Bad())
+	c.counters.ClaimRecordsInvalid = uint64(c.table.BadRecords())
 }
 
 // handleLogFailed records that a stream can't currently be read.
@@ -63,7 +63,7 @@
 
 // foldConfig applies configuration records from the log or from a peer.
 func (c *Core) foldConfig(records []recorder.Record, first int64, now time.Time) {
-	if first > 0 && c.fold.Gap(first) && len(records) > 0 {
+	if first > 0 && c.fold.BeginPage(first) && len(records) > 0 {
 		c.configRecords.reset(first - 1)
 		c.emit(LogChange{Message: "log truncated configuration that no snapshot covers", Subject: string(StreamConfig)})
 	}
@@ -77,7 +77,7 @@
 			c.answerVerdict(verdict)
 		}
 	}
-	c.counters.ConfigRecordsInvalid = uint64(c.fold.Bad())
+	c.counters.ConfigRecordsInvalid = uint64(c.fold.BadRecords())
 	if incomplete {
 		c.applyWholeConfig(now)
 	}
--- a/reducer/refusal.go
+++ b/reducer/refusal.go
@@ -56,8 +56,8 @@
 // claimsComplete reports whether no claim for the key can have been missed. An entry that started when the log had
 // already truncated its oldest records does not know the claims of that time.
 func (c *Core) claimsComplete(key claimer.Key) bool {
-	birth, err := claimer.Birth(key.Key)
-	return err == nil && c.table.CheckProvable(birth) == nil
+	birth, err := claimer.KeyTime(key.Key)
+	return err == nil && c.table.CheckVerifiable(birth) == nil
 }
 
 // maxClaimsAge is the longest time since the last read of the claims stream at which the table counts as current.
@@ -66,7 +66,7 @@
 
 // peerLostSince reports whether an entry that can't be queried any more was alive when the key may have been used.
 func (c *Core) peerLostSince(key claimer.Key) bool {
-	birth, err := claimer.Birth(key.Key)
+	birth, err := claimer.KeyTime(key.Key)
 	if err != nil {
 		return false
 	}
@@ -97,8 +97,8 @@
 
 // beforeEra reports whether the log may have lost a claim of the key when it was restored from an older copy.
 func (c *Core) beforeEra(key claimer.Key) bool {
-	birth, err := claimer.Birth(key.Key)
-	return err == nil && c.table.BeforeEra(birth)
+	birth, err := claimer.KeyTime(key.Key)
+	return err == nil && c.table.PredatesEra(birth)
 }
 
 // mayHaveRunFailure is the failure for a refused key that another entry may have served.
--- a/reducer/request.go
+++ b/reducer/request.go
@@ -117,7 +117,7 @@
 // qualifyNotReady changes the refusal of an entry without configuration from notRun to unknown if the key is valid
 // for side effects: this entry can't tell whether the pipeline has any, nor whether another entry has run them.
 func qualifyNotReady(failure Failure, key string) Failure {
-	if _, err := claimer.Birth(key); failure.Code == CodeNotReady && err == nil {
+	if _, err := claimer.KeyTime(key); failure.Code == CodeNotReady && err == nil {
 		failure.State = StateUnknown
 		failure.Message += "; this attempt did not run"
 	}
@@ -240,7 +240,7 @@
 
 // checkClaimable returns a failure for a request with side effects whose key can't be claimed in time.
 func (c *Core) checkClaimable(e *RequestArrived, now time.Time) *Failure {
-	birth, err := claimer.Birth(e.Key)
+	birth, err := claimer.KeyTime(e.Key)
 	if err != nil {
 		return &Failure{Code: CodeUnsupportedKey, Message: "a request with side effects needs a UUIDv7 as its key", State: StateNotRun}
 	}
@@ -250,7 +250,7 @@
 	if !c.canClaim(now) {
 		return &Failure{Code: CodeLogUnavailable, Message: "the log can't be read, so the request can't be claimed", State: StateNotRun, RetryAfter: logRetryAfter}
 	}
-	if err := c.table.CheckProvable(birth); err != nil {
+	if err := c.table.CheckVerifiable(birth); err != nil {
 		return &Failure{Code: CodeNotReady, Message: "this entry has not read the claims from the time of the key", State: StateNotRun, RetryAfter: logRetryAfter}
 	}
 	if wait, available := c.batcher.Available(now); !available {
--- a/reducer/stop.go
+++ b/reducer/stop.go
@@ -45,7 +45,7 @@
 	if before == drainer.Serving || c.stopped {
 		return
 	}
-	unappended := c.batcher.Waiting() + c.claimAppendsInFlight
+	unappended := c.batcher.Queued() + c.claimAppendsInFlight
 	after := c.drainer.Step(len(c.requests)+len(c.peerQueries), unappended, now)
 	if after == before {
 		return
