--- a/assembler/assembler.go
+++ b/assembler/assembler.go
@@ -97,8 +97,8 @@
 		Name:      s.Name,
 		Key:       s.Key(),
 		OtherKeys: s.OtherKeys(),
-		Handler:   func(from string, m carrier.Message) { e.performer.TakePeer(from, m) },
-		Refused:   func(address string) { e.performer.RefusePeer(address) },
+		Handler:   func(from string, m carrier.Message) { e.performer.ReceivePeerMessage(from, m) },
+		OnRefused: func(address string) { e.performer.ReportPeerRefused(address) },
 		Log:       e.cfg.Log,
 		Registry:  e.meter.Registry(),
 	})
--- a/assembler/forwarding.go
+++ b/assembler/forwarding.go
@@ -130,12 +130,12 @@
 		return &guarder.ListenError{Field: "PeerAddress", Address: e.settings.PeerAddress, Err: err}
 	}
 	e.messenger = messenger.New(messenger.Config{
-		Listen:  l,
-		Name:    e.settings.Name,
-		Key:     peerSecret[:],
-		Handler: e.forwarder.HandleMessage,
-		Refused: e.forwarder.RecordConnectionRefused,
-		Log:     e.log,
+		Listen:    l,
+		Name:      e.settings.Name,
+		Key:       peerSecret[:],
+		Handler:   e.forwarder.HandleMessage,
+		OnRefused: e.forwarder.RecordConnectionRefused,
+		Log:       e.log,
 
 		DialTimeout: peerDialTimeout,
 		Registry:    e.meter.Registry(),
--- a/leaser/bid.go
+++ b/leaser/bid.go
@@ -7,10 +7,10 @@
 	"geraniumline/recorder"
 )
 
-// Bid gives the record to append for a pool's lease if one is due: a renewal when a third of this entry's lease has
+// AcquireOrRenew gives the record to append for a pool's lease if one is due: a renewal when a third of this entry's lease has
 // passed, else a bid when the lease has lapsed as far as this entry can tell. Rank is this entry's place among those
 // that would bid: the first bids at once, and the others only if it does not.
-func (l *Leaser) Bid(pool string, rank int, now time.Time) (data []byte, id uint64, due bool) {
+func (l *Leaser) AcquireOrRenew(pool string, rank int, now time.Time) (data []byte, id uint64, due bool) {
 	b := l.bid(pool)
 	if now.Before(b.next) || now.Before(l.dueAt(pool, rank, b, now)) {
 		return nil, 0, false
@@ -75,9 +75,9 @@
 	}
 }
 
-// Ended takes the end of an append. Only a refusal says anything: a lost reply leaves the record's fate open, and
+// AppendFinished takes the end of an append. Only a refusal says anything: a lost reply leaves the record's fate open, and
 // reading the stream settles it.
-func (l *Leaser) Ended(id uint64, result claimer.AppendResult, now time.Time) {
+func (l *Leaser) AppendFinished(id uint64, result claimer.AppendResult, now time.Time) {
 	refused, surely := result.(claimer.AppendRefused)
 	if !surely {
 		return
--- a/leaser/leaser.go
+++ b/leaser/leaser.go
@@ -71,17 +71,17 @@
 	}
 }
 
-// Gap tells the leaser the oldest offset that the log still keeps, and whether records were lost to it is told back.
+// ResetOnGap tells the leaser the oldest offset that the log still keeps, and whether records were lost to it is told back.
 // All leases are then unknown, this entry's own ones too.
-func (l *Leaser) Gap(first int64, now time.Time) bool {
+func (l *Leaser) ResetOnGap(first int64, now time.Time) bool {
 	return l.fold.gap(first, now)
 }
 
 // Apply folds the stream's next record in. It tells whether the pool's holder is another than before.
-func (l *Leaser) Apply(r recorder.Record, now time.Time) (Change, bool) {
+func (l *Leaser) Apply(r recorder.Record, now time.Time) (HolderChange, bool) {
 	read, ok := l.fold.read(r, now)
 	if !ok {
-		return Change{}, false
+		return HolderChange{}, false
 	}
 	record := read.record
 	p := l.fold.pool(record.Pool)
@@ -92,13 +92,13 @@
 		l.hold(p.holder, sent)
 	}
 	if p.holder == before {
-		return Change{}, false
+		return HolderChange{}, false
 	}
-	return Change{Pool: record.Pool, Entry: p.holder.entry, Fence: p.holder.granted}, true
+	return HolderChange{Pool: record.Pool, Entry: p.holder.entry, Fence: p.holder.granted}, true
 }
 
-// Change says that a pool has another holder than before.
-type Change struct {
+// HolderChange says that a pool has another holder than before.
+type HolderChange struct {
 	Pool  string
 	Entry string
 	// Fence is the offset of the record that began the holder's time.
@@ -143,8 +143,8 @@
 	Fence int64
 	// Granted is the offset of the record that began this entry's time as the orderer.
 	Granted int64
-	// Left is what is left of the lease for sending orders.
-	Left time.Duration
+	// Remaining is what is left of the lease for sending orders.
+	Remaining time.Duration
 }
 
 // Held gives this entry's lease on a pool, or false if it holds none now.
@@ -154,7 +154,7 @@
 		return Lease{}, false
 	}
 	left := h.until.left(now)
-	return Lease{Fence: h.fence, Granted: h.granted, Left: left}, left > 0
+	return Lease{Fence: h.fence, Granted: h.granted, Remaining: left}, left > 0
 }
 
 // Holder names a pool's orderer as far as the stream tells; its lease may have lapsed.
--- a/leaser/leaser_test.go
+++ b/leaser/leaser_test.go
@@ -44,7 +44,7 @@
 
 func (m *model) bid(l *Leaser) ([]byte, uint64) {
 	m.t.Helper()
-	data, id, due := l.Bid(testPool, 0, m.now)
+	data, id, due := l.AcquireOrRenew(testPool, 0, m.now)
 	require.True(m.t, due)
 	return data, id
 }
@@ -81,7 +81,7 @@
 	require.False(t, held)
 	lease, held := b.Held(testPool, m.now)
 	require.True(t, held)
-	require.Equal(t, Lease{Fence: 3, Granted: 3, Left: DefaultDuration - DefaultMargin}, lease)
+	require.Equal(t, Lease{Fence: 3, Granted: 3, Remaining: DefaultDuration - DefaultMargin}, lease)
 	holder, _ := a.Holder(testPool)
 	require.Equal(t, "b", holder)
 }
@@ -112,7 +112,7 @@
 	m.read(a)
 	lease, held := a.Held(testPool, m.now)
 	require.True(t, held)
-	require.Equal(t, 2*time.Second-DefaultMargin, lease.Left)
+	require.Equal(t, 2*time.Second-DefaultMargin, lease.Remaining)
 	m.now = m.now.Add(2 * time.Second)
 	m.take(b)
 	require.Equal(t, 1, m.holders(a, b))
@@ -150,15 +150,15 @@
 			if s.lands {
 				m.land(data)
 			}
-			a.Ended(id, s.result, m.now)
+			a.AppendFinished(id, s.result, m.now)
 			m.read(a)
 			_, held := a.Held(testPool, m.now)
 			require.Equal(t, s.held, held)
 			m.now = m.now.Add(s.again - time.Millisecond)
-			_, _, due := a.Bid(testPool, 0, m.now)
+			_, _, due := a.AcquireOrRenew(testPool, 0, m.now)
 			require.False(t, due)
 			m.now = m.now.Add(time.Millisecond)
-			_, _, due = a.Bid(testPool, 0, m.now)
+			_, _, due = a.AcquireOrRenew(testPool, 0, m.now)
 			require.True(t, due)
 		})
 	}
@@ -172,11 +172,11 @@
 	last := int64(0)
 	for range 600 {
 		m.now = m.now.Add(100 * time.Millisecond)
-		if data, _, due := a.Bid(testPool, 0, m.now); due {
+		if data, _, due := a.AcquireOrRenew(testPool, 0, m.now); due {
 			m.land(data)
 			m.read(a, b)
 		}
-		_, _, due := b.Bid(testPool, 1, m.now)
+		_, _, due := b.AcquireOrRenew(testPool, 1, m.now)
 		require.False(t, due)
 		lease, held := a.Held(testPool, m.now)
 		require.True(t, held)
@@ -197,13 +197,13 @@
 	m.land(ofB)
 	m.read(a, b)
 	m.records = m.records[1:]
-	require.True(t, c.Gap(4, m.now))
+	require.True(t, c.ResetOnGap(4, m.now))
 	m.read(c)
 	holders := []string{}
 	for range 100 {
-		_, _, due := c.Bid(testPool, 0, m.now)
+		_, _, due := c.AcquireOrRenew(testPool, 0, m.now)
 		require.False(t, due)
-		if data, _, due := a.Bid(testPool, 0, m.now); due {
+		if data, _, due := a.AcquireOrRenew(testPool, 0, m.now); due {
 			m.land(data)
 		}
 		m.read(a, b, c)
@@ -213,7 +213,7 @@
 	}
 	require.Equal(t, []string{"", "a"}, slices.Compact(holders))
 	require.Equal(t, 1, m.holders(a, b, c))
-	require.True(t, a.Gap(1000, m.now))
+	require.True(t, a.ResetOnGap(1000, m.now))
 	require.Zero(t, m.holders(a), "a gap leaves nobody sure of its lease")
 }
 
@@ -223,10 +223,10 @@
 	m := newModel(t)
 	a, b := m.entry("a"), m.entry("b")
 	m.offset = 19
-	require.True(t, a.Gap(20, m.now))
-	require.True(t, b.Gap(20, m.now))
+	require.True(t, a.ResetOnGap(20, m.now))
+	require.True(t, b.ResetOnGap(20, m.now))
 	m.now = m.now.Add(silence - time.Millisecond)
-	_, _, due := a.Bid(testPool, 0, m.now)
+	_, _, due := a.AcquireOrRenew(testPool, 0, m.now)
 	require.False(t, due)
 	m.now = m.now.Add(time.Millisecond)
 	ofB, _ := m.bid(b)
--- a/leaser/property_test.go
+++ b/leaser/property_test.go
@@ -43,7 +43,7 @@
 			},
 			"bid": func(r *rapid.T) {
 				x := rapid.SampledFrom(readers).Draw(r, "entry")
-				if data, _, due := x.leaser.Bid(testPool, 0, m.now); due {
+				if data, _, due := x.leaser.AcquireOrRenew(testPool, 0, m.now); due {
 					flying = append(flying, data)
 				}
 			},
@@ -94,7 +94,7 @@
 // lose has retention drop the records up to one before the entry has read them.
 func (x *reader) lose(to int, m *model) {
 	if to > x.read {
-		x.leaser.Gap(m.records[to-1].Offset+1, m.now)
+		x.leaser.ResetOnGap(m.records[to-1].Offset+1, m.now)
 		x.read = to
 	}
 }
--- a/messenger/config.go
+++ b/messenger/config.go
@@ -45,11 +45,11 @@
 	// another: first all take the new key here, then all dial with it and take the old one here, then it goes.
 	OtherKeys [][]byte
 	Handler   Handler
-	// Refused is told of each try to connect that the address refused: no process listens there. It may be nil and
+	// OnRefused is told of each try to connect that the address refused: no process listens there. It may be nil and
 	// must not wait.
-	Refused  func(address string)
-	Log      *zap.Logger
-	Registry metrics.Registry
+	OnRefused func(address string)
+	Log       *zap.Logger
+	Registry  metrics.Registry
 
 	// MaxFrame is the most bytes of a frame after its length field.
 	MaxFrame int
--- a/messenger/messenger_test.go
+++ b/messenger/messenger_test.go
@@ -74,7 +74,7 @@
 	address := closed.Addr().String()
 	require.NoError(t, closed.Close())
 	refused := make(chan string, 1)
-	m, _, _ := startMessenger(t, Config{Name: "a", Refused: func(address string) {
+	m, _, _ := startMessenger(t, Config{Name: "a", OnRefused: func(address string) {
 		select {
 		case refused <- address:
 		default:
--- a/messenger/sender.go
+++ b/messenger/sender.go
@@ -125,8 +125,8 @@
 func (s *sender) tryConnect(ctx context.Context) (string, error) {
 	d := dialer.New(s.m.cfg.DialTimeout, s.m.cfg.SilenceTimeout)
 	conn, err := d.DialContext(ctx, "tcp", s.address)
-	if errors.Is(err, syscall.ECONNREFUSED) && s.m.cfg.Refused != nil {
-		s.m.cfg.Refused(s.address)
+	if errors.Is(err, syscall.ECONNREFUSED) && s.m.cfg.OnRefused != nil {
+		s.m.cfg.OnRefused(s.address)
 	}
 	if err != nil {
 		return "", err
--- a/performer/readers.go
+++ b/performer/readers.go
@@ -79,14 +79,14 @@
 	return claimer.AppendUncertain{}
 }
 
-// TakePeer brings the core a peer's message. It is the messenger's handler.
-func (p *Performer) TakePeer(from string, message carrier.Message) {
+// ReceivePeerMessage brings the core a peer's message. It is the messenger's handler.
+func (p *Performer) ReceivePeerMessage(from string, message carrier.Message) {
 	p.Post(reducer.PeerMessageArrived{From: from, Message: message})
 }
 
-// RefusePeer tells the core that no process listens at a peer address. It does not wait: the messenger's senders
+// ReportPeerRefused tells the core that no process listens at a peer address. It does not wait: the messenger's senders
 // must go on, and the event comes again with their next try.
-func (p *Performer) RefusePeer(address string) {
+func (p *Performer) ReportPeerRefused(address string) {
 	select {
 	case p.events <- reducer.PeerRefused{Address: address}:
 	default:
--- a/performer/replies.go
+++ b/performer/replies.go
@@ -16,12 +16,12 @@
 // replies leads the core's answers to the handlers that wait for them.
 type replies struct {
 	mu      sync.Mutex
-	waiting map[uint64]*Reply
+	waiting map[uint64]*ReplyQueue
 }
 
-// Reply is one handler's queue of answers. It is not bounded by itself: the answer of one request is
+// ReplyQueue is one handler's queue of answers. It is not bounded by itself: the answer of one request is
 // bounded by its stages, and a caller that reads slowly must not hold up the reducer.
-type Reply struct {
+type ReplyQueue struct {
 	mu     sync.Mutex
 	queue  []reducer.Effect
 	signal chan struct{}
@@ -29,12 +29,12 @@
 }
 
 func newReplies() *replies {
-	return &replies{waiting: map[uint64]*Reply{}}
+	return &replies{waiting: map[uint64]*ReplyQueue{}}
 }
 
 // open makes the queue for an id. The handler closes it when it returns.
-func (r *replies) open(id uint64, span *tracer.Span) *Reply {
-	queue := &Reply{signal: make(chan struct{}, 1), span: span}
+func (r *replies) open(id uint64, span *tracer.Span) *ReplyQueue {
+	queue := &ReplyQueue{signal: make(chan struct{}, 1), span: span}
 	r.mu.Lock()
 	r.waiting[id] = queue
 	r.mu.Unlock()
@@ -76,10 +76,10 @@
 }
 
 // Signal is readable when answers have come.
-func (q *Reply) Signal() <-chan struct{} { return q.signal }
+func (q *ReplyQueue) Signal() <-chan struct{} { return q.signal }
 
 // Take gives the answers that have come since the last Take, in order.
-func (q *Reply) Take() []reducer.Effect {
+func (q *ReplyQueue) Take() []reducer.Effect {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	taken := q.queue
@@ -88,7 +88,7 @@
 }
 
 // Open numbers a question and makes the queue for its answers. Close must follow.
-func (p *Performer) Open(span *tracer.Span) (uint64, *Reply) {
+func (p *Performer) Open(span *tracer.Span) (uint64, *ReplyQueue) {
 	id := p.ids.next()
 	return id, p.replies.open(id, span)
 }
--- a/receiver/receiver.go
+++ b/receiver/receiver.go
@@ -14,7 +14,7 @@
 // Core takes events and leads the answers back.
 type Core interface {
 	Post(event reducer.Event)
-	Open(span *tracer.Span) (uint64, *performer.Reply)
+	Open(span *tracer.Span) (uint64, *performer.ReplyQueue)
 	Close(id uint64)
 }
 
--- a/reducer/claim.go
+++ b/reducer/claim.go
@@ -104,7 +104,7 @@
 		c.takeConfigAppended(e, now)
 		return
 	case StreamLeases:
-		c.leaser.Ended(e.BatchID, e.Result, now)
+		c.leaser.AppendFinished(e.BatchID, e.Result, now)
 		return
 	}
 	c.appending--
--- a/reducer/order.go
+++ b/reducer/order.go
@@ -96,13 +96,13 @@
 		return
 	}
 	o.placer.ObserveDemand(o.total(own, now), now)
-	if lease.Left < leastOrderTime || c.drainer.Phase() != drainer.Serving {
+	if lease.Remaining < leastOrderTime || c.drainer.Phase() != drainer.Serving {
 		return
 	}
 	right := placer.Lease{Fence: lease.Fence, Granted: lease.Granted}
 	for _, order := range o.placer.Orders(placement, c.modelsInUse(o.pool), right, now) {
 		c.countOrder(&order)
-		c.emit(OrderEngine{Pool: o.pool, Address: order.Address, State: order.State, Until: now.Add(min(lease.Left, orderTimeout))})
+		c.emit(OrderEngine{Pool: o.pool, Address: order.Address, State: order.State, Until: now.Add(min(lease.Remaining, orderTimeout))})
 	}
 }
 
@@ -159,7 +159,7 @@
 	if !health.caughtUp || health.failing || c.drainer.Phase() != drainer.Serving {
 		return
 	}
-	data, id, due := c.leaser.Bid(pool, c.orderRank(pool), now)
+	data, id, due := c.leaser.AcquireOrRenew(pool, c.orderRank(pool), now)
 	if due {
 		c.emit(Append{Stream: StreamLeases, BatchID: id, Data: data})
 	}
@@ -179,7 +179,7 @@
 }
 
 func (c *Core) foldLeases(e LogRead, now time.Time) {
-	if c.leaser.Gap(e.First, now) {
+	if c.leaser.ResetOnGap(e.First, now) {
 		c.emit(LogChange{Message: "the log cut leases before they were read", Subject: string(StreamLeases)})
 	}
 	for _, record := range e.Records {
