--- a/leaser/bid.go
+++ b/leaser/bid.go
@@ -7,45 +7,46 @@
 	"geraniumline/recorder"
 )
 
-// AcquireOrRenew gives the record to append for a pool's lease if one is due: a renewal when a third of this entry's lease has
-// passed, else a bid when the lease has lapsed as far as this entry can tell. Rank is this entry's place among those
-// that would bid: the first bids at once, and the others only if it does not.
+// AcquireOrRenew returns the encoded record to append for the pool's lease, and its append ID, if one is due: a renewal
+// when a third of this entry's lease has passed, or a bid when the known lease has expired. rank is this entry's
+// position among the candidates: the first bids at once, each other only if those before it have not.
 func (l *Leaser) AcquireOrRenew(pool string, rank int, now time.Time) (data []byte, id uint64, due bool) {
-	b := l.bid(pool)
-	if now.Before(b.next) || now.Before(l.dueAt(pool, rank, b, now)) {
+	b := l.bidsFor(pool)
+	if now.Before(b.notBefore) || now.Before(l.dueAt(pool, rank, b, now)) {
 		return nil, 0, false
 	}
-	return l.make(pool, b, now)
+	return l.newRecord(pool, b, now)
 }
 
-// dueAt gives when this entry should append for the pool's lease.
-func (l *Leaser) dueAt(name string, rank int, b *bid, now time.Time) time.Time {
-	p := l.fold.pool(name)
+// dueAt returns when this entry should append a record for the pool's lease.
+func (l *Leaser) dueAt(name string, rank int, b *pendingBids, now time.Time) time.Time {
+	p := l.state.pool(name)
 	h := p.holder
 	wait := time.Duration(rank) * l.cfg.Stagger
-	if !p.known {
-		return p.readAt.Add(silence + wait)
+	if !p.holderKnown {
+		return p.lastReadAt.Add(gapWait + wait)
 	}
 	if h == nil {
-		if b.next.IsZero() {
-			b.next = now.Add(wait)
+		if b.notBefore.IsZero() {
+			b.notBefore = now.Add(wait)
 		}
-		return b.next
+		return b.notBefore
 	}
-	if l.own(h) {
-		return h.until.from.Add(l.cfg.Duration / renewals)
+	if l.isOwn(h) {
+		return h.ownTimer.start.Add(l.cfg.Duration / appendsPerLease)
 	}
-	// The log's clock is not this entry's. A bid that is too early is void, and one that is too late costs only
-	// time without orders, so the time since the record was read will do.
-	return h.readAt.Add(h.length + wait)
+	// The log's clock differs from this entry's, so the expiry is estimated from the time the record was read. A bid
+	// that is too early is void, and one that is too late only prolongs the time without orders.
+	return h.readAt.Add(h.duration + wait)
 }
 
-func (l *Leaser) make(pool string, b *bid, now time.Time) ([]byte, uint64, bool) {
+// newRecord encodes the next record for the pool's lease and stores when it was sent.
+func (l *Leaser) newRecord(pool string, b *pendingBids, now time.Time) ([]byte, uint64, bool) {
 	record := recorder.Lease{
 		Pool:        pool,
 		Entry:       l.cfg.Entry,
 		Incarnation: l.cfg.Incarnation,
-		LeaseID:     l.nextID + 1,
+		LeaseID:     l.lastID + 1,
 		Millis:      l.cfg.Duration.Milliseconds(),
 		Base:        l.base(pool),
 	}
@@ -53,39 +54,39 @@
 	if err != nil {
 		return nil, 0, false
 	}
-	l.nextID++
-	b.forget(now)
-	b.sent[l.nextID] = now
-	b.next = now.Add(l.cfg.Duration / renewals)
-	return data, l.nextID, true
+	l.lastID++
+	b.dropExpired(now)
+	b.sentAt[l.lastID] = now
+	b.notBefore = now.Add(l.cfg.Duration / appendsPerLease)
+	return data, l.lastID, true
 }
 
-// base is the offset of the pool's newest valid record, 0 while that is not known.
+// base returns the offset of the pool's newest valid record, or 0 if the holder is unknown.
 func (l *Leaser) base(pool string) int64 {
 	_, fence := l.Holder(pool)
 	return fence
 }
 
-// forget drops the starts of bids whose lease would have lapsed by now.
-func (b *bid) forget(now time.Time) {
-	for id, sent := range b.sent {
+// dropExpired removes bids whose lease would have expired by now.
+func (b *pendingBids) dropExpired(now time.Time) {
+	for id, sent := range b.sentAt {
 		if now.Sub(sent) > MaxDuration {
-			delete(b.sent, id)
+			delete(b.sentAt, id)
 		}
 	}
 }
 
-// AppendFinished takes the end of an append. Only a refusal says anything: a lost reply leaves the record's fate open, and
-// reading the stream settles it.
+// AppendFinished processes the result of an append. Only a refusal changes anything: after a lost reply the record may
+// or may not be in the log, which reading the stream shows.
 func (l *Leaser) AppendFinished(id uint64, result claimer.AppendResult, now time.Time) {
-	refused, surely := result.(claimer.AppendRefused)
-	if !surely {
+	refused, ok := result.(claimer.AppendRefused)
+	if !ok {
 		return
 	}
 	for _, b := range l.bids {
-		if _, mine := b.sent[id]; mine {
-			delete(b.sent, id)
-			b.next = now.Add(max(refused.RetryAfter, DefaultRetryAfter))
+		if _, found := b.sentAt[id]; found {
+			delete(b.sentAt, id)
+			b.notBefore = now.Add(max(refused.RetryAfter, DefaultRetryAfter))
 		}
 	}
 }
--- a/leaser/fold.go
+++ b/leaser/fold.go
@@ -6,119 +6,120 @@
 	"geraniumline/recorder"
 )
 
-// fold is what the leases stream says, the same for every reader that has all of its records.
-type fold struct {
+// streamState is the state computed from the leases stream. All readers that have read all records compute the same.
+type streamState struct {
 	offset int64
-	// logMillis is the log's time, the greatest of any record read: one that goes back shortens no lease.
+	// logMillis is the log's time: the greatest timestamp read so far, so that one that goes back shortens no lease.
 	logMillis int64
-	// lost tells that records before some offset were never read, and lostAt when that was noticed.
-	lost   bool
-	lostAt time.Time
+	// hasGap is set if records were dropped from the log before they were read; gapAt is when that was noticed.
+	hasGap bool
+	gapAt  time.Time
 	pools  map[string]*pool
 }
 
-// pool is the lease on one pool.
+// pool is the state of one pool's lease.
 type pool struct {
-	// known tells that the holder is surely that of a reader with all records.
-	known  bool
-	holder *holding
-	// kept are the records read while the holder is not known.
-	kept []lease
-	// readAt is when the pool's last record was read.
-	readAt time.Time
+	// holderKnown is set if the holder is certainly the one that a reader of all records computes.
+	holderKnown bool
+	holder      *heldLease
+	// candidates are the records read while the holder is unknown.
+	candidates []leaseRecord
+	// lastReadAt is when the pool's last record was read.
+	lastReadAt time.Time
 }
 
-// holding is the newest valid lease of a pool.
-type holding struct {
+// heldLease is the newest valid lease of a pool.
+type heldLease struct {
 	entry       string
 	incarnation uint64
-	// granted is the offset of the record with which the holder took the lease, fence that of its newest renewal.
+	// granted is the offset of the record that acquired the lease, fence that of its newest renewal.
 	granted int64
 	fence   int64
 	// expiresMillis is the lease's end in the log's time.
 	expiresMillis int64
-	// readAt is when the newest record was read, and length how long its lease lasts.
-	readAt time.Time
-	length time.Duration
-	// until is this entry's own limit for a lease of its own.
-	until limit
+	// readAt is when the newest record was read, and duration is how long its lease lasts.
+	readAt   time.Time
+	duration time.Duration
+	// ownTimer limits a lease of this entry by the local clock.
+	ownTimer leaseTimer
 }
 
-// lease is one record as it was read. Millis is the log's time.
-type lease struct {
-	record *recorder.Lease
-	offset int64
-	millis int64
-	readAt time.Time
+// leaseRecord is a decoded record of the stream. logMillis is the log's time when it was read.
+type leaseRecord struct {
+	record    *recorder.Lease
+	offset    int64
+	logMillis int64
+	readAt    time.Time
 }
 
-func newFold() fold {
-	return fold{pools: map[string]*pool{}}
+func newStreamState() streamState {
+	return streamState{pools: map[string]*pool{}}
 }
 
-// gap forgets all leases if records were dropped that had not been read.
-func (f *fold) gap(first int64, now time.Time) bool {
-	if first <= f.offset+1 {
+// resetOnGap forgets all leases if unread records before the offset first were dropped, and reports whether it did.
+func (s *streamState) resetOnGap(first int64, now time.Time) bool {
+	if first <= s.offset+1 {
 		return false
 	}
-	clear(f.pools)
-	f.offset = first - 1
-	f.lost = true
-	f.lostAt = now
+	clear(s.pools)
+	s.offset = first - 1
+	s.hasGap = true
+	s.gapAt = now
 	return true
 }
 
-func (f *fold) pool(name string) *pool {
-	p, met := f.pools[name]
-	if !met {
-		p = &pool{known: !f.lost, readAt: f.lostAt}
-		f.pools[name] = p
+func (s *streamState) pool(name string) *pool {
+	p, ok := s.pools[name]
+	if !ok {
+		p = &pool{holderKnown: !s.hasGap, lastReadAt: s.gapAt}
+		s.pools[name] = p
 	}
 	return p
 }
 
-// read gives the lease of the stream's next record, or false for one that was read before or is malformed.
-func (f *fold) read(r recorder.Record, now time.Time) (lease, bool) {
-	if r.Offset <= f.offset {
-		return lease{}, false
+// decodeNext decodes the stream's next record. It returns false if the record was read before or is malformed.
+func (s *streamState) decodeNext(r recorder.Record, now time.Time) (leaseRecord, bool) {
+	if r.Offset <= s.offset {
+		return leaseRecord{}, false
 	}
-	f.offset = r.Offset
-	f.logMillis = max(f.logMillis, r.AtMillis)
+	s.offset = r.Offset
+	s.logMillis = max(s.logMillis, r.AtMillis)
 	record := decode(r.Data)
-	return lease{record: record, offset: r.Offset, millis: f.logMillis, readAt: now}, record != nil
+	return leaseRecord{record: record, offset: r.Offset, logMillis: s.logMillis, readAt: now}, record != nil
 }
 
-// apply takes a pool's next record and tells whether it is surely valid. After tells that it was sent when all leases
-// that this reader can't know of had lapsed.
-func (p *pool) apply(l lease, after bool) bool {
-	p.readAt = l.readAt
-	if !p.known {
-		return p.learn(l, after)
+// apply processes the pool's next record and reports whether it is certainly valid. lostExpired is set if the record
+// was sent after all leases whose records this reader missed had expired.
+func (p *pool) apply(l leaseRecord, lostExpired bool) bool {
+	p.lastReadAt = l.readAt
+	if !p.holderKnown {
+		return p.inferHolder(l, lostExpired)
 	}
-	return p.decide(l)
+	return p.grant(l)
 }
 
-// decide tells whether a record is a valid lease: it is if no other holder's lease is unexpired by the log's time.
-func (p *pool) decide(l lease) bool {
+// grant updates the holder if the record is valid, and reports whether it is. A record is valid unless another
+// holder's lease is unexpired by the log's time.
+func (p *pool) grant(l leaseRecord) bool {
 	h := p.holder
 	same := h != nil && h.entry == l.record.Entry && h.incarnation == l.record.Incarnation
-	lapsed := h == nil || l.millis >= h.expiresMillis
-	if !same && !lapsed {
+	expired := h == nil || l.logMillis >= h.expiresMillis
+	if !same && !expired {
 		return false
 	}
-	if !same || lapsed {
-		// A holder that let its lease lapse begins anew, and the engines are to hear the new number.
-		h = &holding{entry: l.record.Entry, incarnation: l.record.Incarnation, granted: l.offset}
+	if !same || expired {
+		// A holder whose lease had expired starts a new grant, so that the engines receive the new fencing number.
+		h = &heldLease{entry: l.record.Entry, incarnation: l.record.Incarnation, granted: l.offset}
 		p.holder = h
 	}
 	h.fence = l.offset
-	h.expiresMillis = max(h.expiresMillis, l.millis+l.record.Millis)
+	h.expiresMillis = max(h.expiresMillis, l.logMillis+l.record.Millis)
 	h.readAt = l.readAt
-	h.length = time.Duration(l.record.Millis) * time.Millisecond
+	h.duration = time.Duration(l.record.Millis) * time.Millisecond
 	return true
 }
 
-// decode gives nothing for a record that every reader passes over.
+// decode returns nil for a malformed record, which every reader skips.
 func decode(data []byte) *recorder.Lease {
 	var record recorder.Lease
 	rest, err := record.UnmarshalMsg(data)
--- a/leaser/learn.go
+++ b/leaser/learn.go
@@ -2,38 +2,38 @@
 
 import "slices"
 
-// maxKept bounds the records kept of a pool whose holder is not known.
-const maxKept = 256
+// maxCandidates bounds the records kept for a pool whose holder is unknown.
+const maxCandidates = 256
 
-// learn looks for proof of who holds the lease in records whose predecessors are lost. A reader that took the first
-// record it sees for valid could be wrong, and stay so: late bids of entries that had lost could keep the wrong lease
-// alive in its view alone, and it would at last hold one itself beside the true holder. A record is surely valid if
-//   - a later one names it as its base, since only entries that know the holder name one;
-//   - it was appended a longest lease after the pool's record before it, when any other had lapsed;
-//   - it is this entry's own, sent when all lost leases had lapsed, and none came between.
+// inferHolder determines the holder from records whose predecessors were lost, and reports whether l is valid. The first
+// record read can't be assumed valid: late bids of entries that had lost could keep the wrong lease alive in this
+// reader's view alone, and it could finally hold a lease beside the true holder. A record is certainly valid if
+//   - a later record names it as its base, since only entries that know the holder name one;
+//   - it was appended at least MaxDuration after the pool's previous record, when any other lease had expired;
+//   - it is this entry's own, sent when all lost leases had expired, and no other record came in between.
 //
-// From a valid record on, the fold has all there is.
-func (p *pool) learn(l lease, after bool) bool {
-	p.kept = append(p.kept, l)
-	last := len(p.kept) - 1
-	from := slices.IndexFunc(p.kept, func(k lease) bool { return k.offset == l.record.Base })
+// From a valid record on, the holder is known.
+func (p *pool) inferHolder(l leaseRecord, lostExpired bool) bool {
+	p.candidates = append(p.candidates, l)
+	last := len(p.candidates) - 1
+	from := slices.IndexFunc(p.candidates, func(c leaseRecord) bool { return c.offset == l.record.Base })
 	switch {
 	case from >= 0:
-	case last > 0 && l.millis-p.kept[last-1].millis >= MaxDuration.Milliseconds():
+	case last > 0 && l.logMillis-p.candidates[last-1].logMillis >= MaxDuration.Milliseconds():
 		from = last
-	case last == 0 && after:
+	case last == 0 && lostExpired:
 		from = last
 	default:
-		if len(p.kept) > maxKept {
-			p.kept = p.kept[1:]
+		if len(p.candidates) > maxCandidates {
+			p.candidates = p.candidates[1:]
 		}
 		return false
 	}
-	p.known = true
+	p.holderKnown = true
 	valid := false
-	for _, k := range p.kept[from:] {
-		valid = p.decide(k)
+	for _, c := range p.candidates[from:] {
+		valid = p.grant(c)
 	}
-	p.kept = nil
+	p.candidates = nil
 	return valid
 }
--- a/leaser/leaser_test.go
+++ b/leaser/leaser_test.go
@@ -15,7 +15,7 @@
 
 var start = time.UnixMilli(1_800_000_000_000)
 
-// model is one log, and entries that read it when the test says so. The log's clock is off by skew.
+// model simulates one log. Entries read it only when a test calls read. The log's clock is off by skew.
 type model struct {
 	t       *testing.T
 	now     time.Time
@@ -28,8 +28,8 @@
 
 func (m *model) entry(name string) *Leaser { return New(Config{Entry: name, Incarnation: 1}) }
 
-// land has the log take a record now.
-func (m *model) land(data []byte) {
+// appendRecord appends a record to the log at the current time.
+func (m *model) appendRecord(data []byte) {
 	m.offset += 3
 	m.records = append(m.records, recorder.Record{Offset: m.offset, AtMillis: m.now.Add(m.skew).UnixMilli(), Data: data})
 }
@@ -49,11 +49,11 @@
 	return data, id
 }
 
-// take has an entry bid, and all read the result.
-func (m *model) take(l *Leaser, readers ...*Leaser) {
+// acquireOrRenew has an entry append a bid or renewal, which it and the readers then read.
+func (m *model) acquireOrRenew(l *Leaser, readers ...*Leaser) {
 	m.t.Helper()
 	data, _ := m.bid(l)
-	m.land(data)
+	m.appendRecord(data)
 	m.read(append(readers, l)...)
 }
 
@@ -67,15 +67,15 @@
 	return n
 }
 
-// Two entries find no orderer and bid at the same moment. Both appends succeed; the log's order lets one of them
-// order engines, and both read the same.
-func TestTwoBidsGiveOneOrderer(t *testing.T) {
+// Two entries find no lease holder and bid at the same time. Both appends succeed; the first one in the log gets the
+// lease, and both entries compute the same holder.
+func TestConcurrentBidsElectOneHolder(t *testing.T) {
 	m := newModel(t)
 	a, b := m.entry("a"), m.entry("b")
-	ofA, _ := m.bid(a)
-	ofB, _ := m.bid(b)
-	m.land(ofB)
-	m.land(ofA)
+	bidA, _ := m.bid(a)
+	bidB, _ := m.bid(b)
+	m.appendRecord(bidB)
+	m.appendRecord(bidA)
 	m.read(a, b)
 	_, held := a.Held(testPool, m.now)
 	require.False(t, held)
@@ -86,27 +86,27 @@
 	require.Equal(t, "b", holder)
 }
 
-// The orderer is paused right after it appended, and its lease lapses by the log's time. Another takes over. The
-// woken one has not read that yet and still finds its own record the newest: its own clock alone must stop it.
-func TestAWokenHolderHoldsNothing(t *testing.T) {
+// The holder is paused right after its append, its lease expires by the log's time, and another entry acquires it. The
+// resumed holder has not read that record and sees its own as the newest: its local clock alone must end its lease.
+func TestResumedHolderHasNoLease(t *testing.T) {
 	m := newModel(t)
 	a, b := m.entry("a"), m.entry("b")
-	m.take(a, b)
+	m.acquireOrRenew(a, b)
 	m.now = m.now.Add(DefaultDuration)
-	require.Zero(t, m.holders(a), "before anything is read")
-	m.take(b)
+	require.Zero(t, m.holders(a), "holder after its lease expired, before it reads on")
+	m.acquireOrRenew(b)
 	require.Equal(t, 1, m.holders(a, b))
 	lease, _ := b.Held(testPool, m.now)
-	require.Equal(t, int64(6), lease.Granted, "the number is above the paused holder's")
+	require.Equal(t, int64(6), lease.Granted, "the fencing number is above the paused holder's")
 }
 
-// An append is sent, the holder pauses for most of a lease, and only then reads its record. The lease counts from
-// before the append: counted from the reading it would outlast the log's, and two would order at once.
+// The holder pauses for most of a lease after its append and only then reads its record. The lease must count from
+// before the append: counted from the read it would outlast the log's, and two entries would hold it at once.
 func TestALeaseCountsFromBeforeItsAppend(t *testing.T) {
 	m := newModel(t)
 	a, b := m.entry("a"), m.entry("b")
 	data, _ := m.bid(a)
-	m.land(data)
+	m.appendRecord(data)
 	m.read(b)
 	m.now = m.now.Add(8 * time.Second)
 	m.read(a)
@@ -114,32 +114,32 @@
 	require.True(t, held)
 	require.Equal(t, 2*time.Second-DefaultMargin, lease.Remaining)
 	m.now = m.now.Add(2 * time.Second)
-	m.take(b)
+	m.acquireOrRenew(b)
 	require.Equal(t, 1, m.holders(a, b))
 }
 
-// The VM is frozen as a whole, and its monotonic clock with it. After the thaw the clock of the day is right again.
-func TestAFrozenMonotonicClock(t *testing.T) {
+// The whole VM is frozen and its monotonic clock stops. When the VM resumes, the wall clock is correct again.
+func TestFrozenMonotonicClock(t *testing.T) {
 	now := time.Now()
-	l := limitFrom(now, DefaultDuration)
-	require.Equal(t, DefaultDuration, l.left(now))
-	l.day = l.day.Add(-time.Minute)
-	require.Negative(t, l.left(now))
+	l := newLeaseTimer(now, DefaultDuration)
+	require.Equal(t, DefaultDuration, l.remaining(now))
+	l.startWall = l.startWall.Add(-time.Minute)
+	require.Negative(t, l.remaining(now))
 }
 
-// Appends go wrong in all ways. The lease must be held if and only if the record is in the log.
-func TestEndsOfAppends(t *testing.T) {
+// Whatever the result of an append, the lease must be held if and only if the record is in the log.
+func TestAppendResults(t *testing.T) {
 	scenarios := []struct {
 		testName string
 		result   claimer.AppendResult
-		lands    bool
+		appended bool
 		held     bool
-		// again is whether a new bid is due a moment after the end.
-		again time.Duration
+		// retryAfter is when the next append is due, counted from the result.
+		retryAfter time.Duration
 	}{
-		{"done", claimer.AppendDone{}, true, true, DefaultDuration / renewals},
-		{"reply lost after it took effect", claimer.AppendUncertain{}, true, true, DefaultDuration / renewals},
-		{"lost on its way", claimer.AppendUncertain{}, false, false, DefaultDuration / renewals},
+		{"done", claimer.AppendDone{}, true, true, DefaultDuration / appendsPerLease},
+		{"reply lost after the append took effect", claimer.AppendUncertain{}, true, true, DefaultDuration / appendsPerLease},
+		{"request lost", claimer.AppendUncertain{}, false, false, DefaultDuration / appendsPerLease},
 		{"refused", claimer.AppendRefused{RetryAfter: 2 * time.Second}, false, false, 2 * time.Second},
 	}
 	for _, s := range scenarios {
@@ -147,14 +147,14 @@
 			m := newModel(t)
 			a := m.entry("a")
 			data, id := m.bid(a)
-			if s.lands {
-				m.land(data)
+			if s.appended {
+				m.appendRecord(data)
 			}
 			a.AppendFinished(id, s.result, m.now)
 			m.read(a)
 			_, held := a.Held(testPool, m.now)
 			require.Equal(t, s.held, held)
-			m.now = m.now.Add(s.again - time.Millisecond)
+			m.now = m.now.Add(s.retryAfter - time.Millisecond)
 			_, _, due := a.AcquireOrRenew(testPool, 0, m.now)
 			require.False(t, due)
 			m.now = m.now.Add(time.Millisecond)
@@ -164,16 +164,16 @@
 	}
 }
 
-// A holder renews for a long time while another reads along: nobody else bids, and the number only grows.
+// A holder renews for a long time while another entry reads: the other never bids, and the fencing number only grows.
 func TestRenewalsKeepTheLease(t *testing.T) {
 	m := newModel(t)
 	a, b := m.entry("a"), m.entry("b")
-	m.take(a, b)
+	m.acquireOrRenew(a, b)
 	last := int64(0)
 	for range 600 {
 		m.now = m.now.Add(100 * time.Millisecond)
 		if data, _, due := a.AcquireOrRenew(testPool, 0, m.now); due {
-			m.land(data)
+			m.appendRecord(data)
 			m.read(a, b)
 		}
 		_, _, due := b.AcquireOrRenew(testPool, 1, m.now)
@@ -184,17 +184,18 @@
 		require.Equal(t, int64(3), lease.Granted)
 		last = lease.Fence
 	}
-	require.Len(t, m.records, 18, "one append every third of a lease")
+	require.Len(t, m.records, 18, "one append per third of a lease")
 }
 
-// A new VM reads a stream whose beginning retention has dropped, with the true holder's record in it, and a losing
-// bid after it that it must not take for valid. The holder's second renewal names the first and so proves it.
-func TestAReaderWithoutTheBeginningHoldsBack(t *testing.T) {
+// A new VM reads a stream from which retention dropped the true holder's record. The first record that it reads is a
+// losing bid, which it must not accept as valid. The holder's second renewal names the first one as its base and so
+// proves it valid.
+func TestReaderWithGapDoesNotBid(t *testing.T) {
 	m := newModel(t)
 	a, b, c := m.entry("a"), m.entry("b"), m.entry("c")
-	ofB, _ := m.bid(b)
-	m.take(a, b)
-	m.land(ofB)
+	bidB, _ := m.bid(b)
+	m.acquireOrRenew(a, b)
+	m.appendRecord(bidB)
 	m.read(a, b)
 	m.records = m.records[1:]
 	require.True(t, c.ResetOnGap(4, m.now))
@@ -204,7 +205,7 @@
 		_, _, due := c.AcquireOrRenew(testPool, 0, m.now)
 		require.False(t, due)
 		if data, _, due := a.AcquireOrRenew(testPool, 0, m.now); due {
-			m.land(data)
+			m.appendRecord(data)
 		}
 		m.read(a, b, c)
 		holder, _ := c.Holder(testPool)
@@ -214,43 +215,43 @@
 	require.Equal(t, []string{"", "a"}, slices.Compact(holders))
 	require.Equal(t, 1, m.holders(a, b, c))
 	require.True(t, a.ResetOnGap(1000, m.now))
-	require.Zero(t, m.holders(a), "a gap leaves nobody sure of its lease")
+	require.Zero(t, m.holders(a), "after a gap no entry holds a lease")
 }
 
-// All VMs are replaced at once after retention has dropped all leases. Nobody can know of one, so all wait out the
-// longest and bid; the first record holds, and its renewal tells the others.
-func TestAllReadersLackTheBeginning(t *testing.T) {
+// All VMs are replaced at once after retention dropped all leases. No entry can know of a lease, so all wait until the
+// longest one has expired and bid. The first record is valid, and its renewal proves that to the others.
+func TestAllReadersHaveGap(t *testing.T) {
 	m := newModel(t)
 	a, b := m.entry("a"), m.entry("b")
 	m.offset = 19
 	require.True(t, a.ResetOnGap(20, m.now))
 	require.True(t, b.ResetOnGap(20, m.now))
-	m.now = m.now.Add(silence - time.Millisecond)
+	m.now = m.now.Add(gapWait - time.Millisecond)
 	_, _, due := a.AcquireOrRenew(testPool, 0, m.now)
 	require.False(t, due)
 	m.now = m.now.Add(time.Millisecond)
-	ofB, _ := m.bid(b)
-	m.land(ofB)
-	m.take(a, b)
+	bidB, _ := m.bid(b)
+	m.appendRecord(bidB)
+	m.acquireOrRenew(a, b)
 	_, held := b.Held(testPool, m.now)
 	require.True(t, held)
 	require.Equal(t, 1, m.holders(a, b))
 	m.now = m.now.Add(DefaultDuration / 2)
-	m.take(b, a)
+	m.acquireOrRenew(b, a)
 	holder, _ := a.Holder(testPool)
 	require.Equal(t, "b", holder)
 }
 
-func TestMalformedRecordsArePassedOver(t *testing.T) {
+func TestMalformedRecordsAreSkipped(t *testing.T) {
 	m := newModel(t)
 	a := m.entry("a")
 	long := recorder.Lease{Pool: testPool, Entry: "b", Millis: MaxDuration.Milliseconds() + 1}
 	data, err := long.MarshalMsg(nil)
 	require.NoError(t, err)
 	for _, bad := range [][]byte{nil, {0xff}, data, append(data, 1)} {
-		m.land(bad)
+		m.appendRecord(bad)
 	}
-	m.take(a)
+	m.acquireOrRenew(a)
 	require.Equal(t, 1, m.holders(a))
 	require.Equal(t, int64(15), a.Offset())
 }
--- a/leaser/limit.go
+++ b/leaser/limit.go
@@ -2,22 +2,22 @@
 
 import "time"
 
-// limit is a span of time that began at an instant of this process's clock.
-type limit struct {
-	from time.Time
-	// day is the same instant by the clock of the day.
-	day    time.Time
-	length time.Duration
+// leaseTimer measures a span of time from a start instant of the local clock.
+type leaseTimer struct {
+	start time.Time
+	// startWall is the same instant by the wall clock.
+	startWall time.Time
+	duration  time.Duration
 }
 
-func limitFrom(from time.Time, length time.Duration) limit {
-	return limit{from: from, day: from.Round(0), length: length}
+func newLeaseTimer(start time.Time, duration time.Duration) leaseTimer {
+	return leaseTimer{start: start, startWall: start.Round(0), duration: duration}
 }
 
-// left gives what is left of the span. The monotonic clock can't be set, but on some systems it stands still while
-// the whole VM is frozen, and a woken holder would then think its lease fresh. The clock of the day is set right
-// soon after, so whichever says that more time has passed is believed.
-func (l limit) left(now time.Time) time.Duration {
-	passed := max(now.Sub(l.from), now.Round(0).Sub(l.day))
-	return l.length - passed
+// remaining returns what is left of the span; it is negative after the end. The monotonic clock can't be set, but on
+// some systems it stops while the whole VM is frozen, and a resumed holder would consider its lease fresh. The wall
+// clock is corrected soon afterwards, so the greater elapsed time of the two counts.
+func (t leaseTimer) remaining(now time.Time) time.Duration {
+	elapsed := max(now.Sub(t.start), now.Round(0).Sub(t.startWall))
+	return t.duration - elapsed
 }
--- a/leaser/property_test.go
+++ b/leaser/property_test.go
@@ -10,30 +10,31 @@
 	"geraniumline/recorder"
 )
 
-// reader is an entry that reads the stream at its own pace.
+// reader is an entry that reads the stream independently of the others.
 type reader struct {
 	leaser *Leaser
-	read   int
+	// next is the index of the next record to read.
+	next int
 }
 
-// Whatever appends do (land late, out of turn or never), whenever each entry reads, however long any is paused, and
-// though retention drops records before an entry has read them: no two hold the lease at once, and a later holder's
-// number is above an earlier one's.
+// No two entries hold the lease at once, and a later holder's fencing number is above an earlier one's: whether appends
+// arrive late, out of order or never, whenever each entry reads, however long it is paused, and even if retention drops
+// records before an entry has read them.
 func TestOneHolderAtATime(t *testing.T) {
 	rapid.Check(t, func(r *rapid.T) {
 		m := &model{now: start, skew: -time.Hour}
 		var readers []*reader
-		var flying [][]byte
+		var inFlight [][]byte
 		names := []string{"a", "b", "c"}
 		incarnation := uint64(0)
-		begin := func() {
+		startReader := func() {
 			incarnation++
 			x := &reader{leaser: New(Config{Entry: names[incarnation%3], Incarnation: incarnation, Stagger: time.Millisecond})}
-			x.lose(rapid.IntRange(0, len(m.records)).Draw(r, "lost"), m)
+			x.dropUnread(rapid.IntRange(0, len(m.records)).Draw(r, "lost"), m)
 			readers = append(readers, x)
 		}
 		for range names {
-			begin()
+			startReader()
 		}
 		lastGranted := int64(0)
 		lastHolder := -1
@@ -44,30 +45,30 @@
 			"bid": func(r *rapid.T) {
 				x := rapid.SampledFrom(readers).Draw(r, "entry")
 				if data, _, due := x.leaser.AcquireOrRenew(testPool, 0, m.now); due {
-					flying = append(flying, data)
+					inFlight = append(inFlight, data)
 				}
 			},
-			"land": func(r *rapid.T) {
-				if len(flying) == 0 {
+			"append": func(r *rapid.T) {
+				if len(inFlight) == 0 {
 					return
 				}
-				at := rapid.IntRange(0, len(flying)-1).Draw(r, "which")
+				at := rapid.IntRange(0, len(inFlight)-1).Draw(r, "which")
 				if rapid.IntRange(0, 4).Draw(r, "fate") > 0 {
-					m.land(flying[at])
+					m.appendRecord(inFlight[at])
 				}
-				flying = slices.Delete(flying, at, at+1)
+				inFlight = slices.Delete(inFlight, at, at+1)
 			},
 			"read": func(r *rapid.T) {
 				x := rapid.SampledFrom(readers).Draw(r, "entry")
-				x.take(m.records[x.read:], m.now)
+				x.apply(m.records[x.next:], m.now)
 			},
-			"lose": func(r *rapid.T) {
+			"drop": func(r *rapid.T) {
 				x := rapid.SampledFrom(readers).Draw(r, "entry")
-				x.lose(rapid.IntRange(x.read, len(m.records)).Draw(r, "lost"), m)
+				x.dropUnread(rapid.IntRange(x.next, len(m.records)).Draw(r, "lost"), m)
 			},
 			"start": func(r *rapid.T) {
 				if len(readers) < 8 {
-					begin()
+					startReader()
 				}
 			},
 			"": func(r *rapid.T) {
@@ -78,11 +79,11 @@
 						continue
 					}
 					if holder >= 0 {
-						r.Fatalf("%d and %d hold the lease", holder, i)
+						r.Fatalf("entries %d and %d both hold the lease", holder, i)
 					}
 					holder = i
 					if i != lastHolder && lease.Granted <= lastGranted {
-						r.Fatalf("holder %d has number %d after %d", i, lease.Granted, lastGranted)
+						r.Fatalf("holder %d has fencing number %d, not above %d", i, lease.Granted, lastGranted)
 					}
 					lastHolder, lastGranted = i, lease.Granted
 				}
@@ -91,17 +92,17 @@
 	})
 }
 
-// lose has retention drop the records up to one before the entry has read them.
-func (x *reader) lose(to int, m *model) {
-	if to > x.read {
+// dropUnread has retention drop the records before index to, which the entry has not read.
+func (x *reader) dropUnread(to int, m *model) {
+	if to > x.next {
 		x.leaser.ResetOnGap(m.records[to-1].Offset+1, m.now)
-		x.read = to
+		x.next = to
 	}
 }
 
-func (x *reader) take(records []recorder.Record, now time.Time) {
+func (x *reader) apply(records []recorder.Record, now time.Time) {
 	for _, record := range records {
 		x.leaser.Apply(record, now)
 	}
-	x.read += len(records)
+	x.next += len(records)
 }
