--- a/messenger/bench_test.go
+++ b/messenger/bench_test.go
@@ -10,17 +10,17 @@
 	"geraniumline/carrier"
 )
 
-// BenchmarkFrame seals and opens one frame of a heartbeat.
+// BenchmarkFrame encodes and verifies one heartbeat frame.
 func BenchmarkFrame(b *testing.B) {
 	for _, n := range []int{7, 50, 200} {
 		b.Run(strconv.Itoa(n)+" members", func(b *testing.B) {
 			body, _ := (&carrier.Heartbeat{Pulses: make([]carrier.Pulse, n)}).MarshalMsg(nil)
-			seal, open := newSealer([]byte(testKey)), newSealer([]byte(testKey))
+			sealer, opener := newSealer([]byte(testKey)), newSealer([]byte(testKey))
 			var frame []byte
 			b.ReportAllocs()
 			for b.Loop() {
-				frame = appendFrame(frame[:0], carrier.KindHeartbeat, body, seal)
-				if _, err := (&frameReader{r: bytes.NewReader(frame), limit: defaultMaxFrame, opener: open}).read(); err != nil {
+				frame = appendFrame(frame[:0], carrier.KindHeartbeat, body, sealer)
+				if _, err := (&frameReader{r: bytes.NewReader(frame), limit: defaultMaxFrame, opener: opener}).read(); err != nil {
 					b.Fatal(err)
 				}
 			}
@@ -29,7 +29,7 @@
 	}
 }
 
-// BenchmarkHandshake proves both sides once over loopback.
+// BenchmarkHandshake runs one handshake over loopback.
 func BenchmarkHandshake(b *testing.B) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
--- a/messenger/config.go
+++ b/messenger/config.go
@@ -11,9 +11,9 @@
 	"geraniumline/carrier"
 )
 
-// minKey is the least length of the shared key, in bytes. Whoever makes a peer prove itself can try keys
-// offline against that proof, so the key must be random and not a word.
-const minKey = 16
+// minKeySize is the minimum length of the shared key, in bytes. An attacker who obtains a peer's proof can test keys
+// against it offline, so the key must be random and not a word.
+const minKeySize = 16
 
 const (
 	defaultMaxFrame         = 1 << 20
@@ -30,62 +30,63 @@
 	defaultBackoffMax       = time.Second
 )
 
-// Handler takes a message from the peer that proved the name. It is called from one goroutine for each
-// connection; while it runs, no more is read from that peer.
+// Handler handles a message from the peer that was authenticated under the name from. It is called from one goroutine
+// for each connection; while it runs, nothing more is read from that peer.
 type Handler func(from string, m carrier.Message)
 
-// Config holds a Messenger's parts and limits. Limits that are zero get their defaults.
+// Config holds a Messenger's dependencies and limits. Zero limits take their defaults.
 type Config struct {
 	Listen net.Listener
 	// Name is this entry's name.
 	Name string
-	// Key is shared by all entries of the system; at least minKey bytes.
+	// Key is shared by all entries of the system and has at least minKeySize bytes.
 	Key []byte
-	// OtherKeys may be proved by dialers too, so that the key can be changed with the entries restarted one after
-	// another: first all take the new key here, then all dial with it and take the old one here, then it goes.
+	// OtherKeys are accepted from dialers too, so that the key can be changed in a rolling restart: first all entries
+	// accept the new key here, then all dial with it and accept the old one here, then the old one is removed.
 	OtherKeys [][]byte
 	Handler   Handler
-	// OnRefused is told of each try to connect that the address refused: no process listens there. It may be nil and
-	// must not wait.
+	// OnRefused is called with the address of each connection attempt that was refused, which means that no process
+	// listens there. It may be nil and must not block.
 	OnRefused func(address string)
 	Log       *zap.Logger
 	Registry  metrics.Registry
 
-	// MaxFrame is the most bytes of a frame after its length field.
+	// MaxFrame is the maximum size of a frame without its length field, in bytes.
 	MaxFrame int
-	// MaxQueue is the most encoded bytes that wait for one peer.
+	// MaxQueue is the maximum number of encoded bytes queued for one peer.
 	MaxQueue int
-	// MaxConnections is the most accepted connections that have proved themselves.
+	// MaxConnections is the maximum number of accepted connections that are authenticated.
 	MaxConnections int
-	// MaxPending is the most accepted connections that have not proved themselves yet; the oldest gives way.
+	// MaxPending is the maximum number of accepted connections that are not authenticated yet; beyond it the oldest is
+	// closed.
 	MaxPending int
-	// MaxPeers is the most peer addresses that are sent to at a time.
+	// MaxPeers is the maximum number of peer addresses with an active sender.
 	MaxPeers int
 
 	DialTimeout      time.Duration
 	HandshakeTimeout time.Duration
 	WriteTimeout     time.Duration
-	// SilenceTimeout ends a connection whose bytes the peer's kernel doesn't acknowledge.
+	// SilenceTimeout closes a connection if the peer's kernel doesn't acknowledge sent bytes.
 	SilenceTimeout time.Duration
-	// IdleTimeout ends a connection on which nothing arrives, and a sender that nothing is given to.
+	// IdleTimeout closes a connection that receives nothing, and ends a sender without messages.
 	IdleTimeout time.Duration
 	BackoffMin  time.Duration
 	BackoffMax  time.Duration
 }
 
-// KeyError tells that the shared key is too short to prove anything.
+// KeyError reports a shared key that is too short. Length is in bytes.
 type KeyError struct {
 	Length int
 }
 
 func (e *KeyError) Error() string {
-	return fmt.Sprintf("shared key has %d bytes, at least %d are needed", e.Length, minKey)
+	return fmt.Sprintf("shared key has %d bytes, need at least %d", e.Length, minKeySize)
 }
 
-// checkKeys gives a KeyError if a key is too short. An empty one would let anybody in.
+// checkKeys returns a KeyError if a key is too short. An empty key would let anyone connect.
 func (c Config) checkKeys() error {
 	for _, key := range append([][]byte{c.Key}, c.OtherKeys...) {
-		if len(key) < minKey {
+		if len(key) < minKeySize {
 			return &KeyError{Length: len(key)}
 		}
 	}
--- a/messenger/connection.go
+++ b/messenger/connection.go
@@ -9,7 +9,7 @@
 	"github.com/rcrowley/go-metrics"
 )
 
-// timedReader gives each read of a connection its own time limit, and counts the bytes.
+// timedReader sets a new deadline for each read of a connection and counts the bytes.
 type timedReader struct {
 	conn    net.Conn
 	timeout time.Duration
@@ -25,15 +25,15 @@
 	return n, err
 }
 
-// pending holds the accepted connections that have not proved themselves, oldest first.
-type pending struct {
+// pendingConns holds the accepted connections that are not authenticated yet, oldest first.
+type pendingConns struct {
 	mu    sync.Mutex
 	limit int
 	conns []net.Conn
 }
 
-// add keeps conn, and gives the oldest one if it has to make room.
-func (p *pending) add(conn net.Conn) net.Conn {
+// add stores conn. If there are more connections than limit, it removes and returns the oldest.
+func (p *pendingConns) add(conn net.Conn) net.Conn {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.conns = append(p.conns, conn)
@@ -45,7 +45,7 @@
 	return oldest
 }
 
-func (p *pending) remove(conn net.Conn) {
+func (p *pendingConns) remove(conn net.Conn) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if i := slices.Index(p.conns, conn); i >= 0 {
--- a/messenger/counts.go
+++ b/messenger/counts.go
@@ -2,13 +2,14 @@
 
 import "github.com/rcrowley/go-metrics"
 
-// counts are the messenger's counters in the registry.
-type counts struct {
+// counters are the messenger's counters in the registry.
+type counters struct {
 	sent, received           metrics.Counter
 	bytesSent, bytesReceived metrics.Counter
-	// dropped messages found no room; lost ones were taken up but the peer could not be reached.
+	// dropped counts messages that were too large or could not be queued; lost counts queued messages that could not be
+	// delivered.
 	dropped, lost metrics.Counter
-	// replaced heartbeats gave way to newer ones.
+	// replaced counts queued heartbeats that were replaced by newer ones.
 	replaced       metrics.Counter
 	refused        metrics.Counter
 	evicted        metrics.Counter
@@ -16,11 +17,11 @@
 	acceptFailures metrics.Counter
 }
 
-func newCounts(r metrics.Registry) counts {
+func newCounters(r metrics.Registry) counters {
 	counter := func(name string) metrics.Counter {
 		return metrics.GetOrRegisterCounter("peers."+name, r)
 	}
-	return counts{
+	return counters{
 		sent:           counter("framesSent"),
 		received:       counter("framesReceived"),
 		bytesSent:      counter("bytesSent"),
--- a/messenger/delivery_test.go
+++ b/messenger/delivery_test.go
@@ -15,9 +15,9 @@
 	"geraniumline/carrier"
 )
 
-// A peer is frozen: its kernel accepts the connection, but nobody answers. Send must not wait, the queue must stay
-// within its bytes, and of all heartbeats only the newest may be kept.
-func TestFrozenPeerHoldsNothingUp(t *testing.T) {
+// A peer is frozen: its kernel accepts the connection, but the process doesn't answer. Send must not block, the queue
+// must stay within its limit, and only the newest heartbeat may be kept.
+func TestFrozenPeerDoesNotBlockSend(t *testing.T) {
 	const limit = 100 << 10
 	frozen, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
@@ -41,9 +41,9 @@
 	require.Greater(t, len(q.items), 90)
 }
 
-// An entry is killed and started again at the same address. Peers reach it again without help, and the log has one
-// line for the loss and one for the return, not one for each message that was lost.
-func TestPeerComesBackAtItsAddress(t *testing.T) {
+// An entry is killed and restarted at the same address. Peers must reconnect by themselves, and log one line for the
+// loss and one for the return, not one for each lost message.
+func TestReconnectToRestartedPeer(t *testing.T) {
 	core, logs := observer.New(zapcore.InfoLevel)
 	registry := metrics.NewRegistry()
 	a, _, _ := startMessenger(t, Config{Name: "a", Log: zap.New(core), Registry: registry, BackoffMax: time.Millisecond})
@@ -57,16 +57,16 @@
 		go func() { _ = m.Serve(t.Context()) }()
 		return m
 	}
-	beatUntil := func(done func() bool) {
+	sendHeartbeatsUntil := func(done func() bool) {
 		for i := uint64(0); !done(); i++ {
 			a.Send(address, &carrier.Heartbeat{Sequence: i})
 			time.Sleep(time.Millisecond)
 		}
 	}
 	first := serve(ln)
-	beatUntil(func() bool { return len(in) > 0 })
+	sendHeartbeatsUntil(func() bool { return len(in) > 0 })
 	require.NoError(t, first.Close())
-	beatUntil(func() bool { return count(registry, "messagesLost") > 10 })
+	sendHeartbeatsUntil(func() bool { return count(registry, "messagesLost") > 10 })
 	for len(in) > 0 {
 		<-in
 	}
@@ -74,12 +74,12 @@
 	require.NoError(t, err)
 	second := serve(ln)
 	defer func() { _ = second.Close() }()
-	beatUntil(func() bool { return len(in) > 0 })
-	require.Equal(t, 1, logs.FilterMessage("peer can't be reached").Len())
-	require.Equal(t, 2, logs.FilterMessage("peer reached").Len())
+	sendHeartbeatsUntil(func() bool { return len(in) > 0 })
+	require.Equal(t, 1, logs.FilterMessage("cannot connect to peer").Len())
+	require.Equal(t, 2, logs.FilterMessage("connected to peer").Len())
 }
 
-func TestSendDropsWhatNoFrameCanHold(t *testing.T) {
+func TestSendDropsOversizeMessages(t *testing.T) {
 	registry := metrics.NewRegistry()
 	a, address, in := startMessenger(t, Config{Name: "a", Registry: registry, MaxFrame: 2000})
 	a.Send(address, &carrier.Outcome{Answer: strings.Repeat("x", 2000)})
@@ -94,7 +94,7 @@
 	a, _, _ := startMessenger(t, Config{Name: "a", IdleTimeout: 20 * time.Millisecond})
 	a.Send(address, &carrier.OutcomeCall{CallID: 1})
 	receive(t, in)
-	require.Eventually(t, func() bool { return a.idle() && a.open() == 0 }, 20*time.Second, time.Millisecond)
+	require.Eventually(t, func() bool { return a.idle() && a.openConns() == 0 }, 20*time.Second, time.Millisecond)
 }
 
 func TestServeRefusesShortKeys(t *testing.T) {
--- a/messenger/frame.go
+++ b/messenger/frame.go
@@ -8,48 +8,48 @@
 	"geraniumline/carrier"
 )
 
-// A frame is a length of 4 bytes (big-endian, of all that follows), the kind's byte, the msgpack body and,
-// after the handshake, a tag that proves its sender and place.
+// A frame consists of a length of 4 bytes (big-endian, of everything that follows), a byte for the kind, the msgpack
+// body and, after the handshake, a tag that authenticates its sender and its position.
 const (
 	lengthSize = 4
 	kindSize   = 1
-	// handshakeLimit is the most bytes of a frame from a peer that has not proved itself.
-	handshakeLimit = 1 << 10
-	// keptBuffer is the largest buffer that is kept between frames.
-	keptBuffer = 64 << 10
+	// maxHandshakeFrame is the maximum size of a frame from an unauthenticated peer, in bytes.
+	maxHandshakeFrame = 1 << 10
+	// maxReusedBuffer is the largest buffer that is reused for the next frame, in bytes.
+	maxReusedBuffer = 64 << 10
 )
 
-// FrameSizeError tells of a frame whose length is outside of what the connection allows.
+// FrameSizeError reports a frame whose length is out of the range that the connection allows. Its fields are in bytes.
 type FrameSizeError struct {
 	Length, Limit int
 }
 
 func (e *FrameSizeError) Error() string {
-	return fmt.Sprintf("frame of %d bytes, at most %d are allowed", e.Length, e.Limit)
+	return fmt.Sprintf("frame size %d bytes out of range, maximum is %d", e.Length, e.Limit)
 }
 
-// TagError tells of a frame that the peer did not seal as the next one of this connection.
+// TagError reports a frame whose tag is not that of the next frame of this connection.
 type TagError struct {
 	Sequence uint64
 }
 
 func (e *TagError) Error() string {
-	return fmt.Sprintf("frame %d of the connection has a wrong tag", e.Sequence)
+	return fmt.Sprintf("frame %d of the connection has an invalid tag", e.Sequence)
 }
 
-// DecodeError tells of a frame whose body is no message of its kind.
+// DecodeError reports a frame whose body is not a valid message of its kind.
 type DecodeError struct {
 	Kind  carrier.Kind
 	Cause error
 }
 
 func (e *DecodeError) Error() string {
-	return fmt.Sprintf("frame of kind %d: %v", e.Kind, e.Cause)
+	return fmt.Sprintf("decode frame of kind %d: %v", e.Kind, e.Cause)
 }
 
 func (e *DecodeError) Unwrap() error { return e.Cause }
 
-// appendFrame adds a frame with the encoded body to dst, sealed if s is set.
+// appendFrame appends a frame with the encoded body to dst, with a tag if s is not nil.
 func appendFrame(dst []byte, kind carrier.Kind, body []byte, s *sealer) []byte {
 	n := kindSize + len(body)
 	if s != nil {
@@ -69,62 +69,63 @@
 type frameReader struct {
 	r     io.Reader
 	limit int
-	// opener checks the tags; nil during the handshake.
+	// opener verifies the tags; it is nil during the handshake.
 	opener *sealer
 	buf    []byte
 }
 
-// next reads one frame and its message.
+// next reads one frame and decodes its message.
 func (f *frameReader) next() (carrier.Message, error) {
-	content, err := f.read()
+	payload, err := f.read()
 	if err != nil {
 		return nil, err
 	}
-	return decode(carrier.Kind(content[0]), content[kindSize:])
+	return decode(carrier.Kind(payload[0]), payload[kindSize:])
 }
 
-// nextOf reads one frame of the kind. No other kind is decoded: a peer that has not proved itself could claim a
-// list of many thousand elements in a few bytes, and memory would be taken for them all.
+// nextOf reads one frame of the given kind. Other kinds aren't decoded: an unauthenticated peer could claim a list of
+// many thousand elements in a few bytes, and memory would be allocated for all of them.
 func (f *frameReader) nextOf(kind carrier.Kind) (carrier.Message, error) {
-	content, err := f.read()
+	payload, err := f.read()
 	if err != nil {
 		return nil, err
 	}
-	if got := carrier.Kind(content[0]); got != kind {
-		return nil, &HandshakeError{Reason: fmt.Sprintf("frame of kind %d instead of %d", got, kind)}
+	if got := carrier.Kind(payload[0]); got != kind {
+		return nil, &HandshakeError{Reason: fmt.Sprintf("got frame of kind %d, want %d", got, kind)}
 	}
-	return decode(kind, content[kindSize:])
+	return decode(kind, payload[kindSize:])
 }
 
-// read gives a frame's kind and body. The limit is checked before memory is taken for them.
+// read returns a frame's kind and body. The size limit is checked before memory is allocated.
 func (f *frameReader) read() ([]byte, error) {
 	var head [lengthSize]byte
 	if _, err := io.ReadFull(f.r, head[:]); err != nil {
 		return nil, err
 	}
 	n := binary.BigEndian.Uint32(head[:])
-	if n > uint32(f.limit) || int(n) < f.least() {
+	if n > uint32(f.limit) || int(n) < f.minSize() {
 		return nil, &FrameSizeError{Length: int(n), Limit: f.limit}
 	}
-	content := f.room(int(n))
-	if _, err := io.ReadFull(f.r, content); err != nil {
+	payload := f.buffer(int(n))
+	if _, err := io.ReadFull(f.r, payload); err != nil {
 		return nil, err
 	}
 	if f.opener == nil {
-		return content, nil
+		return payload, nil
 	}
-	return f.opener.open(content)
+	return f.opener.open(payload)
 }
 
-func (f *frameReader) least() int {
+func (f *frameReader) minSize() int {
 	if f.opener != nil {
 		return kindSize + tagSize
 	}
 	return kindSize
 }
 
-func (f *frameReader) room(n int) []byte {
-	if n > keptBuffer {
+// buffer returns a slice of n bytes, reusing the reader's buffer for all but large frames.
+func (f *frameReader) buffer(n int) []byte {
+	if n > maxReusedBuffer {
 		return make([]byte, n)
 	}
 	if n > cap(f.buf) {
@@ -148,11 +149,11 @@
 	return m, nil
 }
 
-// TrailingError tells of bytes after a frame's message.
+// TrailingError reports bytes that follow a frame's message.
 type TrailingError struct {
 	Bytes int
 }
 
 func (e *TrailingError) Error() string {
-	return fmt.Sprintf("%d bytes after the message", e.Bytes)
+	return fmt.Sprintf("%d trailing bytes after the message", e.Bytes)
 }
--- a/messenger/fuzz_test.go
+++ b/messenger/fuzz_test.go
@@ -7,8 +7,8 @@
 	"geraniumline/carrier"
 )
 
-// FuzzFrames reads frames from any bytes: no panic, and no body beyond the limit.
-// The corpus is what entries send, and what strangers might.
+// FuzzFrames reads frames from arbitrary bytes: the reader must not panic or allocate more than the limit.
+// The corpus holds messages that entries send and bytes that a foreign client might send.
 func FuzzFrames(f *testing.F) {
 	const limit = 4 << 10
 	for _, m := range []carrier.Message{
@@ -39,15 +39,15 @@
 				break
 			}
 			if again, err := m.MarshalMsg(nil); err != nil || len(again) == 0 {
-				t.Fatalf("decoded message can't be encoded: %v", err)
+				t.Fatalf("can't encode decoded message: %v", err)
 			}
 		}
 		if cap(frames.buf) > limit {
-			t.Fatalf("%d bytes taken, limit %d", cap(frames.buf), limit)
+			t.Fatalf("allocated %d bytes, limit %d", cap(frames.buf), limit)
 		}
 		sealed := &frameReader{r: bytes.NewReader(data), limit: limit, opener: newSealer([]byte(testKey))}
 		if m, err := sealed.next(); err == nil {
-			t.Fatalf("frame without a right tag was read: %v", m)
+			t.Fatalf("accepted a frame without a valid tag: %v", m)
 		}
 	})
 }
--- a/messenger/handshake.go
+++ b/messenger/handshake.go
@@ -12,28 +12,28 @@
 )
 
 const (
-	nonceSize = 32
-	maxName   = 128
+	nonceSize   = 32
+	maxNameSize = 128
 )
 
-// Labels keep the uses of the shared key apart. The dialer's and the listener's proofs differ, so a proof
-// can't be sent back to its maker (reflection) or used as a frame key.
+// Labels separate the uses of the shared key. The dialer's and the listener's proofs differ, so a proof can't be sent
+// back to its sender (reflection) or used as a frame key.
 const (
 	dialerLabel   = "geraniumline peers 1 dialer"
 	listenerLabel = "geraniumline peers 1 listener"
 	frameLabel    = "geraniumline peers 1 frames"
 )
 
-// ProofError tells of a peer that does not know the shared key.
+// ProofError reports a peer that failed to prove that it knows the shared key.
 type ProofError struct {
 	Entry string
 }
 
 func (e *ProofError) Error() string {
-	return fmt.Sprintf("peer %q does not prove that it knows the shared key", e.Entry)
+	return fmt.Sprintf("peer %q sent an invalid proof of the shared key", e.Entry)
 }
 
-// HandshakeError tells of a peer that does not follow the handshake.
+// HandshakeError reports a peer that violates the handshake protocol.
 type HandshakeError struct {
 	Reason string
 }
@@ -42,30 +42,30 @@
 	return "handshake: " + e.Reason
 }
 
-// handshake proves the shared key in both directions. Both sides send a challenge; the dialer proves first, so
-// that a listener gives whoever can connect nothing to try keys against.
+// handshake authenticates both sides by the shared key. Both send a challenge. The dialer sends its proof first, so that
+// an unauthenticated dialer obtains no proof to test keys against.
 type handshake struct {
 	conn   io.ReadWriter
 	frames *frameReader
 	key    []byte
-	// others are keys that a dialer may prove instead.
-	others [][]byte
-	own    carrier.Challenge
-	peer   carrier.Challenge
+	// otherKeys are further keys that a dialer may use.
+	otherKeys [][]byte
+	own       carrier.Challenge
+	peer      carrier.Challenge
 }
 
 func newHandshake(conn io.ReadWriter, key []byte, name string) *handshake {
 	nonce := make([]byte, nonceSize)
-	_, _ = rand.Read(nonce) // It never fails: the runtime ends the process if there is no randomness.
+	_, _ = rand.Read(nonce) // Read never fails: the runtime ends the process if there is no randomness.
 	return &handshake{
 		conn:   conn,
-		frames: &frameReader{r: conn, limit: handshakeLimit},
+		frames: &frameReader{r: conn, limit: maxHandshakeFrame},
 		key:    key,
 		own:    carrier.Challenge{Nonce: nonce, Entry: name},
 	}
 }
 
-// dial is the dialer's side. It gives the peer's name and the sealer for the frames to send.
+// dial runs the dialer's side. It returns the peer's name and the sealer for outgoing frames.
 func (h *handshake) dial() (string, *sealer, error) {
 	if err := h.send(&h.own); err != nil {
 		return "", nil, err
@@ -76,13 +76,13 @@
 	if err := h.send(&carrier.Proof{Mac: h.derive(dialerLabel, &h.own, &h.peer)}); err != nil {
 		return "", nil, err
 	}
-	if err := h.check(h.derive(listenerLabel, &h.own, &h.peer)); err != nil {
+	if err := h.verifyListener(h.derive(listenerLabel, &h.own, &h.peer)); err != nil {
 		return "", nil, err
 	}
 	return h.peer.Entry, newSealer(h.derive(frameLabel, &h.own, &h.peer)), nil
 }
 
-// accept is the listener's side. It gives the peer's name and the sealer for the frames to read.
+// accept runs the listener's side. It returns the peer's name and the sealer for incoming frames.
 func (h *handshake) accept() (string, *sealer, error) {
 	if err := h.readChallenge(); err != nil {
 		return "", nil, err
@@ -90,7 +90,7 @@
 	if err := h.send(&h.own); err != nil {
 		return "", nil, err
 	}
-	if err := h.checkAny(); err != nil {
+	if err := h.verifyDialer(); err != nil {
 		return "", nil, err
 	}
 	if err := h.send(&carrier.Proof{Mac: h.derive(listenerLabel, &h.peer, &h.own)}); err != nil {
@@ -116,16 +116,16 @@
 	c := m.(*carrier.Challenge)
 	switch {
 	case len(c.Nonce) != nonceSize:
-		return &HandshakeError{Reason: "nonce of a wrong length"}
-	case c.Entry == "" || len(c.Entry) > maxName:
-		return &HandshakeError{Reason: "name of a wrong length"}
+		return &HandshakeError{Reason: "nonce has an invalid length"}
+	case c.Entry == "" || len(c.Entry) > maxNameSize:
+		return &HandshakeError{Reason: "name has an invalid length"}
 	}
 	h.peer = *c
 	return nil
 }
 
-// check reads the listener's proof.
-func (h *handshake) check(want []byte) error {
+// verifyListener reads the listener's proof and compares it with want.
+func (h *handshake) verifyListener(want []byte) error {
 	proof, err := h.readProof()
 	if err != nil {
 		return err
@@ -136,13 +136,13 @@
 	return nil
 }
 
-// checkAny reads the dialer's proof, and goes on with the key that it proves.
-func (h *handshake) checkAny() error {
+// verifyDialer reads the dialer's proof and sets the key to the one that the proof was made with.
+func (h *handshake) verifyDialer() error {
 	proof, err := h.readProof()
 	if err != nil {
 		return err
 	}
-	for _, key := range append([][]byte{h.key}, h.others...) {
+	for _, key := range append([][]byte{h.key}, h.otherKeys...) {
 		h.key = key
 		if hmac.Equal(proof, h.derive(dialerLabel, &h.peer, &h.own)) {
 			return nil
@@ -159,7 +159,7 @@
 	return m.(*carrier.Proof).Mac, nil
 }
 
-// derive gives a value that only who knows the shared key can make, for this use and this connection.
+// derive computes a MAC over this connection's challenges for one use. Only holders of the shared key can compute it.
 func (h *handshake) derive(label string, dialer, listener *carrier.Challenge) []byte {
 	mac := hmac.New(sha256.New, h.key)
 	parts := [][]byte{
--- a/messenger/hostile_test.go
+++ b/messenger/hostile_test.go
@@ -25,21 +25,21 @@
 	return metrics.GetOrRegisterCounter("peers."+name, r).Count()
 }
 
-// Somebody who doesn't know the shared key connects to the peers' port. Whatever it sends, the connection must be
-// closed and counted, and no message may reach the entry.
-func TestStrangersAreRefused(t *testing.T) {
+// A client that doesn't know the shared key connects to the peers' port. Whatever it sends, the connection must be
+// closed and counted, and no message may reach the handler.
+func TestUnauthenticatedClientsAreRefused(t *testing.T) {
 	challenge := &carrier.Challenge{Nonce: bytes.Repeat([]byte{7}, nonceSize), Entry: "a"}
 	manyAccounts := append([]byte{0x81, 0xa8}, append([]byte("accounts"), 0xdd, 0, 1, 0, 0)...)
 	scenarios := []struct {
 		testName string
 		sent     []byte
-		// timeout is the handshake's; an hour where the bytes themselves must end the connection.
+		// timeout is the handshake's; an hour where the sent bytes alone must end the connection.
 		timeout time.Duration
 	}{
-		{"nothing, for longer than a handshake may take", nil, 100 * time.Millisecond},
-		{"half a frame", encode(t, challenge)[:10], 100 * time.Millisecond},
+		{"nothing until the handshake timeout", nil, 100 * time.Millisecond},
+		{"partial frame", encode(t, challenge)[:10], 100 * time.Millisecond},
 		{"garbage", bytes.Repeat([]byte("GET / HTTP/1.1\r\n"), 100), time.Hour},
-		{"oversize length", binary.BigEndian.AppendUint32(nil, handshakeLimit+1), time.Hour},
+		{"oversize length", binary.BigEndian.AppendUint32(nil, maxHandshakeFrame+1), time.Hour},
 		{"largest length", binary.BigEndian.AppendUint32(nil, 1<<32-1), time.Hour},
 		{"empty frame", make([]byte, lengthSize), time.Hour},
 		{"unknown kind", appendFrame(nil, 200, nil, nil), time.Hour},
@@ -68,8 +68,8 @@
 	}
 }
 
-// An entry of another system, with another key, is configured with this one's address by mistake.
-func TestEntriesWithDifferentKeysDoNotTalk(t *testing.T) {
+// An entry of another system, with another key, is configured with this entry's address by mistake.
+func TestEntriesWithDifferentKeysDoNotConnect(t *testing.T) {
 	here, there := metrics.NewRegistry(), metrics.NewRegistry()
 	_, address, in := startMessenger(t, Config{Name: "b", Registry: here})
 	other, _, _ := startMessenger(t, Config{Name: "a", Registry: there, Key: bytes.Repeat([]byte{1}, 32)})
@@ -80,9 +80,9 @@
 	require.Empty(t, in)
 }
 
-// The operators change the key and restart the entries one after another. At each step two entries that are one step
-// apart must hear each other, or the system would fall into two.
-func TestKeyIsChangedWithoutACut(t *testing.T) {
+// The operators change the key in a rolling restart. At each step, two entries that are one step apart must exchange
+// messages, or the system would be partitioned.
+func TestKeyRotation(t *testing.T) {
 	before, after := bytes.Repeat([]byte{1}, 32), bytes.Repeat([]byte{2}, 32)
 	steps := []Config{
 		{Key: before},
@@ -102,8 +102,8 @@
 	}
 }
 
-// A stranger has an entry dial it, and sends the entry's own challenge and proof back (reflection). The proof is
-// right for a dialer, but the entry wants a listener's.
+// An attacker has an entry dial it, and sends the entry's own challenge and proof back (reflection). The proof is
+// valid for a dialer, but the entry expects a listener's.
 func TestReflectedProofIsRefused(t *testing.T) {
 	near, far := net.Pipe()
 	defer func() { _ = near.Close() }()
@@ -119,7 +119,7 @@
 	close(buffered.writes)
 }
 
-// bufferedConn lets writes return at once, as a socket's do.
+// bufferedConn buffers writes so that they return at once, like a socket's.
 type bufferedConn struct {
 	net.Conn
 	writes chan []byte
@@ -136,25 +136,25 @@
 	}
 }
 
-// Strangers hold hundreds of connections open and send nothing. The oldest of them give way, so an honest peer,
-// whose handshake takes milliseconds, gets in, and the number that is held stays bounded.
-func TestIdleStrangersDoNotKeepPeersOut(t *testing.T) {
-	const places = 8
+// Unauthenticated clients hold hundreds of connections open and send nothing. The oldest must be closed, so that an
+// honest peer, whose handshake takes milliseconds, can connect and the number of open connections stays bounded.
+func TestIdleClientsDoNotKeepPeersOut(t *testing.T) {
+	const maxPending = 8
 	registry := metrics.NewRegistry()
-	m, address, in := startMessenger(t, Config{Name: "b", Registry: registry, MaxPending: places, HandshakeTimeout: time.Hour})
+	m, address, in := startMessenger(t, Config{Name: "b", Registry: registry, MaxPending: maxPending, HandshakeTimeout: time.Hour})
 	for range 200 {
 		conn, err := net.Dial("tcp", address)
 		require.NoError(t, err)
 		defer func() { _ = conn.Close() }()
 	}
-	require.Eventually(t, func() bool { return count(registry, "connectionsEvicted") == 200-places }, 20*time.Second, time.Millisecond)
+	require.Eventually(t, func() bool { return count(registry, "connectionsEvicted") == 200-maxPending }, 20*time.Second, time.Millisecond)
 	a, _, _ := startMessenger(t, Config{Name: "a"})
 	a.Send(address, &carrier.OutcomeCall{CallID: 1})
 	require.Equal(t, "a", receive(t, in).from)
-	require.Eventually(t, func() bool { return m.open() <= places+1 }, 20*time.Second, time.Millisecond)
+	require.Eventually(t, func() bool { return m.openConns() <= maxPending+1 }, 20*time.Second, time.Millisecond)
 }
 
-func (m *Messenger) open() int {
+func (m *Messenger) openConns() int {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return len(m.conns)
--- a/messenger/listener.go
+++ b/messenger/listener.go
@@ -10,13 +10,14 @@
 )
 
 const (
-	// acceptPause is the wait after an accept that failed, as when the process is out of file descriptors.
+	// acceptPause is the wait after a failed accept, for example when the process is out of file descriptors.
 	acceptPause = 50 * time.Millisecond
-	// refusalQuiet is how long no peer was refused before the next refusal is logged again.
-	refusalQuiet = time.Minute
+	// refusalLogInterval is the time without refusals after which the next refusal is logged.
+	refusalLogInterval = time.Minute
 )
 
-// Serve accepts peers until the context ends or the messenger is closed.
+// Serve accepts peers until ctx is done or the messenger is closed, and then returns nil. It returns a KeyError if a
+// shared key is too short.
 func (m *Messenger) Serve(ctx context.Context) error {
 	if err := m.cfg.checkKeys(); err != nil {
 		return err
@@ -29,7 +30,7 @@
 			return nil
 		}
 		if err != nil {
-			m.counts.acceptFailures.Inc(1)
+			m.counters.acceptFailures.Inc(1)
 			if !sleep(m.ctx, acceptPause) {
 				return nil
 			}
@@ -39,14 +40,14 @@
 	}
 }
 
-// admit starts the handshake of an accepted connection. Connections that only wait would use up the places of
-// honest peers, who take milliseconds: when the places are full, the one that has waited longest is closed.
+// admit starts the handshake of an accepted connection. Idle connections must not keep out honest peers, whose handshake
+// takes milliseconds: if there are too many unauthenticated connections, the oldest is closed.
 func (m *Messenger) admit(conn net.Conn) {
 	if !m.track(conn) {
 		return
 	}
 	if oldest := m.pending.add(conn); oldest != nil {
-		m.counts.evicted.Inc(1)
+		m.counters.evicted.Inc(1)
 		m.untrack(oldest)
 	}
 	m.spawn(func() {
@@ -57,48 +58,49 @@
 
 // receive reads one peer's frames until the connection ends.
 func (m *Messenger) receive(conn net.Conn) {
-	name, opener, err := m.prove(conn, (*handshake).accept)
+	name, opener, err := m.authenticate(conn, (*handshake).accept)
 	m.pending.remove(conn)
 	if err != nil {
 		m.refuse(conn, err)
 		return
 	}
-	if !m.enter(name, conn) {
+	if !m.register(name, conn) {
 		m.refuse(conn, &HandshakeError{Reason: "too many peers"})
 		return
 	}
-	defer m.leave(name, conn)
-	r := &timedReader{conn: conn, timeout: m.cfg.IdleTimeout, count: m.counts.bytesReceived}
+	defer m.unregister(name, conn)
+	r := &timedReader{conn: conn, timeout: m.cfg.IdleTimeout, count: m.counters.bytesReceived}
 	frames := &frameReader{r: r, limit: m.cfg.MaxFrame, opener: opener}
 	for {
 		msg, err := frames.next()
 		if err != nil {
-			m.countEnd(err)
+			m.countBadFrame(err)
 			return
 		}
-		m.counts.received.Inc(1)
+		m.counters.received.Inc(1)
 		m.cfg.Handler(name, msg)
 	}
 }
 
-// refuse counts a peer that was turned away, and logs it if none was for a while.
+// refuse counts a refused peer, and logs it if none was refused for refusalLogInterval.
 func (m *Messenger) refuse(conn net.Conn, err error) {
-	m.counts.refused.Inc(1)
+	m.counters.refused.Inc(1)
 	now := time.Now()
 	m.mu.Lock()
-	quiet := now.Sub(m.refusedAt) > refusalQuiet
+	shouldLog := now.Sub(m.refusedAt) > refusalLogInterval
 	m.refusedAt = now
 	m.mu.Unlock()
-	if quiet {
-		m.cfg.Log.Warn("peers are refused", zap.Stringer("address", conn.RemoteAddr()), zap.Error(err))
+	if shouldLog {
+		m.cfg.Log.Warn("refused peer connection", zap.Stringer("address", conn.RemoteAddr()), zap.Error(err))
 	}
 }
 
-func (m *Messenger) countEnd(err error) {
+// countBadFrame counts err if it was caused by an invalid frame.
+func (m *Messenger) countBadFrame(err error) {
 	var size *FrameSizeError
 	var tag *TagError
 	var body *DecodeError
 	if errors.As(err, &size) || errors.As(err, &tag) || errors.As(err, &body) {
-		m.counts.badFrames.Inc(1)
+		m.counters.badFrames.Inc(1)
 	}
 }
--- a/messenger/messenger.go
+++ b/messenger/messenger.go
@@ -1,8 +1,8 @@
 // Package messenger carries messages between entries over TCP.
 //
-// Each direction between two entries has its own connection, opened by the sender. Both ends prove that they
-// know the system's shared key before anything else is read, and each frame after that has a tag.
-// docs/dev/PEERS.md tells why.
+// Each direction between two entries has its own connection, opened by the sender. Both ends prove that they know the
+// system's shared key before anything else is read, and each later frame carries an authentication tag.
+// docs/dev/PEERS.md explains the design.
 package messenger
 
 import (
@@ -15,17 +15,17 @@
 	"geraniumline/carrier"
 )
 
-// flushPoll is how often Flush looks whether all queues are empty.
+// flushPoll is the interval at which Flush checks whether all queues are empty.
 const flushPoll = 5 * time.Millisecond
 
-// Messenger sends messages to peers and receives theirs.
+// Messenger sends messages to peers and receives messages from them.
 type Messenger struct {
-	cfg     Config
-	counts  counts
-	ctx     context.Context
-	cancel  context.CancelFunc
-	group   sync.WaitGroup
-	pending *pending
+	cfg      Config
+	counters counters
+	ctx      context.Context
+	cancel   context.CancelFunc
+	group    sync.WaitGroup
+	pending  *pendingConns
 
 	mu        sync.Mutex
 	closed    bool
@@ -35,23 +35,23 @@
 	refusedAt time.Time
 }
 
-// New makes a Messenger. It can send at once; Serve accepts peers.
+// New returns a Messenger that can send at once. Call Serve to accept peers.
 func New(cfg Config) *Messenger {
 	cfg = cfg.withDefaults()
 	ctx, cancel := context.WithCancel(context.Background())
 	return &Messenger{
-		cfg:     cfg,
-		counts:  newCounts(cfg.Registry),
-		ctx:     ctx,
-		cancel:  cancel,
-		pending: &pending{limit: cfg.MaxPending},
-		senders: make(map[string]*sender),
-		conns:   make(map[net.Conn]struct{}),
-		inbound: make(map[string]net.Conn),
+		cfg:      cfg,
+		counters: newCounters(cfg.Registry),
+		ctx:      ctx,
+		cancel:   cancel,
+		pending:  &pendingConns{limit: cfg.MaxPending},
+		senders:  make(map[string]*sender),
+		conns:    make(map[net.Conn]struct{}),
+		inbound:  make(map[string]net.Conn),
 	}
 }
 
-// Send gives a message to the peer's queue and never waits. What finds no room is dropped and counted.
+// Send queues a message for the peer and never blocks. Messages that don't fit in are dropped and counted.
 // The message must not be changed afterwards.
 func (m *Messenger) Send(peerAddress string, msg carrier.Message) {
 	if hb, ok := msg.(*carrier.Heartbeat); ok {
@@ -60,14 +60,14 @@
 	}
 	body, err := msg.MarshalMsg(nil)
 	if err != nil || kindSize+len(body)+tagSize > m.cfg.MaxFrame {
-		m.counts.dropped.Inc(1)
+		m.counters.dropped.Inc(1)
 		return
 	}
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	s := m.sender(peerAddress)
 	if s == nil || !s.queue.put(item{kind: msg.Kind(), body: body}) {
-		m.counts.dropped.Inc(1)
+		m.counters.dropped.Inc(1)
 	}
 }
 
@@ -76,15 +76,16 @@
 	defer m.mu.Unlock()
 	s := m.sender(peerAddress)
 	if s == nil {
-		m.counts.dropped.Inc(1)
+		m.counters.dropped.Inc(1)
 		return
 	}
 	if s.queue.putHeartbeat(hb) {
-		m.counts.replaced.Inc(1)
+		m.counters.replaced.Inc(1)
 	}
 }
 
-// sender gives the address's sender, started if needed; nil if there may not be one. The caller holds mu.
+// sender returns the address's sender and starts it if needed. It returns nil if the messenger is closed, has MaxPeers
+// senders, or has a key that is too short. The caller holds mu.
 func (m *Messenger) sender(address string) *sender {
 	if s, ok := m.senders[address]; ok {
 		return s
@@ -98,7 +99,7 @@
 	return s
 }
 
-// retire forgets an idle sender. It tells false if a message came meanwhile.
+// retire removes an idle sender. It returns false if a message was queued in the meantime.
 func (m *Messenger) retire(s *sender) bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -109,7 +110,7 @@
 	return true
 }
 
-// Flush waits until all queues are empty or the context ends.
+// Flush waits until all queues are empty. It returns ctx.Err() if ctx is done before that.
 func (m *Messenger) Flush(ctx context.Context) error {
 	for !m.idle() {
 		if !sleep(ctx, flushPoll) {
@@ -130,7 +131,7 @@
 	return true
 }
 
-// Close ends all connections and waits for their goroutines. Call Flush first to have queued messages sent.
+// Close closes the listener and all connections and waits for their goroutines. Call Flush first to send queued messages.
 func (m *Messenger) Close() error {
 	m.cancel()
 	err := m.cfg.Listen.Close()
@@ -147,7 +148,7 @@
 	return err
 }
 
-// spawn runs f in a goroutine that Close waits for; not after Close, which has ended f's connection.
+// spawn runs f in a goroutine that Close waits for. After Close it does nothing, since f's connection is closed.
 func (m *Messenger) spawn(f func()) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -156,7 +157,7 @@
 	}
 }
 
-// track notes a connection that Close has to end. It closes the connection and tells false after Close.
+// track registers a connection for Close to close. After Close it closes the connection and returns false.
 func (m *Messenger) track(conn net.Conn) bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -175,13 +176,13 @@
 	delete(m.conns, conn)
 }
 
-// prove runs one side of the handshake within its time limit.
-func (m *Messenger) prove(conn net.Conn, side func(*handshake) (string, *sealer, error)) (string, *sealer, error) {
+// authenticate runs one side of the handshake within HandshakeTimeout.
+func (m *Messenger) authenticate(conn net.Conn, side func(*handshake) (string, *sealer, error)) (string, *sealer, error) {
 	if err := conn.SetDeadline(time.Now().Add(m.cfg.HandshakeTimeout)); err != nil {
 		return "", nil, err
 	}
 	h := newHandshake(conn, m.cfg.Key, m.cfg.Name)
-	h.others = m.cfg.OtherKeys
+	h.otherKeys = m.cfg.OtherKeys
 	name, s, err := side(h)
 	if err != nil {
 		return "", nil, err
@@ -189,8 +190,9 @@
 	return name, s, conn.SetDeadline(time.Time{})
 }
 
-// enter makes conn the one connection of the peer; an older one of the same name is closed.
-func (m *Messenger) enter(name string, conn net.Conn) bool {
+// register makes conn the peer's only inbound connection and closes an older one of the same name. It returns false if
+// there are MaxConnections peers already.
+func (m *Messenger) register(name string, conn net.Conn) bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	old, ok := m.inbound[name]
@@ -204,7 +206,7 @@
 	return true
 }
 
-func (m *Messenger) leave(name string, conn net.Conn) {
+func (m *Messenger) unregister(name string, conn net.Conn) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if m.inbound[name] == conn {
--- a/messenger/messenger_test.go
+++ b/messenger/messenger_test.go
@@ -12,13 +12,14 @@
 
 const testKey = "0123456789abcdef0123456789abcdef"
 
-// received is a message with the name that its sender proved.
+// received is a message with its sender's authenticated name.
 type received struct {
 	from string
 	m    carrier.Message
 }
 
-// startMessenger serves on loopback until the test ends.
+// startMessenger starts a messenger that serves on loopback until the test ends. It returns the messenger, its address
+// and the messages that it receives.
 func startMessenger(t *testing.T, cfg Config) (*Messenger, string, <-chan received) {
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
@@ -47,12 +48,12 @@
 	case r := <-in:
 		return r
 	case <-time.After(20 * time.Second):
-		require.FailNow(t, "no message arrived")
+		require.FailNow(t, "timed out waiting for a message")
 		return received{}
 	}
 }
 
-func TestMessagesArriveInOrderWithTheProvedName(t *testing.T) {
+func TestMessagesArriveInOrderWithSenderName(t *testing.T) {
 	_, address, in := startMessenger(t, Config{Name: "b"})
 	a, _, _ := startMessenger(t, Config{Name: "a"})
 	for i := range 100 {
@@ -66,9 +67,9 @@
 	require.NoError(t, a.Flush(t.Context()))
 }
 
-// A peer's process has ended. The sender's next try to connect is refused, and whoever judges the peers must be told:
-// silence alone would take seconds to show it.
-func TestARefusedConnectionIsTold(t *testing.T) {
+// A peer's process has ended and the next connection attempt is refused. OnRefused must be called: detection by silence
+// alone would take seconds.
+func TestOnRefusedIsCalled(t *testing.T) {
 	closed, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
 	address := closed.Addr().String()
--- a/messenger/queue.go
+++ b/messenger/queue.go
@@ -12,15 +12,15 @@
 	body []byte
 }
 
-// queue holds what waits for one peer, bounded in bytes. It has one place for a heartbeat: a newer one
-// replaces it, so a slow peer is never sent old news.
+// queue holds the messages to send to one peer, bounded in bytes. It holds at most one heartbeat, which a newer one
+// replaces, so a slow peer never receives outdated ones.
 type queue struct {
 	mu        sync.Mutex
 	limit     int
 	items     []item
 	bytes     int
 	heartbeat *carrier.Heartbeat
-	// busy is set while taken items are being written.
+	// busy is set while taken messages are being written.
 	busy bool
 	wake chan struct{}
 }
@@ -29,7 +29,7 @@
 	return &queue{limit: limit, wake: make(chan struct{}, 1)}
 }
 
-// putHeartbeat keeps the heartbeat for the next write. It tells whether an older one was replaced.
+// putHeartbeat queues the heartbeat for the next write and reports whether it replaced an older one.
 func (q *queue) putHeartbeat(hb *carrier.Heartbeat) bool {
 	q.mu.Lock()
 	defer q.mu.Unlock()
@@ -39,7 +39,7 @@
 	return replaced
 }
 
-// put adds an item. It tells whether there was room.
+// put appends an item. It returns false if the queue is full.
 func (q *queue) put(it item) bool {
 	q.mu.Lock()
 	defer q.mu.Unlock()
@@ -52,7 +52,7 @@
 	return true
 }
 
-// take gives all that waits, and marks the queue as busy if there is anything.
+// take removes and returns all queued messages, and marks the queue busy if there are any.
 func (q *queue) take() (*carrier.Heartbeat, []item) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
@@ -62,14 +62,14 @@
 	return hb, items
 }
 
-// done marks that what was taken is written or lost.
+// done marks the taken messages as written or lost.
 func (q *queue) done() {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	q.busy = false
 }
 
-// empty tells that nothing waits and nothing is being written.
+// empty reports whether no message is queued or being written.
 func (q *queue) empty() bool {
 	q.mu.Lock()
 	defer q.mu.Unlock()
--- a/messenger/relay_test.go
+++ b/messenger/relay_test.go
@@ -15,13 +15,13 @@
 	"geraniumline/carrier"
 )
 
-// relay stands between a dialer and a listener and may change the dialer's frames.
+// relay forwards connections from a dialer to a listener and can change the dialer's frames.
 type relay struct {
 	ln     net.Listener
 	target string
-	// change gives what to send in place of the dialer's frame of the number.
+	// change returns the bytes to send instead of the dialer's frame with the given number, counted from 1.
 	change func(number int, frame []byte) []byte
-	// once lets only the first connection be changed.
+	// used is set by the first connection; later ones are not changed.
 	used atomic.Bool
 }
 
@@ -46,16 +46,16 @@
 			_ = in.Close()
 			continue
 		}
-		go pass(in, out, func(w io.Writer, rd io.Reader) { _, _ = io.Copy(w, rd) })
+		go forward(in, out, func(w io.Writer, rd io.Reader) { _, _ = io.Copy(w, rd) })
 		change := r.change
 		if r.used.Swap(true) {
 			change = func(_ int, frame []byte) []byte { return frame }
 		}
-		go pass(out, in, func(w io.Writer, rd io.Reader) { copyFrames(w, rd, change) })
+		go forward(out, in, func(w io.Writer, rd io.Reader) { copyFrames(w, rd, change) })
 	}
 }
 
-func pass(to, from net.Conn, f func(io.Writer, io.Reader)) {
+func forward(to, from net.Conn, f func(io.Writer, io.Reader)) {
 	f(to, from)
 	_ = to.Close()
 	_ = from.Close()
@@ -78,10 +78,10 @@
 	}
 }
 
-// Somebody on the path holds a proved connection and changes what passes. The frames before the change arrive; at
-// the change the connection ends, and what the sender sends later arrives over a new one.
-func TestChangedConnectionsEnd(t *testing.T) {
-	const target = 5 // Frames 1 and 2 are the handshake's; frame 5 is the third message.
+// An attacker on the path changes the frames of an authenticated connection. The frames before the change must arrive,
+// the change must end the connection, and later messages must arrive over a new one.
+func TestTamperedConnectionsAreClosed(t *testing.T) {
+	const target = 5 // Frames 1 and 2 are the handshake's, so frame 5 is the third message.
 	var kept []byte
 	scenarios := []struct {
 		testName string
@@ -120,8 +120,8 @@
 			if number != target {
 				return frame
 			}
-			own := appendFrame(nil, carrier.KindOutcomeCall, frame[lengthSize+kindSize:len(frame)-tagSize], newSealer([]byte("guess")))
-			return append(own, frame...)
+			forged := appendFrame(nil, carrier.KindOutcomeCall, frame[lengthSize+kindSize:len(frame)-tagSize], newSealer([]byte("guess")))
+			return append(forged, frame...)
 		}},
 	}
 	for _, s := range scenarios {
@@ -129,11 +129,11 @@
 			registry := metrics.NewRegistry()
 			_, address, in := startMessenger(t, Config{Name: "b", Registry: registry})
 			a, _, _ := startMessenger(t, Config{Name: "a"})
-			through := startRelay(t, address, s.change)
+			relayed := startRelay(t, address, s.change)
 			next, newest := uint64(0), uint64(0)
 			send := func() {
 				next++
-				a.Send(through, &carrier.OutcomeCall{CallID: next})
+				a.Send(relayed, &carrier.OutcomeCall{CallID: next})
 			}
 			for range 6 {
 				send()
@@ -145,7 +145,7 @@
 				select {
 				case r := <-in:
 					got := r.m.(*carrier.OutcomeCall).CallID
-					require.Greater(t, got, newest, "no message comes twice or out of order")
+					require.Greater(t, got, newest, "no message arrives twice or out of order")
 					newest = got
 				case <-time.After(10 * time.Millisecond):
 				}
--- a/messenger/sealer.go
+++ b/messenger/sealer.go
@@ -7,13 +7,13 @@
 	"hash"
 )
 
-// tagSize is the length of a frame's tag: HMAC-SHA256 cut to 128 bits.
+// tagSize is the length of a frame's tag in bytes: HMAC-SHA256 truncated to 128 bits.
 const tagSize = 16
 
-// sealer makes and checks the tags of one connection's frames, in their order.
-// Without tags, whoever can write into a proved connection could send frames in the peer's name, or repeat or
-// drop some. The key is of this connection alone and the tag covers the frame's place in it, so such a frame
-// ends the connection.
+// sealer computes and verifies the tags of one connection's frames, in order.
+// Without tags, anyone who can write into an authenticated connection could send frames in the peer's name, or repeat or
+// drop some. The key is unique to the connection and the tag covers the frame's sequence number, so such a frame fails
+// verification and ends the connection.
 type sealer struct {
 	mac      hash.Hash
 	sequence uint64
@@ -24,18 +24,18 @@
 	return &sealer{mac: hmac.New(sha256.New, key)}
 }
 
-// seal gives the next frame's tag. It is valid until the next call.
-func (s *sealer) seal(content []byte) []byte {
+// seal returns the next frame's tag. The slice is valid until the next call.
+func (s *sealer) seal(payload []byte) []byte {
 	s.sequence++
-	var place [8]byte
-	binary.BigEndian.PutUint64(place[:], s.sequence)
+	var sequence [8]byte
+	binary.BigEndian.PutUint64(sequence[:], s.sequence)
 	s.mac.Reset()
-	s.mac.Write(place[:])
-	s.mac.Write(content)
+	s.mac.Write(sequence[:])
+	s.mac.Write(payload)
 	return s.mac.Sum(s.sum[:0])[:tagSize]
 }
 
-// open checks the tag at the end of the next frame and cuts it off.
+// open verifies the tag at the end of the next frame and returns the frame without it.
 func (s *sealer) open(sealed []byte) ([]byte, error) {
 	at := len(sealed) - tagSize
 	if !hmac.Equal(s.seal(sealed[:at]), sealed[at:]) {
--- a/messenger/sender.go
+++ b/messenger/sender.go
@@ -13,29 +13,29 @@
 	"geraniumline/dialer"
 )
 
-// socketBuffer bounds what the kernel holds for a peer that doesn't read, so that a peer which was frozen
-// finds little old news when it wakes.
+// socketBuffer is the size of the kernel's send buffer, in bytes. It is small so that a peer that was frozen receives
+// few outdated messages when it resumes.
 const socketBuffer = 64 << 10
 
-// sender writes to one peer address over a connection that it opens when there is something to send.
+// sender sends messages to one peer address over a connection that it opens on demand.
 type sender struct {
 	m       *Messenger
 	address string
 	queue   *queue
 	conn    net.Conn
 	sealer  *sealer
-	// lost is closed when the peer ends conn; nil while there is none.
+	// lost is closed when the peer closes conn; it is nil without a connection.
 	lost chan struct{}
-	// reached tells whether the last try to connect succeeded, so that only changes are logged.
+	// reached is the result of the last connection attempt, so that only changes are logged. It is valid if tried is set.
 	reached bool
 	tried   bool
 	backoff time.Duration
-	// notBefore is the earliest time of the next try to connect.
+	// notBefore is the earliest time of the next connection attempt.
 	notBefore time.Time
 	buf       []byte
 }
 
-// run sends until the context ends or nothing was given to the sender for the idle time.
+// run sends queued messages until ctx is done or no message was queued for IdleTimeout.
 func (s *sender) run(ctx context.Context) {
 	defer s.disconnect()
 	for {
@@ -47,7 +47,7 @@
 		case <-s.lost:
 			s.disconnect()
 		case <-s.queue.wake:
-			s.work(ctx)
+			s.sendQueued(ctx)
 		case <-idle.C:
 			if s.m.retire(s) {
 				return
@@ -57,8 +57,8 @@
 	}
 }
 
-// work sends what waits.
-func (s *sender) work(ctx context.Context) {
+// sendQueued connects if needed and sends all queued messages.
+func (s *sender) sendQueued(ctx context.Context) {
 	if s.queue.empty() {
 		return
 	}
@@ -73,18 +73,18 @@
 		}
 	}
 	if err := s.write(items); err != nil {
-		s.m.counts.lost.Inc(int64(len(items)))
+		s.m.counters.lost.Inc(int64(len(items)))
 		s.disconnect()
 	}
 }
 
-// write sends all items in one write: on small VMs the system call costs more than the frame.
+// write sends all items in a single write: on small VMs a system call costs more than a frame.
 func (s *sender) write(items []item) error {
 	s.buf = s.buf[:0]
 	sent := 0
 	for _, it := range items {
 		if kindSize+len(it.body)+tagSize > s.m.cfg.MaxFrame {
-			s.m.counts.dropped.Inc(1)
+			s.m.counters.dropped.Inc(1)
 			continue
 		}
 		s.buf = appendFrame(s.buf, it.kind, it.body, s.sealer)
@@ -94,28 +94,28 @@
 		return err
 	}
 	n, err := s.conn.Write(s.buf)
-	s.m.counts.bytesSent.Inc(int64(n))
+	s.m.counters.bytesSent.Inc(int64(n))
 	if err != nil {
 		return err
 	}
-	s.m.counts.sent.Inc(int64(sent))
-	if cap(s.buf) > keptBuffer {
+	s.m.counters.sent.Inc(int64(sent))
+	if cap(s.buf) > maxReusedBuffer {
 		s.buf = nil
 	}
 	return nil
 }
 
-// connect waits for the backoff and tries once. If it fails, what waits is dropped: the callers of a peer that
-// can't be reached have their own timeouts, and a late call is of no use to them.
+// connect waits for the backoff and attempts one connection. If it fails, the queued messages are dropped: callers of an
+// unreachable peer have their own timeouts, and a late message is of no use to them.
 func (s *sender) connect(ctx context.Context) bool {
 	if !sleep(ctx, time.Until(s.notBefore)) {
 		return false
 	}
 	peer, err := s.tryConnect(ctx)
-	s.report(peer, err)
+	s.logReachability(peer, err)
 	if err != nil {
-		s.delay()
-		s.drop()
+		s.delayReconnect()
+		s.dropQueued()
 		return false
 	}
 	s.backoff = 0
@@ -134,7 +134,7 @@
 	if !s.m.track(conn) {
 		return "", net.ErrClosed
 	}
-	peer, seal, err := s.m.prove(conn, (*handshake).dial)
+	peer, seal, err := s.m.authenticate(conn, (*handshake).dial)
 	if err != nil {
 		s.m.untrack(conn)
 		return "", err
@@ -149,7 +149,8 @@
 	return peer, nil
 }
 
-// watch ends when the peer ends the connection. The listener never sends after the handshake, so any read ends it.
+// watch closes lost when the peer closes the connection. The listener sends nothing after the handshake, so
+// any read that returns means the end.
 func watch(conn net.Conn, lost chan<- struct{}) {
 	defer close(lost)
 	var b [1]byte
@@ -162,41 +163,43 @@
 	}
 	s.m.untrack(s.conn)
 	s.conn, s.sealer, s.lost = nil, nil, nil
-	s.delay()
+	s.delayReconnect()
 }
 
-// delay sets when the next try may start: doubling, with a random part so that peers don't come back together.
-func (s *sender) delay() {
+// delayReconnect doubles the backoff and sets the time of the next attempt, with jitter so that peers don't reconnect
+// at the same time.
+func (s *sender) delayReconnect() {
 	s.backoff = min(max(s.backoff*2, s.m.cfg.BackoffMin), s.m.cfg.BackoffMax)
 	jitter := rand.N(s.backoff/2 + 1)
 	s.notBefore = time.Now().Add(s.backoff - jitter)
 }
 
-func (s *sender) drop() {
+// dropQueued drops all queued messages and counts them as lost.
+func (s *sender) dropQueued() {
 	hb, items := s.queue.take()
 	n := int64(len(items))
 	if hb != nil {
 		n++
 	}
-	s.m.counts.lost.Inc(n)
+	s.m.counters.lost.Inc(n)
 	s.queue.done()
 }
 
-// report logs a change between a peer that can be reached and one that can't.
-func (s *sender) report(peer string, err error) {
+// logReachability logs when the peer becomes reachable or unreachable.
+func (s *sender) logReachability(peer string, err error) {
 	reached := err == nil
 	if s.tried && s.reached == reached {
 		return
 	}
 	s.tried, s.reached = true, reached
 	if reached {
-		s.m.cfg.Log.Info("peer reached", zap.String("peer", peer), zap.String("address", s.address))
+		s.m.cfg.Log.Info("connected to peer", zap.String("peer", peer), zap.String("address", s.address))
 		return
 	}
-	s.m.cfg.Log.Warn("peer can't be reached", zap.String("address", s.address), zap.Error(err))
+	s.m.cfg.Log.Warn("cannot connect to peer", zap.String("address", s.address), zap.Error(err))
 }
 
-// sleep waits, and tells whether the context still runs.
+// sleep waits for d. It returns false if ctx is done before that.
 func sleep(ctx context.Context, d time.Duration) bool {
 	if d <= 0 {
 		return ctx.Err() == nil
