--- a/leaser/learn.go
+++ b/leaser/learn.go
@@ -5,8 +5,8 @@
 // maxCandidates bounds the records kept for a pool whose holder is unknown.
 const maxCandidates = 256
 
-// inferHolder determines the holder from records whose predecessors were lost, and reports whether l is valid. The first
-// record read can't be assumed valid: late bids of entries that had lost could keep the wrong lease alive in this
+// inferHolder determines the holder from records whose predecessors were lost, and reports whether l is valid. The
+// first record read can't be assumed valid: late bids of entries that had lost could keep the wrong lease alive in this
 // reader's view alone, and it could finally hold a lease beside the true holder. A record is certainly valid if
 //   - a later record names it as its base, since only entries that know the holder name one;
 //   - it was appended at least MaxDuration after the pool's previous record, when any other lease had expired;
--- a/leaser/leaser.go
+++ b/leaser/leaser.go
@@ -72,8 +72,8 @@
 	}
 }
 
-// ResetOnGap reports whether records before first, the oldest offset that the log retains, were dropped before they were
-// read. If so, all leases become unknown, including this entry's own.
+// ResetOnGap reports whether records before first, the oldest offset that the log retains, were dropped before they
+// were read. If so, all leases become unknown, including this entry's own.
 func (l *Leaser) ResetOnGap(first int64, now time.Time) bool {
 	return l.state.resetOnGap(first, now)
 }
--- a/messenger/handshake.go
+++ b/messenger/handshake.go
@@ -42,8 +42,8 @@
 	return "handshake: " + e.Reason
 }
 
-// handshake authenticates both sides by the shared key. Both send a challenge. The dialer sends its proof first, so that
-// an unauthenticated dialer obtains no proof to test keys against.
+// handshake authenticates both sides by the shared key. Both send a challenge. The dialer sends its proof first, so
+// that an unauthenticated dialer obtains no proof to test keys against.
 type handshake struct {
 	conn   io.ReadWriter
 	frames *frameReader
--- a/messenger/listener.go
+++ b/messenger/listener.go
@@ -40,8 +40,8 @@
 	}
 }
 
-// admit starts the handshake of an accepted connection. Idle connections must not keep out honest peers, whose handshake
-// takes milliseconds: if there are too many unauthenticated connections, the oldest is closed.
+// admit starts the handshake of an accepted connection. Idle connections must not keep out honest peers, whose
+// handshake takes milliseconds: if there are too many unauthenticated connections, the oldest is closed.
 func (m *Messenger) admit(conn net.Conn) {
 	if !m.track(conn) {
 		return
--- a/messenger/messenger.go
+++ b/messenger/messenger.go
@@ -131,7 +131,8 @@
 	return true
 }
 
-// Close closes the listener and all connections and waits for their goroutines. Call Flush first to send queued messages.
+// Close closes the listener and all connections and waits for their goroutines. Call Flush first to send queued
+// messages.
 func (m *Messenger) Close() error {
 	m.cancel()
 	err := m.cfg.Listen.Close()
--- a/messenger/sealer.go
+++ b/messenger/sealer.go
@@ -11,8 +11,8 @@
 const tagSize = 16
 
 // sealer computes and verifies the tags of one connection's frames, in order.
-// Without tags, anyone who can write into an authenticated connection could send frames in the peer's name, or repeat or
-// drop some. The key is unique to the connection and the tag covers the frame's sequence number, so such a frame fails
+// Without tags, anyone who can write into an authenticated connection could send frames in the peer's name, or repeat
+// or drop some. The key is unique to the connection and the tag covers the frame's sequence number, so such a frame fails
 // verification and ends the connection.
 type sealer struct {
 	mac      hash.Hash
--- a/messenger/sender.go
+++ b/messenger/sender.go
@@ -105,8 +105,8 @@
 	return nil
 }
 
-// connect waits for the backoff and attempts one connection. If it fails, the queued messages are dropped: callers of an
-// unreachable peer have their own timeouts, and a late message is of no use to them.
+// connect waits for the backoff and attempts one connection. If it fails, the queued messages are dropped: callers of
+// an unreachable peer have their own timeouts, and a late message is of no use to them.
 func (s *sender) connect(ctx context.Context) bool {
 	if !sleep(ctx, time.Until(s.notBefore)) {
 		return false
--- a/performer/config.go
+++ b/performer/config.go
@@ -13,37 +13,39 @@
 	"geraniumline/tracer"
 )
 
-// Sender hands messages to other entries without waiting.
+// Sender sends messages to other entries.
 type Sender interface {
+	// Send queues a message and never blocks.
 	Send(peerAddress string, message carrier.Message)
 }
 
-// Config holds a performer's collaborators.
+// Config holds a Performer's dependencies and intervals.
 type Config struct {
-	// Entry is this entry's name, Incarnation this process's number.
+	// Entry is this entry's name, and Incarnation is the number of this process.
 	Entry       string
 	Incarnation uint64
 	Appender    *appender.Appender
-	// VMs reads the platform's list of VMs.
+	// VMs is the client for the platform's list of VMs.
 	VMs       *platformserver.Client
 	Messenger Sender
-	// Endpoints is the client for calls to endpoints; its transport pools the connections.
+	// Endpoints is the HTTP client for endpoints; its transport pools connections.
 	Endpoints *http.Client
 	Meter     *meter.Meter
 	Tracer    *tracer.Tracer
 	Log       *zap.Logger
 
+	// VMListEvery and LoadReportEvery are the intervals for reading the list of VMs and the endpoints' reports.
 	VMListEvery     time.Duration
 	LoadReportEvery time.Duration
 }
 
-// EndpointTransport is a transport for many calls to few endpoints.
+// EndpointTransport returns an HTTP transport for many calls to few endpoints.
 func EndpointTransport() *http.Transport {
 	return &http.Transport{
 		MaxIdleConnsPerHost:   endpointIdleConnections,
 		IdleConnTimeout:       endpointIdleTimeout,
 		ResponseHeaderTimeout: 0,
 		DisableCompression:    true,
-		DialContext:           dialer().DialContext,
+		DialContext:           newDialer().DialContext,
 	}
 }
--- a/performer/endpoints.go
+++ b/performer/endpoints.go
@@ -17,82 +17,85 @@
 )
 
 const (
-	// reportTimeout bounds one reading of an endpoint's load or cache events.
+	// reportTimeout limits one request for an endpoint's load or cache events.
 	reportTimeout = time.Second
-	// reportReaders is how many endpoints are asked at a time.
-	reportReaders = 16
-	// maxReport bounds a report's body, in bytes.
+	// maxConcurrentReports is the maximum number of endpoints that are polled at the same time.
+	maxConcurrentReports = 16
+	// maxReport is the maximum size of a report's body, in bytes.
 	maxReport = 4 << 20
-	// cacheRetry is how long an endpoint that has no cache events is not asked for them.
+	// cacheRetry is the wait after a failed request for cache events, as from an endpoint that has none.
 	cacheRetry = time.Minute
 )
 
-// endpointReader asks endpoints for their load and their cache events.
-type endpointReader struct {
+// endpointPoller polls endpoints for their load and their cache events.
+type endpointPoller struct {
 	performer *Performer
-	busy      sync.Mutex
+	// polling is held during a round of polls.
+	polling sync.Mutex
 
 	mu        sync.Mutex
-	endpoints map[string]*readEndpoint
+	endpoints map[string]*polledEndpoint
 }
 
-// readEndpoint is how far one endpoint was read. One goroutine at a time reads it.
-type readEndpoint struct {
+// polledEndpoint is the polling state of one endpoint. Only one goroutine at a time polls it.
+type polledEndpoint struct {
 	address string
-	// heard is when the endpoint was listed or answered last.
-	heard time.Time
-	// cacheNext is the number of the next cache event, cacheFrom the time before which none is asked for.
-	cacheNext int64
-	cacheFrom time.Time
+	// lastSeen is when the endpoint was last listed or last reported its load.
+	lastSeen time.Time
+	// nextCacheEvent is the sequence number of the next cache event to read. None is requested before cacheRetryAt.
+	nextCacheEvent int64
+	cacheRetryAt   time.Time
 }
 
-func newEndpointReader(p *Performer) *endpointReader {
-	return &endpointReader{performer: p, endpoints: map[string]*readEndpoint{}}
+func newEndpointPoller(p *Performer) *endpointPoller {
+	return &endpointPoller{performer: p, endpoints: map[string]*polledEndpoint{}}
 }
 
-// listed takes the list of VMs. An endpoint that it lacks is still asked while it answers: the list
-// lags, and the endpoint's own report is better evidence.
-func (l *endpointReader) listed(vms []router.VM, now time.Time) {
-	l.mu.Lock()
-	defer l.mu.Unlock()
+// updateList updates the endpoints from the list of VMs. An endpoint that is missing from the list is polled as long as
+// it answers: the list lags, and the endpoint's own report is better evidence.
+func (p *endpointPoller) updateList(vms []router.VM, now time.Time) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
 	for _, vm := range vms {
-		e, known := l.endpoints[vm.Address]
-		if !known {
-			e = &readEndpoint{address: vm.Address}
-			l.endpoints[vm.Address] = e
+		e, ok := p.endpoints[vm.Address]
+		if !ok {
+			e = &polledEndpoint{address: vm.Address}
+			p.endpoints[vm.Address] = e
 		}
-		e.heard = now
+		e.lastSeen = now
 	}
-	for address, e := range l.endpoints {
-		if now.Sub(e.heard) > router.DefaultForgetAfter {
-			delete(l.endpoints, address)
+	for address, e := range p.endpoints {
+		if now.Sub(e.lastSeen) > router.DefaultForgetAfter {
+			delete(p.endpoints, address)
 		}
 	}
 }
 
-func (l *endpointReader) known() []*readEndpoint {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	all := make([]*readEndpoint, 0, len(l.endpoints))
-	for _, e := range l.endpoints {
+// snapshot returns all endpoints to poll.
+func (p *endpointPoller) snapshot() []*polledEndpoint {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	all := make([]*polledEndpoint, 0, len(p.endpoints))
+	for _, e := range p.endpoints {
 		all = append(all, e)
 	}
 	return all
 }
 
-// read asks all endpoints once, some at a time. A round that is still under way is not doubled.
-func (l *endpointReader) read(ctx context.Context, now time.Time) {
-	if !l.busy.TryLock() {
+// startRound polls all endpoints once in the background, at most maxConcurrentReports at a time. It does nothing while
+// a round is running.
+func (p *endpointPoller) startRound(ctx context.Context, now time.Time) {
+	if !p.polling.TryLock() {
 		return
 	}
 	go func() {
-		defer l.busy.Unlock()
+		defer p.polling.Unlock()
 		var wg sync.WaitGroup
-		slots := make(chan struct{}, reportReaders)
-		for _, e := range l.known() {
+		slots := make(chan struct{}, maxConcurrentReports)
+		for _, e := range p.snapshot() {
 			slots <- struct{}{}
 			wg.Go(func() {
-				l.ask(ctx, e, now)
+				p.poll(ctx, e, now)
 				<-slots
 			})
 		}
@@ -100,39 +103,40 @@
 	}()
 }
 
-func (l *endpointReader) ask(ctx context.Context, e *readEndpoint, now time.Time) {
-	err := l.askLoad(ctx, e.address)
+// poll reads an endpoint's load and, if it answered, its cache events.
+func (p *endpointPoller) poll(ctx context.Context, e *polledEndpoint, now time.Time) {
+	err := p.readLoad(ctx, e.address)
 	if errors.Is(err, syscall.ECONNREFUSED) {
-		l.performer.Post(reducer.EndpointRefused{Address: e.address})
+		p.performer.Post(reducer.EndpointRefused{Address: e.address})
 	}
 	if err != nil {
 		return
 	}
-	l.mu.Lock()
-	e.heard = now
-	l.mu.Unlock()
-	if now.Before(e.cacheFrom) {
+	p.mu.Lock()
+	e.lastSeen = now
+	p.mu.Unlock()
+	if now.Before(e.cacheRetryAt) {
 		return
 	}
-	if !l.askCache(ctx, e) {
-		e.cacheFrom = now.Add(cacheRetry)
+	if !p.readCacheEvents(ctx, e) {
+		e.cacheRetryAt = now.Add(cacheRetry)
 	}
 }
 
-// StatusError tells that an endpoint answered a question with another status than 200.
+// StatusError reports that an endpoint answered a poll with an HTTP status other than 200.
 type StatusError struct{ Status int }
 
-func (e *StatusError) Error() string { return "status " + strconv.Itoa(e.Status) }
+func (e *StatusError) Error() string { return "unexpected HTTP status " + strconv.Itoa(e.Status) }
 
-// get reads a JSON report.
-func (l *endpointReader) get(ctx context.Context, url string, report any) error {
+// get requests url and decodes the JSON report.
+func (p *endpointPoller) get(ctx context.Context, url string, report any) error {
 	ctx, cancel := context.WithTimeout(ctx, reportTimeout)
 	defer cancel()
 	request, err := http.NewRequestWithContext(ctx, http.MethodGet, url, nil)
 	if err != nil {
 		return err
 	}
-	response, err := l.performer.cfg.Endpoints.Do(request)
+	response, err := p.performer.cfg.Endpoints.Do(request)
 	if err != nil {
 		return err
 	}
@@ -143,12 +147,13 @@
 	return json.NewDecoder(io.LimitReader(response.Body, maxReport)).Decode(report)
 }
 
-func (l *endpointReader) askLoad(ctx context.Context, address string) error {
+// readLoad requests an endpoint's load report and posts it.
+func (p *endpointPoller) readLoad(ctx context.Context, address string) error {
 	var report endpointserver.LoadReport
-	if err := l.get(ctx, "http://"+address+"/v1/load", &report); err != nil {
+	if err := p.get(ctx, "http://"+address+"/v1/load", &report); err != nil {
 		return err
 	}
-	l.performer.Post(reducer.LoadReported{Address: address, Report: router.LoadReport{
+	p.performer.Post(reducer.LoadReported{Address: address, Report: router.LoadReport{
 		AsOf:    time.UnixMilli(report.AsOfMillis),
 		Running: report.Running,
 		Waiting: report.Waiting,
@@ -158,24 +163,25 @@
 	return nil
 }
 
-func (l *endpointReader) askCache(ctx context.Context, e *readEndpoint) bool {
+// readCacheEvents requests an endpoint's next cache events and posts them. It returns false if the request failed.
+func (p *endpointPoller) readCacheEvents(ctx context.Context, e *polledEndpoint) bool {
 	var page endpointserver.CacheEventPage
-	if l.get(ctx, "http://"+e.address+"/v1/cacheEvents?from="+strconv.FormatInt(e.cacheNext, 10), &page) != nil {
+	if p.get(ctx, "http://"+e.address+"/v1/cacheEvents?from="+strconv.FormatInt(e.nextCacheEvent, 10), &page) != nil {
 		return false
 	}
-	restarted := page.Next < e.cacheNext
-	e.cacheNext = page.Next
+	restarted := page.Next < e.nextCacheEvent
+	e.nextCacheEvent = page.Next
 	if restarted {
-		// The endpoint counts anew: what it has counted since its start is read from the beginning.
-		e.cacheNext = 0
+		// The endpoint restarted and numbers its events from the beginning, so they are read from the beginning.
+		e.nextCacheEvent = 0
 	}
 	if len(page.Events) > 0 || restarted {
-		l.performer.Post(cacheEventsOf(e.address, page))
+		p.performer.Post(newCacheEventsRead(e.address, page))
 	}
 	return true
 }
 
-func cacheEventsOf(address string, page endpointserver.CacheEventPage) reducer.CacheEventsRead {
+func newCacheEventsRead(address string, page endpointserver.CacheEventPage) reducer.CacheEventsRead {
 	read := reducer.CacheEventsRead{Address: address, Next: page.Next}
 	for _, event := range page.Events {
 		hash, err := strconv.ParseUint(event.Prefix, 16, 64)
--- a/performer/loop.go
+++ b/performer/loop.go
@@ -1,6 +1,6 @@
-// Package performer carries out the core's effects and brings it the events: one goroutine reduces,
-// others speak HTTP to callers, operators, endpoints and the platform, and TCP to peers.
-// It holds no policy.
+// Package performer executes the core's effects and posts events to it: one goroutine runs the reducer, others speak
+// HTTP to callers, operators, endpoints and the platform, and TCP to peers.
+// It makes no policy decisions.
 package performer
 
 import (
@@ -15,56 +15,56 @@
 )
 
 const (
-	// eventQueue is how many events may wait for the reducer before those who bring them wait.
-	eventQueue = 4096
-	// tickEvery is the core's resolution of time while it has requests, idleTickEvery while it has none: an idle
-	// entry's cost is mostly that of being woken.
+	// eventQueueSize is the number of events that can be queued for the reducer before Post blocks.
+	eventQueueSize = 4096
+	// tickEvery is the core's time resolution while it has requests, and idleTickEvery while it has none: the cost of
+	// an idle entry is mostly its wake-ups.
 	tickEvery     = 10 * time.Millisecond
 	idleTickEvery = 50 * time.Millisecond
 )
 
-// Performer is one entry's loop and its connections.
+// Performer runs one entry's event loop and its connections.
 type Performer struct {
 	cfg     Config
 	core    *reducer.Core
 	events  chan reducer.Event
-	replies *replies
-	stages  *stages
-	orders  *orders
+	replies *replyQueues
+	stages  *stageCaller
+	orders  *orderSender
 	log     *zap.Logger
 	exited  chan struct{}
 	ids     idSource
 
-	// published are the counts that the registry has already, publishedAt when it got them.
+	// published holds the counts that were last copied to the registry, at publishedAt.
 	published    reducer.Counters
 	publishedAt  time.Time
 	billedAt     time.Time
 	reduced      metrics.Counter
 	reduceMicros metrics.Histogram
-	// ctx ends the work that effects started.
+	// ctx bounds the work that effects start.
 	ctx context.Context
 }
 
-// New makes a performer around a core. Run starts it.
+// New returns a Performer for a core. Run starts it.
 func New(cfg Config, core *reducer.Core) *Performer {
 	p := &Performer{
 		cfg:     cfg,
 		core:    core,
-		events:  make(chan reducer.Event, eventQueue),
-		replies: newReplies(),
+		events:  make(chan reducer.Event, eventQueueSize),
+		replies: newReplyQueues(),
 		log:     cfg.Log,
 		exited:  make(chan struct{}),
 
 		reduced:      cfg.Meter.Counter(meter.EventsReduced),
 		reduceMicros: cfg.Meter.Histogram(meter.ReduceMicros),
 	}
-	p.stages = newStages(cfg, p.Post, p.replies)
-	p.orders = newOrders(cfg, p.Post)
+	p.stages = newStageCaller(cfg, p.Post, p.replies)
+	p.orders = newOrderSender(cfg, p.Post)
 	return p
 }
 
-// Post brings the core an event. It waits while too many events wait already, so that load is
-// held back at its sources.
+// Post queues an event for the core. It blocks while the queue is full, which applies backpressure to the sources of
+// the load. After Run has returned, events are dropped.
 func (p *Performer) Post(event reducer.Event) {
 	select {
 	case p.events <- event:
@@ -72,7 +72,8 @@
 	}
 }
 
-// Run reduces events until ctx ends or the core has ended its planned stop.
+// Run processes events until ctx is done, and returns ctx.Err(), or until the core has finished its planned stop, and
+// returns nil.
 func (p *Performer) Run(ctx context.Context) error {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
@@ -102,22 +103,22 @@
 			}
 			p.perform(effect)
 		}
-		if wanted := p.pace(); wanted != every {
+		if wanted := p.tickInterval(); wanted != every {
 			every = wanted
 			ticker.Reset(every)
 		}
 	}
 }
 
-// pace is how often the core wants to be told that time passes.
-func (p *Performer) pace() time.Duration {
+// tickInterval returns how often the core needs a Ticked event.
+func (p *Performer) tickInterval() time.Duration {
 	if p.core.Busy() {
 		return tickEvery
 	}
 	return idleTickEvery
 }
 
-// measure notes the time of one event's reduction, and publishes counts now and then.
+// measure counts the event. For a tick it also records the time of the reduction and publishes the counts if due.
 func (p *Performer) measure(event reducer.Event, start time.Time) {
 	p.reduced.Inc(1)
 	if _, tick := event.(reducer.Ticked); tick {
@@ -126,7 +127,7 @@
 	}
 }
 
-// perform starts one effect. It never waits.
+// perform starts one effect. It never blocks on I/O.
 func (p *Performer) perform(effect reducer.Effect) {
 	switch e := effect.(type) {
 	case *reducer.CallStage:
--- a/performer/metrics.go
+++ b/performer/metrics.go
@@ -9,11 +9,11 @@
 	"geraniumline/reducer"
 )
 
-// publishEvery is how often the core's counts are copied into the metrics registry.
+// publishEvery is the interval at which the core's counts are copied to the metrics registry.
 const publishEvery = time.Second
 
-// publish copies what has been counted since the last time. The core keeps plain numbers, since the
-// registry's are shared between goroutines and would cost it more than its own work.
+// publish adds the counts since the last call to the registry. The core keeps plain integers, because the registry's
+// counters are shared between goroutines and would cost more than the core's own work.
 func (p *Performer) publish(now time.Time) {
 	if now.Sub(p.publishedAt) < publishEvery {
 		return
@@ -32,10 +32,11 @@
 	p.cfg.Meter.Gauge(meter.PeersLive).Update(int64(gauges.PeersLive))
 }
 
-// billsEvery is how often the accounts' work is copied; a bill for each account is made for it.
+// billsEvery is the interval at which the accounts' costs are copied. It is longer than publishEvery because each copy
+// creates a bill for every account.
 const billsEvery = 10 * time.Second
 
-// publishBills copies what this entry's endpoints have worked for each account.
+// publishBills copies the cost of this entry's endpoint calls for each account to the registry.
 func (p *Performer) publishBills(now time.Time) {
 	if now.Sub(p.billedAt) < billsEvery {
 		return
@@ -47,17 +48,17 @@
 			cost += stage.Cost
 			wasted += stage.Wasted
 		}
-		raise(p.cfg.Meter.Counter(meter.CostMillis, bill.Account), int64(cost))
-		raise(p.cfg.Meter.Counter(meter.WastedMillis, bill.Account), int64(wasted))
+		raiseTo(p.cfg.Meter.Counter(meter.CostMillis, bill.Account), int64(cost))
+		raiseTo(p.cfg.Meter.Counter(meter.WastedMillis, bill.Account), int64(wasted))
 	}
 }
 
-// raise brings a counter up to a running total.
-func raise(counter metrics.Counter, total int64) {
+// raiseTo increases a counter to a running total.
+func raiseTo(counter metrics.Counter, total int64) {
 	counter.Inc(total - counter.Count())
 }
 
-// coreCounters lead each of the core's counts to its name.
+// coreCounters maps each of the core's counts to its metric.
 var coreCounters = []struct {
 	name  meter.Name
 	value func(c *reducer.Counters) uint64
--- a/performer/metrics_test.go
+++ b/performer/metrics_test.go
@@ -9,11 +9,11 @@
 	"geraniumline/reducer"
 )
 
-// A count that leads to no metric is seen by nobody.
-func TestEveryCountOfTheCoreIsPublished(t *testing.T) {
+// A count of the core without a metric would be invisible to operators.
+func TestEveryCoreCounterIsPublished(t *testing.T) {
 	elsewhere := map[string]string{
-		"RequestsAnswered": "counted by account in receiver",
-		"StageCalls":       "counted by stage in this package",
+		"RequestsAnswered": "counted per account by receiver",
+		"StageCalls":       "counted per stage by this package",
 	}
 	fields := reflect.TypeFor[reducer.Counters]()
 	for i := range fields.NumField() {
--- a/performer/orders.go
+++ b/performer/orders.go
@@ -14,24 +14,24 @@
 	"geraniumline/reducer"
 )
 
-// assignmentTimeout bounds one reading of what an engine holds.
+// assignmentTimeout limits one request for an engine's assignment.
 const assignmentTimeout = 2 * time.Second
 
-// orders gives orders to engines and reads them back.
-type orders struct {
+// orderSender sends orders to engines and reads their assignments.
+type orderSender struct {
 	client *http.Client
 	post   func(reducer.Event)
 	ctx    context.Context
 }
 
-func newOrders(cfg Config, post func(reducer.Event)) *orders {
-	return &orders{client: cfg.Endpoints, post: post}
+func newOrderSender(cfg Config, post func(reducer.Event)) *orderSender {
+	return &orderSender{client: cfg.Endpoints, post: post}
 }
 
 func assignmentURL(address string) string { return "http://" + address + "/v1/assignment" }
 
-// read asks an engine what it holds. Without an answer nothing is told: the core asks again.
-func (o *orders) read(e reducer.ReadAssignment) {
+// read requests an engine's assignment and posts it. Without a valid answer it posts nothing, and the core asks again.
+func (o *orderSender) read(e reducer.ReadAssignment) {
 	ctx, cancel := context.WithTimeout(o.ctx, assignmentTimeout)
 	defer cancel()
 	request, err := http.NewRequestWithContext(ctx, http.MethodGet, assignmentURL(e.Address), nil)
@@ -48,29 +48,31 @@
 	}
 }
 
+// readAssignment decodes an assignment. It returns false if the response isn't a valid one.
 func readAssignment(response *http.Response) (placer.Assignment, bool) {
-	var wire endpointserver.Assignment
+	var decoded endpointserver.Assignment
 	body, err := io.ReadAll(io.LimitReader(response.Body, maxRefusal))
-	if err != nil || response.StatusCode != http.StatusOK || json.Unmarshal(body, &wire) != nil {
+	if err != nil || response.StatusCode != http.StatusOK || json.Unmarshal(body, &decoded) != nil {
 		return placer.Assignment{}, false
 	}
 	return placer.Assignment{
-		Model:    wire.Model,
-		Version:  wire.Version,
-		Adapters: wire.Adapters,
-		Role:     string(wire.Role),
-		Loading:  wire.Loading,
-		Fence:    wire.Fence,
+		Model:    decoded.Model,
+		Version:  decoded.Version,
+		Adapters: decoded.Adapters,
+		Role:     string(decoded.Role),
+		Loading:  decoded.Loading,
+		Fence:    decoded.Fence,
 	}, true
 }
 
-// order sends one order and tells how it ended.
-func (o *orders) order(e reducer.OrderEngine) {
+// order sends one order and posts its result.
+func (o *orderSender) order(e reducer.OrderEngine) {
 	o.post(reducer.OrderEnded{Pool: e.Pool, Address: e.Address, Result: o.send(e)})
 }
 
-func (o *orders) send(e reducer.OrderEngine) placer.Result {
-	if lapsed(e.Until, time.Now()) {
+// send sends one order and returns its result.
+func (o *orderSender) send(e reducer.OrderEngine) placer.Result {
+	if expired(e.Until, time.Now()) {
 		return placer.Refused{}
 	}
 	body, err := encodeOrder(&e.State)
@@ -99,13 +101,14 @@
 	return orderResult(response)
 }
 
-// lapsed tells that an order's time is over. The process may have been paused since the core decided on it, and the
-// whole VM frozen, with its monotonic clock: the clock of the day is asked too.
-func lapsed(until, now time.Time) bool {
+// expired reports whether an order's deadline has passed. The process may have been paused since the core's decision.
+// If the whole VM was frozen, its monotonic clock stopped too, so the wall clock is checked as well.
+func expired(until, now time.Time) bool {
 	return !now.Before(until) || !now.Round(0).Before(until.Round(0))
 }
 
-// orderResult reads how an engine answered an order. An answer that can't be read says nothing of the order.
+// orderResult returns the result of an order from the engine's response. If the response can't be decoded, the result
+// is uncertain.
 func orderResult(response *http.Response) placer.Result {
 	if response.StatusCode == http.StatusOK {
 		if state, ok := readAssignment(response); ok {
--- a/performer/orders_test.go
+++ b/performer/orders_test.go
@@ -25,14 +25,15 @@
 	"geraniumline/tracer"
 )
 
-// waitLimit bounds a wait for something that must come; no test asserts how long it took.
+// waitLimit limits the wait for an expected event; no test asserts how long it took.
 const waitLimit = 30 * time.Second
 
+// noPeers drops all messages to peers.
 type noPeers struct{}
 
 func (noPeers) Send(string, carrier.Message) {}
 
-// site is a pool of engines with the platform's stand-ins, and entries that do not hear of each other.
+// site is a pool of engines with fakes of the platform's services, and entries that receive no messages from each other.
 type site struct {
 	t         *testing.T
 	logURL    string
@@ -83,7 +84,7 @@
 	require.NoError(s.t, err)
 }
 
-// start runs an entry and gives the function that ends it.
+// start runs an entry and returns the function that stops it.
 func (s *site) start(name string) (stop func()) {
 	logs, err := appender.New(appender.Config{URL: s.logURL, PollWait: 100 * time.Millisecond})
 	require.NoError(s.t, err)
@@ -125,7 +126,7 @@
 	return state
 }
 
-// await waits until as many engines as wanted serve each model.
+// await waits until each model is served by the wanted number of engines.
 func (s *site) await(want map[string]int) {
 	s.t.Helper()
 	require.Eventually(s.t, func() bool {
@@ -139,10 +140,10 @@
 	}, waitLimit, 20*time.Millisecond)
 }
 
-// Two entries that do not hear of each other find a placement and empty engines. Both bid, the log lets one order, and
-// the weight store is never asked for too much. The orderer is then ended and an order of nobody's puts a wrong model
-// on the engine that ignores numbers: the other takes the lease over and sets it right.
-func TestOrdersReachTheEngines(t *testing.T) {
+// Two entries without contact find a placement and empty engines. Both bid for the lease, only one may send orders, and
+// the weight store's rate limit is never exceeded. The lease holder is then stopped, and an order without a lease loads
+// a wrong model on the engine that ignores fencing numbers: the other entry must acquire the lease and correct it.
+func TestOrdersPlaceModels(t *testing.T) {
 	s := newSite(t, 4)
 	s.publish(publisher.KindPool, "engines", publisher.Pool{Name: "engines", Kind: publisher.PoolEngine, SlotsPerEndpoint: 1})
 	placed := publisher.PlacedModel{Version: "1", Adapters: []string{"nepali"}, Role: publisher.RoleBoth, MinCopies: 2, Weight: 1}
@@ -156,46 +157,46 @@
 	require.Zero(t, ledger.RateLimited)
 
 	stops[s.holder()]()
-	o := newOrders(Config{Endpoints: s.client}, nil)
+	o := newOrderSender(Config{Endpoints: s.client}, nil)
 	o.ctx = t.Context()
 	wrong := reducer.OrderEngine{Address: s.addresses[0], State: placer.Assignment{Model: "wrong", Version: "0", Role: publisher.RoleBoth}, Until: time.Now().Add(waitLimit)}
 	require.IsType(t, placer.Accepted{}, o.send(wrong))
 	wrong.Address = s.addresses[1]
-	require.Equal(t, placer.Refused{}, o.send(wrong), "an old number")
+	require.Equal(t, placer.Refused{}, o.send(wrong), "stale fencing number")
 	s.await(map[string]int{"writer": 2, "chat": 2})
 }
 
-// holder names the entry whose lease the log has.
+// holder returns the entry that holds the lease according to the log.
 func (s *site) holder() string {
 	logs, err := appender.New(appender.Config{URL: s.logURL})
 	require.NoError(s.t, err)
 	defer logs.Close()
 	page, err := logs.Read(s.t.Context(), string(reducer.StreamLeases), 0, 1000, 0)
 	require.NoError(s.t, err)
-	fold := leaser.New(leaser.Config{})
+	l := leaser.New(leaser.Config{})
 	for _, record := range page.Records {
-		fold.Apply(record, time.Now())
+		l.Apply(record, time.Now())
 	}
-	entry, _ := fold.Holder("engines")
+	entry, _ := l.Holder("engines")
 	return entry
 }
 
-// What an engine's answer says of an order decides whether it may be given again without reading back.
-func TestEndsOfAnOrder(t *testing.T) {
+// The result of an order decides whether it may be sent again without reading the engine's assignment first.
+func TestOrderResults(t *testing.T) {
 	scenarios := []struct {
 		testName string
 		status   int
 		body     string
 		want     placer.Result
 	}{
-		{"taken", 200, `{"fence":3,"model":"a","version":"1","role":"both","loading":true}`,
+		{"accepted", 200, `{"fence":3,"model":"a","version":"1","role":"both","loading":true}`,
 			placer.Accepted{State: placer.Assignment{Model: "a", Version: "1", Role: "both", Loading: true, Fence: 3}}},
-		{"an old number", 409, `{"code":"staleFence","message":"m"}`, placer.Refused{}},
+		{"stale fencing number", 409, `{"code":"staleFence","message":"m"}`, placer.Refused{}},
 		{"too many loads", 429, `{"code":"rateLimited","message":"m","retryAfterMillis":50}`,
 			placer.Refused{RetryAfter: 50 * time.Millisecond, Limited: true}},
-		{"failed on the way", 500, `{"code":"failed","message":"m"}`, placer.Uncertain{}},
-		{"unreadable", 200, `{`, placer.Uncertain{}},
-		{"cut", 0, "", placer.Uncertain{}},
+		{"failed on the engine", 500, `{"code":"failed","message":"m"}`, placer.Uncertain{}},
+		{"malformed", 200, `{`, placer.Uncertain{}},
+		{"connection closed", 0, "", placer.Uncertain{}},
 	}
 	for _, s := range scenarios {
 		t.Run(s.testName, func(t *testing.T) {
@@ -207,12 +208,12 @@
 				_, _ = w.Write([]byte(s.body))
 			}))
 			defer server.Close()
-			o := newOrders(Config{Endpoints: server.Client()}, nil)
+			o := newOrderSender(Config{Endpoints: server.Client()}, nil)
 			o.ctx = t.Context()
 			order := reducer.OrderEngine{Address: server.Listener.Addr().String(), Until: time.Now().Add(waitLimit)}
 			require.Equal(t, s.want, o.send(order))
 			order.Until = time.Now()
-			require.Equal(t, placer.Refused{}, o.send(order), "its time is over")
+			require.Equal(t, placer.Refused{}, o.send(order), "its deadline has passed")
 		})
 	}
 }
--- a/performer/readers.go
+++ b/performer/readers.go
@@ -15,13 +15,13 @@
 )
 
 const (
-	// entryPool is the name under which the platform's list shows entries.
+	// entryPool is the pool name of entries in the platform's list of VMs.
 	entryPool = "entry"
-	// platformTimeout bounds one reading of the list of VMs.
+	// platformTimeout limits one request for the list of VMs.
 	platformTimeout = 2 * time.Second
 )
 
-// startReaders starts the goroutines that follow the log, the list of VMs and the endpoints' loads.
+// startReaders starts the goroutines that read the log, the list of VMs and the endpoints' loads.
 func (p *Performer) startReaders(ctx context.Context) {
 	for _, stream := range []reducer.Stream{reducer.StreamConfig, reducer.StreamClaims, reducer.StreamLeases} {
 		go p.follow(ctx, stream)
@@ -29,11 +29,11 @@
 	go p.listVMs(ctx)
 }
 
-// follow tails one stream of the log.
+// follow tails one stream of the log and posts its pages and read errors.
 func (p *Performer) follow(ctx context.Context, stream reducer.Stream) {
 	sink := func(page appender.Page) {
 		p.cfg.Meter.Counter(meter.LogReads, string(stream)).Inc(1)
-		p.Post(logReadOf(stream, page))
+		p.Post(newLogRead(stream, page))
 	}
 	status := func(err error) {
 		if err != nil {
@@ -44,7 +44,7 @@
 	p.cfg.Appender.Tail(ctx, string(stream), 0, sink, status)
 }
 
-func logReadOf(stream reducer.Stream, page appender.Page) reducer.LogRead {
+func newLogRead(stream reducer.Stream, page appender.Page) reducer.LogRead {
 	return reducer.LogRead{
 		Stream:  stream,
 		Records: page.Records,
@@ -55,7 +55,7 @@
 	}
 }
 
-// append carries out an append and tells the core how it ended.
+// append performs an append to the log and posts its result.
 func (p *Performer) append(e reducer.Append) {
 	start := time.Now()
 	_, err := p.cfg.Appender.Append(p.ctx, string(e.Stream), e.Data)
@@ -67,7 +67,8 @@
 	p.Post(reducer.Appended{Stream: e.Stream, BatchID: e.BatchID, Result: appendResult(err)})
 }
 
-// appendResult tells what an append's error says of the record.
+// appendResult returns the result that corresponds to an append's error. Unless the log refused the record, an error
+// leaves it uncertain whether the record was appended.
 func appendResult(err error) claimer.AppendResult {
 	if err == nil {
 		return claimer.AppendDone{}
@@ -79,13 +80,13 @@
 	return claimer.AppendUncertain{}
 }
 
-// ReceivePeerMessage brings the core a peer's message. It is the messenger's handler.
+// ReceivePeerMessage posts a peer's message to the core. It is the messenger's handler.
 func (p *Performer) ReceivePeerMessage(from string, message carrier.Message) {
 	p.Post(reducer.PeerMessageArrived{From: from, Message: message})
 }
 
-// ReportPeerRefused tells the core that no process listens at a peer address. It does not wait: the messenger's senders
-// must go on, and the event comes again with their next try.
+// ReportPeerRefused posts to the core that no process listens at a peer address. It never blocks the messenger's senders:
+// if the queue is full, the event is dropped, and the next connection attempt reports it again.
 func (p *Performer) ReportPeerRefused(address string) {
 	select {
 	case p.events <- reducer.PeerRefused{Address: address}:
@@ -93,39 +94,39 @@
 	}
 }
 
-// listVMs reads the platform's list of VMs over and over. It lags, so it is only a hint.
+// listVMs periodically reads the platform's list of VMs and polls the endpoints. The list lags, so it is only a hint.
 func (p *Performer) listVMs(ctx context.Context) {
-	endpoints := newEndpointReader(p)
-	everyVM := time.NewTicker(p.cfg.VMListEvery)
-	defer everyVM.Stop()
-	everyLoad := time.NewTicker(p.cfg.LoadReportEvery)
-	defer everyLoad.Stop()
+	endpoints := newEndpointPoller(p)
+	vmTicker := time.NewTicker(p.cfg.VMListEvery)
+	defer vmTicker.Stop()
+	loadTicker := time.NewTicker(p.cfg.LoadReportEvery)
+	defer loadTicker.Stop()
 	p.readVMs(ctx, endpoints)
 	for {
 		select {
 		case <-ctx.Done():
 			return
-		case <-everyVM.C:
+		case <-vmTicker.C:
 			p.readVMs(ctx, endpoints)
-		case <-everyLoad.C:
-			endpoints.read(ctx, time.Now())
+		case <-loadTicker.C:
+			endpoints.startRound(ctx, time.Now())
 		}
 	}
 }
 
-func (p *Performer) readVMs(ctx context.Context, endpoints *endpointReader) {
+func (p *Performer) readVMs(ctx context.Context, endpoints *endpointPoller) {
 	ctx, cancel := context.WithTimeout(ctx, platformTimeout)
 	defer cancel()
 	list, err := p.cfg.VMs.ListVms(ctx)
 	if err != nil {
 		return
 	}
-	event := vmsListedOf(list)
-	endpoints.listed(event.Endpoints, time.Now())
+	event := newVMsListed(list)
+	endpoints.updateList(event.Endpoints, time.Now())
 	p.Post(event)
 }
 
-func vmsListedOf(list *platformserver.VmList) reducer.VMsListed {
+func newVMsListed(list *platformserver.VmList) reducer.VMsListed {
 	var event reducer.VMsListed
 	for _, vm := range list.Vms {
 		leaving := vm.State == platformserver.VMStateLeaving
--- a/performer/replies.go
+++ b/performer/replies.go
@@ -8,66 +8,66 @@
 	"geraniumline/tracer"
 )
 
-// idSource numbers the questions of callers and operators.
+// idSource generates the IDs of requests from callers and operators.
 type idSource struct{ last atomic.Uint64 }
 
 func (s *idSource) next() uint64 { return s.last.Add(1) }
 
-// replies leads the core's answers to the handlers that wait for them.
-type replies struct {
-	mu      sync.Mutex
-	waiting map[uint64]*ReplyQueue
+// replyQueues routes the core's answers to the handlers that wait for them.
+type replyQueues struct {
+	mu     sync.Mutex
+	queues map[uint64]*ReplyQueue
 }
 
-// ReplyQueue is one handler's queue of answers. It is not bounded by itself: the answer of one request is
-// bounded by its stages, and a caller that reads slowly must not hold up the reducer.
+// ReplyQueue is one handler's queue of answers. It has no limit of its own: the answer of one request is bounded by its
+// stages, and a caller that reads slowly must not block the reducer.
 type ReplyQueue struct {
-	mu     sync.Mutex
-	queue  []reducer.Effect
-	signal chan struct{}
-	span   *tracer.Span
+	mu      sync.Mutex
+	answers []reducer.Effect
+	signal  chan struct{}
+	span    *tracer.Span
 }
 
-func newReplies() *replies {
-	return &replies{waiting: map[uint64]*ReplyQueue{}}
+func newReplyQueues() *replyQueues {
+	return &replyQueues{queues: map[uint64]*ReplyQueue{}}
 }
 
-// open makes the queue for an id. The handler closes it when it returns.
-func (r *replies) open(id uint64, span *tracer.Span) *ReplyQueue {
+// open creates the queue for an ID. The handler closes it when it returns.
+func (r *replyQueues) open(id uint64, span *tracer.Span) *ReplyQueue {
 	queue := &ReplyQueue{signal: make(chan struct{}, 1), span: span}
 	r.mu.Lock()
-	r.waiting[id] = queue
+	r.queues[id] = queue
 	r.mu.Unlock()
 	return queue
 }
 
-func (r *replies) close(id uint64) {
+func (r *replyQueues) close(id uint64) {
 	r.mu.Lock()
-	delete(r.waiting, id)
+	delete(r.queues, id)
 	r.mu.Unlock()
 }
 
-// span gives the span of the request that a handler serves; nil when it has gone.
-func (r *replies) span(id uint64) *tracer.Span {
+// span returns the span of the request with an ID, or nil if its handler has returned.
+func (r *replyQueues) span(id uint64) *tracer.Span {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	queue, open := r.waiting[id]
+	queue, open := r.queues[id]
 	if !open {
 		return nil
 	}
 	return queue.span
 }
 
-// put hands an answer to its handler, if that still waits.
-func (r *replies) put(id uint64, effect reducer.Effect) {
+// put queues an answer for its handler. It is dropped if the handler has returned.
+func (r *replyQueues) put(id uint64, effect reducer.Effect) {
 	r.mu.Lock()
-	queue, open := r.waiting[id]
+	queue, open := r.queues[id]
 	r.mu.Unlock()
 	if !open {
 		return
 	}
 	queue.mu.Lock()
-	queue.queue = append(queue.queue, effect)
+	queue.answers = append(queue.answers, effect)
 	queue.mu.Unlock()
 	select {
 	case queue.signal <- struct{}{}:
@@ -75,23 +75,23 @@
 	}
 }
 
-// Signal is readable when answers have come.
+// Signal returns a channel that becomes readable when answers are queued.
 func (q *ReplyQueue) Signal() <-chan struct{} { return q.signal }
 
-// Take gives the answers that have come since the last Take, in order.
+// Take removes and returns the queued answers, in order.
 func (q *ReplyQueue) Take() []reducer.Effect {
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	taken := q.queue
-	q.queue = nil
+	taken := q.answers
+	q.answers = nil
 	return taken
 }
 
-// Open numbers a question and makes the queue for its answers. Close must follow.
+// Open returns a new request ID and the queue for its answers. The caller must call Close with the ID.
 func (p *Performer) Open(span *tracer.Span) (uint64, *ReplyQueue) {
 	id := p.ids.next()
 	return id, p.replies.open(id, span)
 }
 
-// Close ends the queue of an id. Answers that come later are dropped.
+// Close removes the queue of an ID. Later answers are dropped.
 func (p *Performer) Close(id uint64) { p.replies.close(id) }
--- a/performer/stages.go
+++ b/performer/stages.go
@@ -27,62 +27,62 @@
 	endpointIdleConnections = 512
 	endpointIdleTimeout     = time.Minute
 	endpointDialTimeout     = time.Second
-	// cancelTimeout bounds the order to end a stream that nobody waits for.
+	// cancelTimeout limits the request that cancels a stream at its endpoint.
 	cancelTimeout = 2 * time.Second
-	// maxLine bounds one part of a reply, in bytes.
+	// maxLine is the maximum size of one part of a reply, in bytes.
 	maxLine = 4 << 20
-	// maxRefusal bounds the body of a refusal, in bytes.
+	// maxRefusal is the maximum size of the body of a refusal, in bytes.
 	maxRefusal = 64 << 10
 )
 
-func dialer() *net.Dialer {
+func newDialer() *net.Dialer {
 	return &net.Dialer{Timeout: endpointDialTimeout, KeepAlive: 15 * time.Second}
 }
 
-// stages calls endpoints and brings their replies to the core, part by part.
-type stages struct {
+// stageCaller calls endpoints and posts their replies to the core, part by part.
+type stageCaller struct {
 	client  *http.Client
 	post    func(reducer.Event)
-	replies *replies
+	replies *replyQueues
 	meter   *meter.Meter
 	ctx     context.Context
 
 	mu      sync.Mutex
-	running map[reducer.CallID]*flight
+	running map[reducer.CallID]*activeCall
 }
 
-// flight is a call that is under way.
-type flight struct {
+// activeCall is a call in progress.
+type activeCall struct {
 	cancel context.CancelFunc
 	stage  string
-	// streamID is the name that the endpoint gave the reply in its header, before the first part.
+	// streamID is the stream ID from the header of the reply, empty before the header arrived.
 	streamID string
 }
 
-// streamHeader names a reply's stream, so that a call that still waits at its endpoint can be cancelled.
+// streamHeader holds the stream ID of a reply. It lets a call be cancelled that still waits at its endpoint.
 const streamHeader = "Stream-Id"
 
-func newStages(cfg Config, post func(reducer.Event), replies *replies) *stages {
-	return &stages{
+func newStageCaller(cfg Config, post func(reducer.Event), replies *replyQueues) *stageCaller {
+	return &stageCaller{
 		client:  cfg.Endpoints,
 		post:    post,
 		replies: replies,
 		meter:   cfg.Meter,
-		running: map[reducer.CallID]*flight{},
+		running: map[reducer.CallID]*activeCall{},
 	}
 }
 
-// begin gives a context that end cancels.
-func (s *stages) begin(id reducer.CallID, stage string) context.Context {
+// begin registers a call and returns its context, which end cancels.
+func (s *stageCaller) begin(id reducer.CallID, stage string) context.Context {
 	ctx, cancel := context.WithCancel(s.ctx)
 	s.mu.Lock()
-	s.running[id] = &flight{cancel: cancel, stage: stage}
+	s.running[id] = &activeCall{cancel: cancel, stage: stage}
 	s.mu.Unlock()
 	return ctx
 }
 
-// end forgets a call and gives what it was; nil if it had ended.
-func (s *stages) end(id reducer.CallID) *flight {
+// end removes and cancels a call and returns it, or nil if it has already ended.
+func (s *stageCaller) end(id reducer.CallID) *activeCall {
 	s.mu.Lock()
 	f := s.running[id]
 	delete(s.running, id)
@@ -93,7 +93,8 @@
 	return f
 }
 
-func (s *stages) nameStream(id reducer.CallID, streamID string) {
+// setStreamID stores the stream ID of a call in progress.
+func (s *stageCaller) setStreamID(id reducer.CallID, streamID string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if f := s.running[id]; f != nil {
@@ -101,8 +102,8 @@
 	}
 }
 
-// call runs one attempt of a stage.
-func (s *stages) call(e *reducer.CallStage) {
+// call starts one attempt of a stage in the background.
+func (s *stageCaller) call(e *reducer.CallStage) {
 	ctx := s.begin(e.Call, e.Body.Stage)
 	span := s.replies.span(e.Call.Request).Child("stage "+e.Body.Stage, time.Now())
 	span.Set("endpoint", e.Address)
@@ -123,8 +124,8 @@
 	return bytes.Clone(e.Bytes())
 }
 
-// resume reads a stream on from a sequence number.
-func (s *stages) resume(e reducer.ResumeStage) {
+// resume continues to read a stream from a sequence number, in the background.
+func (s *stageCaller) resume(e reducer.ResumeStage) {
 	stage := ""
 	if f := s.end(e.Call); f != nil {
 		stage = f.stage
@@ -136,8 +137,8 @@
 	go s.run(ctx, e.Call, span, http.MethodGet, address, nil)
 }
 
-// cancel ends a call and tells the endpoint to stop its stream.
-func (s *stages) cancel(e reducer.CancelStage) {
+// cancel ends a call and, if the stream ID is known, asks the endpoint in the background to stop the stream.
+func (s *stageCaller) cancel(e reducer.CancelStage) {
 	f := s.end(e.Call)
 	if f != nil {
 		s.meter.Counter(meter.StageCancels, f.stage).Inc(1)
@@ -162,16 +163,16 @@
 	}()
 }
 
-// run makes one HTTP call and posts its parts, or how it failed.
-func (s *stages) run(ctx context.Context, id reducer.CallID, span *tracer.Span, method, address string, body []byte) {
+// run makes one HTTP call and posts its parts or its failure.
+func (s *stageCaller) run(ctx context.Context, id reducer.CallID, span *tracer.Span, method, address string, body []byte) {
 	fault, ended := s.exchange(ctx, id, method, address, body)
 	if ctx.Err() != nil {
 		span.Set("cancelled", "true")
 		span.End(time.Now())
 		return
 	}
-	// The call ends before the core hears of it: the core may order the rest of the stream at once under
-	// the same id, and an end after that would cancel the order.
+	// End the call before the core is notified: the core may resume the stream at once under the same ID, and a later
+	// end would cancel the resumed call.
 	f := s.end(id)
 	if !ended {
 		if f != nil {
@@ -183,8 +184,9 @@
 	span.End(time.Now())
 }
 
-// exchange sends the call and reads the reply; ended tells that its final part was posted.
-func (s *stages) exchange(ctx context.Context, id reducer.CallID, method, address string, body []byte) (fault reducer.StageFault, ended bool) {
+// exchange sends the call and reads the reply. ended is set if the final part was posted; otherwise fault describes the
+// failure.
+func (s *stageCaller) exchange(ctx context.Context, id reducer.CallID, method, address string, body []byte) (fault reducer.StageFault, ended bool) {
 	connected := false
 	ctx = httptrace.WithClientTrace(ctx, &httptrace.ClientTrace{
 		GotConn: func(httptrace.GotConnInfo) { connected = true },
@@ -204,12 +206,12 @@
 	if response.StatusCode != http.StatusOK {
 		return refusalFault(response), false
 	}
-	s.nameStream(id, response.Header.Get(streamHeader))
+	s.setStreamID(id, response.Header.Get(streamHeader))
 	return s.readParts(id, response.Body)
 }
 
-// sendFault tells a call that was never sent, because no connection was had, from one that may have been
-// acted on. The difference decides whether a stage that must not be repeated may be tried elsewhere.
+// sendFault distinguishes a call that was never sent, because there was no connection, from one that the endpoint may
+// have executed. The difference decides whether a stage that must not be repeated may be tried at another endpoint.
 func sendFault(err error, connected bool) reducer.StageFault {
 	fault := reducer.StageFault{Kind: reducer.FaultCut, Message: unwrapURL(err).Error()}
 	if !connected {
@@ -226,8 +228,8 @@
 	return err
 }
 
-// readParts posts the parts of a reply.
-func (s *stages) readParts(id reducer.CallID, body io.Reader) (fault reducer.StageFault, ended bool) {
+// readParts posts the parts of a reply. ended is set if the final part was posted.
+func (s *stageCaller) readParts(id reducer.CallID, body io.Reader) (fault reducer.StageFault, ended bool) {
 	lines := bufio.NewScanner(body)
 	lines.Buffer(nil, maxLine)
 	for lines.Scan() {
@@ -250,7 +252,7 @@
 	return reducer.StageFault{Kind: reducer.FaultCut, Message: message}, false
 }
 
-// refusalFault reads why an endpoint refused a call.
+// refusalFault returns the fault for a call that an endpoint refused.
 func refusalFault(response *http.Response) reducer.StageFault {
 	var refusal endpointserver.Refusal
 	body, err := io.ReadAll(io.LimitReader(response.Body, maxRefusal))
@@ -282,7 +284,7 @@
 	}
 }
 
-// drain reads what is left of a reply, so that its connection can be used again.
+// drain reads at most maxRefusal bytes of the rest of a response and closes it, so that its connection can be reused.
 func drain(response *http.Response) {
 	_, _ = io.Copy(io.Discard, io.LimitReader(response.Body, maxRefusal))
 	_ = response.Body.Close()
--- a/performer/stages_test.go
+++ b/performer/stages_test.go
@@ -15,10 +15,10 @@
 	"geraniumline/reducer"
 )
 
-// A stream's connection is closed after its first part and the core at once orders the rest to be read.
-// The end of the cut call must not cancel that order: the core would hear nothing more of the stream and the
-// caller would wait until the stage's timeout, or the deadline, for an answer that is there.
-func TestResumeOutlivesTheCutCall(t *testing.T) {
+// A stream's connection is closed after its first part, and the core at once resumes the stream. The end of the broken
+// call must not cancel the resumed one: the core would receive nothing more of the stream, and the caller would wait
+// until the stage's timeout or the deadline for an answer that is available.
+func TestResumeSurvivesEndOfBrokenCall(t *testing.T) {
 	mux := http.NewServeMux()
 	mux.HandleFunc("POST /v1/stages", func(w http.ResponseWriter, _ *http.Request) {
 		_, _ = fmt.Fprintln(w, `{"requestId":"r","stage":"s","attempt":1,"streamId":"x","seq":0,"text":"a","final":false}`)
@@ -34,7 +34,7 @@
 	address := server.Listener.Addr().String()
 	final := make(chan struct{})
 	id := reducer.CallID{Request: 1, Attempt: 1}
-	var s *stages
+	var s *stageCaller
 	post := func(event reducer.Event) {
 		switch e := event.(type) {
 		case reducer.StageFailed:
@@ -45,7 +45,7 @@
 			}
 		}
 	}
-	s = newStages(Config{Endpoints: server.Client(), Meter: meter.New()}, post, newReplies())
+	s = newStageCaller(Config{Endpoints: server.Client(), Meter: meter.New()}, post, newReplyQueues())
 	s.ctx = context.Background()
 	s.call(&reducer.CallStage{Call: id, Address: address, Body: &endpointserver.StageCall{RequestId: "r", Stage: "s", Attempt: 1}})
 	select {
