--- a/performer/loop.go
+++ b/performer/loop.go
@@ -127,7 +127,7 @@
 	}
 }
 
-// perform starts one effect. It never blocks on I/O.
+// perform starts one effect. It never blocks.
 func (p *Performer) perform(effect reducer.Effect) {
 	switch e := effect.(type) {
 	case *reducer.CallStage:
