--- a/reducer/claim.go
+++ b/reducer/claim.go
@@ -106,7 +106,7 @@
 		c.handleConfigAppended(e, now)
 		return
 	case StreamLeases:
-		c.leaser.Ended(e.BatchID, e.Result, now)
+		c.leaser.AppendFinished(e.BatchID, e.Result, now)
 		return
 	}
 	c.claimAppendsInFlight--
--- a/reducer/order.go
+++ b/reducer/order.go
@@ -98,13 +98,13 @@
 		return
 	}
 	p.placer.ObserveDemand(p.totalDemand(own, now), now)
-	if lease.Left < minOrderTime || c.drainer.Phase() != drainer.Serving {
+	if lease.Remaining < minOrderTime || c.drainer.Phase() != drainer.Serving {
 		return
 	}
 	placerLease := placer.Lease{Fence: lease.Fence, Granted: lease.Granted}
 	for _, order := range p.placer.Orders(placement, c.modelsInUse(p.pool), placerLease, now) {
 		c.countOrder(&order)
-		c.emit(OrderEngine{Pool: p.pool, Address: order.Address, State: order.State, Deadline: now.Add(min(lease.Left, orderTimeout))})
+		c.emit(OrderEngine{Pool: p.pool, Address: order.Address, State: order.State, Deadline: now.Add(min(lease.Remaining, orderTimeout))})
 	}
 }
 
@@ -161,7 +161,7 @@
 	if !health.caughtUp || health.failing || c.drainer.Phase() != drainer.Serving {
 		return
 	}
-	data, id, due := c.leaser.Bid(pool, c.leaseRank(pool), now)
+	data, id, due := c.leaser.AcquireOrRenew(pool, c.leaseRank(pool), now)
 	if due {
 		c.emit(Append{Stream: StreamLeases, BatchID: id, Data: data})
 	}
@@ -183,7 +183,7 @@
 
 // foldLeases applies the records of a page to the leases.
 func (c *Core) foldLeases(e LogRead, now time.Time) {
-	if c.leaser.Gap(e.First, now) {
+	if c.leaser.ResetOnGap(e.First, now) {
 		c.emit(LogChange{Message: "log truncated leases before they were read", Subject: string(StreamLeases)})
 	}
 	for _, record := range e.Records {
