--- a/addresser/addresser.go
+++ b/addresser/addresser.go
@@ -28,8 +28,8 @@
 	Spare   bool
 }
 
-// Answer is what a caller is told: addresses in the order of use, and for how long.
-type Answer struct {
+// AddressList is what a caller is told: addresses in the order of use, and for how long.
+type AddressList struct {
 	TTL       time.Duration
 	Addresses []Address
 }
@@ -44,9 +44,9 @@
 	return &Addresser{cfg: cfg}
 }
 
-// Answer gives the account's addresses: primaries spread over availability zones, then spares, from zones
+// AddressesFor gives the account's addresses: primaries spread over availability zones, then spares, from zones
 // without a primary first. Only live members are given; if there are none, those that may still be alive.
-func (a *Addresser) Answer(account string, members []detector.Member) Answer {
+func (a *Addresser) AddressesFor(account string, members []detector.Member) AddressList {
 	p := newPicker(account, usable(members))
 	addresses := make([]Address, 0, a.cfg.SubsetSize+a.cfg.Spares)
 	for len(addresses) < cap(addresses) {
@@ -57,7 +57,7 @@
 		spare := len(addresses) >= a.cfg.SubsetSize
 		addresses = append(addresses, Address{Address: m.CallerAddress, Zone: m.Zone, Spare: spare})
 	}
-	return Answer{TTL: a.cfg.TTL, Addresses: addresses}
+	return AddressList{TTL: a.cfg.TTL, Addresses: addresses}
 }
 
 // usable gives the best members there are: live ones, else live ones on VMs that are leaving, else suspects.
--- a/addresser/addresser_test.go
+++ b/addresser/addresser_test.go
@@ -54,7 +54,7 @@
 			a := newAddresser()
 			first, primary := make(map[string]int), make(map[string]int)
 			for i := range accounts {
-				answer := a.Answer(account(i), members)
+				answer := a.AddressesFor(account(i), members)
 				require.Len(t, answer.Addresses, 5)
 				first[answer.Addresses[0].Address]++
 				zones := make(map[string]bool)
@@ -98,7 +98,7 @@
 			a := newAddresser()
 			moved, kept := 0, 0
 			for i := range 5000 {
-				x, y := a.Answer(account(i), before), a.Answer(account(i), after)
+				x, y := a.AddressesFor(account(i), before), a.AddressesFor(account(i), after)
 				if slices.ContainsFunc(x.Addresses, func(z Address) bool { return z.Address == gone }) {
 					moved++
 					kept += common(x, y)
@@ -112,7 +112,7 @@
 	}
 }
 
-func common(x, y Answer) int {
+func common(x, y AddressList) int {
 	n := 0
 	for _, z := range x.Addresses {
 		if slices.ContainsFunc(y.Addresses, func(o Address) bool { return o.Address == z.Address }) {
@@ -140,7 +140,7 @@
 			for i := range s.members {
 				s.members[i].Name, s.members[i].CallerAddress = strconv.Itoa(i), strconv.Itoa(i)
 			}
-			answer := newAddresser().Answer("wards", s.members)
+			answer := newAddresser().AddressesFor("wards", s.members)
 			var got []string
 			for _, x := range answer.Addresses {
 				got = append(got, x.Address)
@@ -158,7 +158,7 @@
 		b.Run(strconv.Itoa(n)+" members", func(b *testing.B) {
 			b.ReportAllocs()
 			for b.Loop() {
-				a.Answer("wards", members)
+				a.AddressesFor("wards", members)
 			}
 		})
 	}
--- a/appender/errors.go
+++ b/appender/errors.go
@@ -56,12 +56,12 @@
 
 // StaleEraError tells of a page from before the log returned from an older copy.
 type StaleEraError struct {
-	Known int64
-	Told  int64
+	Known    int64
+	Received int64
 }
 
 func (e *StaleEraError) Error() string {
-	return fmt.Sprintf("page of era %d after one of era %d", e.Told, e.Known)
+	return fmt.Sprintf("page of era %d after one of era %d", e.Received, e.Known)
 }
 
 // appendError sorts a failed append. Only two kinds are sure: a connection that was never made, and a reply
--- a/appender/tail.go
+++ b/appender/tail.go
@@ -28,7 +28,7 @@
 			return
 		}
 		if err == nil && page.Era < era {
-			err = &ReadError{Stream: stream, From: from, Cause: &StaleEraError{Known: era, Told: page.Era}}
+			err = &ReadError{Stream: stream, From: from, Cause: &StaleEraError{Known: era, Received: page.Era}}
 		}
 		if err != nil {
 			failing = true
--- a/assembler/forwarding.go
+++ b/assembler/forwarding.go
@@ -59,7 +59,7 @@
 	Settings platform.Settings
 	Log      *zap.Logger
 	// Off are the mechanisms of policy that are switched off.
-	Off switcher.Disabled
+	Disabled switcher.Disabled
 	// MetricsPort serves the metrics on the VM's address; 0 serves none.
 	MetricsPort int
 }
@@ -88,7 +88,7 @@
 		debug.SetMemoryLimit(int64(memoryShare * float64(settings.MemoryBytes)))
 	}
 	logger := cfg.Log.With(zap.String("entry", settings.Name))
-	if names := cfg.Off.Names(); len(names) > 0 {
+	if names := cfg.Disabled.Names(); len(names) > 0 {
 		logger.Warn("mechanisms are switched off", zap.Strings("mechanisms", names))
 	}
 	e := &forwarding{settings: settings, log: logger, idle: newIdleConnections(), meter: meter.New(), metricsPort: cfg.MetricsPort}
@@ -107,7 +107,7 @@
 		AddressTTL:    min(addressTTL, settings.AddressTTL),
 		RetryRatio:    settings.RetryRatio,
 		RetrySlack:    settings.RetrySlack,
-		Off:           cfg.Off,
+		Off:           cfg.Disabled,
 		Wire:          platform.Dialect{},
 		Client:        connector.New(connector.Config{}),
 		DecodeConfig:  platform.DecodeConfig,
--- a/biller/bench_test.go
+++ b/biller/bench_test.go
@@ -18,9 +18,9 @@
 	for i := range accounts {
 		account := fmt.Sprintf("account%d", i)
 		for _, stage := range stages {
-			b.Work(account, stage, 10)
+			b.AddWork(account, stage, 10)
 		}
-		b.Outcome(account, scheduler.Normal, biller.AnsweredInTime)
+		b.CountOutcome(account, scheduler.Normal, biller.AnsweredInTime)
 	}
 	return b
 }
@@ -29,9 +29,9 @@
 func TestBillingAllocatesNothing(t *testing.T) {
 	b := billed(1)
 	require.Zero(t, testing.AllocsPerRun(1000, func() {
-		b.Work("account0", stages[3], 900)
-		b.Wasted("account0", stages[3], 30)
-		b.Outcome("account0", scheduler.Urgent, biller.AnsweredLate)
+		b.AddWork("account0", stages[3], 900)
+		b.AddWasted("account0", stages[3], 30)
+		b.CountOutcome("account0", scheduler.Urgent, biller.AnsweredLate)
 	}))
 }
 
@@ -47,7 +47,7 @@
 			i := 0
 			for b.Loop() {
 				i = (i + 1) % n
-				bills.Work(names[i], stages[i%len(stages)], 10)
+				bills.AddWork(names[i], stages[i%len(stages)], 10)
 			}
 		})
 	}
--- a/biller/biller.go
+++ b/biller/biller.go
@@ -24,23 +24,23 @@
 	return &Biller{own: totals{}, peers: map[string]*source{}, settled: totals{}}
 }
 
-// Work adds work of a stage for an account, in endpoint milliseconds.
-func (b *Biller) Work(account, stage string, cost float64) {
+// AddWork adds work of a stage for an account, in endpoint milliseconds.
+func (b *Biller) AddWork(account, stage string, cost float64) {
 	if cost > 0 {
 		b.own.account(account).stage(stage).cost += cost
 	}
 }
 
-// Wasted adds work that led to no answer: hedges that lost, failed tries, cancelled calls.
+// AddWasted adds work that led to no answer: hedges that lost, failed tries, cancelled calls.
 // It is apart from Work, not a part of it.
-func (b *Biller) Wasted(account, stage string, cost float64) {
+func (b *Biller) AddWasted(account, stage string, cost float64) {
 	if cost > 0 {
 		b.own.account(account).stage(stage).wasted += cost
 	}
 }
 
-// Outcome counts how a request of the account ended.
-func (b *Biller) Outcome(account string, urgency scheduler.Urgency, o Outcome) {
+// CountOutcome counts how a request of the account ended.
+func (b *Biller) CountOutcome(account string, urgency scheduler.Urgency, o Outcome) {
 	b.own.account(account).count(urgency, o)
 }
 
@@ -90,9 +90,9 @@
 	Bills       []Bill
 }
 
-// Others gives the bills of other incarnations that are kept apart, in a fixed order, to be passed on: when an
+// PeerIncarnations returns the bills of other incarnations that are kept apart, in a fixed order, to be passed on: when an
 // entry has gone its peers are all that knows of its bills.
-func (b *Biller) Others() []Incarnation {
+func (b *Biller) PeerIncarnations() []Incarnation {
 	var others []Incarnation
 	for _, entry := range slices.Sorted(maps.Keys(b.peers)) {
 		s := b.peers[entry]
--- a/biller/biller_test.go
+++ b/biller/biller_test.go
@@ -14,15 +14,15 @@
 // TestBills covers one entry's own totals.
 func TestBills(t *testing.T) {
 	b := biller.New()
-	b.Work("wards", "chat/generate", 900)
-	b.Work("wards", "chat/encode", 10)
-	b.Work("wards", "chat/encode", 5)
-	b.Work("wards", "chat/encode", -100)
-	b.Wasted("wards", "chat/generate", 300)
-	b.Outcome("wards", scheduler.Urgent, biller.AnsweredInTime)
-	b.Outcome("wards", scheduler.Urgent, biller.AnsweredLate)
-	b.Outcome("schools", scheduler.Relaxed, biller.NotRun)
-	b.Outcome("schools", scheduler.Relaxed, biller.Unknown)
+	b.AddWork("wards", "chat/generate", 900)
+	b.AddWork("wards", "chat/encode", 10)
+	b.AddWork("wards", "chat/encode", 5)
+	b.AddWork("wards", "chat/encode", -100)
+	b.AddWasted("wards", "chat/generate", 300)
+	b.CountOutcome("wards", scheduler.Urgent, biller.AnsweredInTime)
+	b.CountOutcome("wards", scheduler.Urgent, biller.AnsweredLate)
+	b.CountOutcome("schools", scheduler.Relaxed, biller.NotRun)
+	b.CountOutcome("schools", scheduler.Relaxed, biller.Unknown)
 	require.Equal(t, []biller.Bill{
 		{Account: "schools", Relaxed: biller.Counts{NotRun: 1, Unknown: 1}, Stages: []biller.StageCost{}},
 		{Account: "wards", Urgent: biller.Counts{InTime: 1, Late: 1}, Stages: []biller.StageCost{
@@ -55,8 +55,8 @@
 			b := biller.New()
 			for range reports {
 				cost := float64(rng.IntN(1000))
-				b.Work("clubs", "digest/generate", cost)
-				b.Outcome("clubs", scheduler.Normal, biller.AnsweredInTime)
+				b.AddWork("clubs", "digest/generate", cost)
+				b.CountOutcome("clubs", scheduler.Normal, biller.AnsweredInTime)
 				want += cost
 				messages = append(messages, message{fmt.Sprint(e), incarnation, b.Bills()})
 			}
@@ -65,7 +65,7 @@
 	messages = append(messages, messages[:len(messages)/2]...)
 	rng.Shuffle(len(messages), func(i, j int) { messages[i], messages[j] = messages[j], messages[i] })
 	total := biller.New()
-	total.Work("clubs", "digest/generate", 7)
+	total.AddWork("clubs", "digest/generate", 7)
 	for _, m := range messages {
 		total.Merge(m.entry, m.incarnation, m.bills)
 	}
--- a/launcher/forward.go
+++ b/launcher/forward.go
@@ -52,7 +52,7 @@
 		return &UsageError{Message: "--log-lines is at least 1"}
 	}
 	var err error
-	if cfg.Off, err = switcher.Disable(cmd.StringSlice("without")...); err != nil {
+	if cfg.Disabled, err = switcher.Disable(cmd.StringSlice("without")...); err != nil {
 		return &UsageError{Message: "--without: " + err.Error()}
 	}
 	if cfg.Settings, err = platform.LoadSettings(cmd.String("settings")); err != nil {
--- a/reducer/ask.go
+++ b/reducer/ask.go
@@ -40,7 +40,7 @@
 		c.refuse(e.ID, "", *failure)
 		return
 	}
-	c.emit(SendAddresses{ID: e.ID, Answer: c.addresser.Answer(e.Credentials.Account, c.detector.Members())})
+	c.emit(SendAddresses{ID: e.ID, Answer: c.addresser.AddressesFor(e.Credentials.Account, c.detector.Members())})
 }
 
 // takeOutcomeAsked answers by what this entry knows, else by what its peers know. That a request ended here
--- a/reducer/effect.go
+++ b/reducer/effect.go
@@ -80,7 +80,7 @@
 // SendAddresses answers AddressesAsked.
 type SendAddresses struct {
 	ID     uint64
-	Answer addresser.Answer
+	Answer addresser.AddressList
 }
 
 // SendOutcome answers OutcomeAsked.
--- a/reducer/end.go
+++ b/reducer/end.go
@@ -17,7 +17,7 @@
 	if now.After(r.deadline) {
 		result = biller.AnsweredLate
 	}
-	c.biller.Outcome(r.key.Account, r.urgency, result)
+	c.biller.CountOutcome(r.key.Account, r.urgency, result)
 	c.end(r, outcome, now)
 }
 
@@ -34,7 +34,7 @@
 		failure.State = StateNotRun
 		result = biller.NotRun
 	}
-	c.biller.Outcome(r.key.Account, r.urgency, result)
+	c.biller.CountOutcome(r.key.Account, r.urgency, result)
 	c.end(r, Outcome{State: failure.State, Request: r.name, Failure: failure, Ended: now, Digest: r.digest}, now)
 }
 
--- a/reducer/refusal.go
+++ b/reducer/refusal.go
@@ -43,7 +43,7 @@
 	if failure.State == StateUnknown {
 		result = biller.Unknown
 	}
-	c.biller.Outcome(refused.key.Account, refused.urgency, result)
+	c.biller.CountOutcome(refused.key.Account, refused.urgency, result)
 	c.emit(SendFailure{ID: id, Failure: failure})
 }
 
--- a/reducer/request.go
+++ b/reducer/request.go
@@ -129,7 +129,7 @@
 		c.refuseKey([]uint64{e.ID}, refusedKey{key: key, digest: e.Digest, urgency: urgency}, failure, now)
 		return
 	}
-	c.biller.Outcome(key.Account, urgency, biller.NotRun)
+	c.biller.CountOutcome(key.Account, urgency, biller.NotRun)
 	c.refuse(e.ID, e.Key, failure)
 }
 
--- a/reducer/stage.go
+++ b/reducer/stage.go
@@ -307,7 +307,7 @@
 	c.endCall(k.address, router.CallEnd{Result: router.Succeeded, Duration: now.Sub(k.started), Expected: usual}, now)
 	c.admitter.Observe(r.plan.stageNames[r.stage], now.Sub(k.started), cost, now)
 	c.scheduler.Charge(stage.Pool, r.key.Account, cost-c.admitter.ExpectedCost(r.plan.stageNames[r.stage], cost))
-	c.biller.Work(r.key.Account, stage.Name, cost)
+	c.biller.AddWork(r.key.Account, stage.Name, cost)
 	r.cost += cost
 	r.calls = append(r.calls[:at], r.calls[at+1:]...)
 	c.cancelCalls(r, now)
@@ -337,5 +337,5 @@
 }
 
 func (c *Core) waste(r *request, k *call, now time.Time) {
-	c.biller.Wasted(r.key.Account, r.stageConfig().Name, float64(now.Sub(k.started).Milliseconds()))
+	c.biller.AddWasted(r.key.Account, r.stageConfig().Name, float64(now.Sub(k.started).Milliseconds()))
 }
