--- a/assembler/assembler.go
+++ b/assembler/assembler.go
@@ -1,4 +1,4 @@
-// Package assembler builds a whole entry out of its settings and runs it until it is stopped.
+// Package assembler wires an entry together from its settings and runs it until it stops.
 package assembler
 
 import (
@@ -28,26 +28,26 @@
 )
 
 const (
-	// shutdownTimeout bounds the end of replies that the core has finished already.
+	// shutdownTimeout bounds the delivery of replies that the core has already completed.
 	shutdownTimeout = 5 * time.Second
-	// maxDeadline is the longest deadline that a caller may ask for.
+	// maxDeadline is the longest deadline that a caller may request.
 	maxDeadline = 10 * time.Minute
-	// stageTimeout is how long an endpoint may be silent within a call.
+	// stageTimeout is how long an endpoint may send nothing during a call.
 	stageTimeout = 5 * time.Second
-	// appendTimeout is how long an append to the log may take before its end is uncertain.
+	// appendTimeout is how long an append to the log may take before its outcome counts as uncertain.
 	appendTimeout = 2 * time.Second
-	// pollWait is how long one reading of the log waits for a record. It is well under the silence after which
-	// the core takes the log for unreadable.
+	// pollWait is how long one read of the log waits for a record. It is well below the silence after which
+	// the core considers the log unreadable.
 	pollWait = time.Second
 )
 
-// Config holds what an entry is built from.
+// Config holds the settings and the logger of an entry.
 type Config struct {
 	Settings loader.Settings
 	Log      *zap.Logger
 }
 
-// entry is one running entry's parts.
+// entry holds the components of a running entry.
 type entry struct {
 	cfg       Config
 	meter     *meter.Meter
@@ -56,7 +56,7 @@
 	performer *performer.Performer
 }
 
-// Run serves until ctx ends or a planned stop, begun by SIGTERM or by an operator, is done.
+// Run serves until ctx ends or a planned stop, started by SIGTERM, SIGINT or an operator, is complete.
 func Run(ctx context.Context, cfg Config) error {
 	e := &entry{cfg: cfg, meter: meter.New()}
 	peers, err := e.openPeers()
@@ -73,7 +73,7 @@
 	return e.run(ctx, opened)
 }
 
-// build joins the parts.
+// build creates the components and connects them to each other.
 func (e *entry) build(peers net.Listener) error {
 	s := e.cfg.Settings
 	now := time.Now()
@@ -159,27 +159,27 @@
 	}
 }
 
-// run serves until the core is done, then ends the sockets.
+// run serves until the core has stopped, then shuts down the servers.
 func (e *entry) run(ctx context.Context, opened sockets) error {
-	served, stopServing := context.WithCancel(ctx)
+	serveCtx, stopServing := context.WithCancel(ctx)
 	defer stopServing()
-	group, groupCtx := errgroup.WithContext(served)
+	group, groupCtx := errgroup.WithContext(serveCtx)
 	group.Go(opened.callers.Serve)
 	group.Go(opened.operators.Serve)
-	group.Go(func() error { return ignoreEnd(e.messenger.Serve(groupCtx)) })
+	group.Go(func() error { return ignoreCanceled(e.messenger.Serve(groupCtx)) })
 	go e.watchSignals(groupCtx)
 	group.Go(func() error {
 		defer stopServing()
 		err := e.performer.Run(groupCtx)
 		e.shutDown(opened)
-		return ignoreEnd(err)
+		return ignoreCanceled(err)
 	})
 	e.cfg.Log.Info("entry", zap.String("subject", e.cfg.Settings.Name), zap.String("to", "serving"), zap.String("callers", opened.callers.Address()))
 	return group.Wait()
 }
 
-// watchSignals makes SIGTERM and SIGINT a planned stop. A second one changes nothing: a stop that
-// hurries would cut requests in flight.
+// watchSignals starts a planned stop on SIGTERM or SIGINT. Further signals do not speed it up, since that would
+// cut off requests in flight.
 func (e *entry) watchSignals(ctx context.Context) {
 	signals := make(chan os.Signal, 1)
 	signal.Notify(signals, syscall.SIGTERM, syscall.SIGINT)
@@ -194,7 +194,7 @@
 	}
 }
 
-// shutDown lets the last replies reach their callers.
+// shutDown stops the servers, the messenger and the tracer after the last replies have been delivered.
 func (e *entry) shutDown(opened sockets) {
 	ctx, cancel := context.WithTimeout(context.Background(), shutdownTimeout)
 	defer cancel()
@@ -210,7 +210,7 @@
 	}
 }
 
-func ignoreEnd(err error) error {
+func ignoreCanceled(err error) error {
 	if errors.Is(err, context.Canceled) {
 		return nil
 	}
--- a/assembler/forwarding.go
+++ b/assembler/forwarding.go
@@ -28,46 +28,46 @@
 )
 
 const (
-	// peerDialTimeout bounds the opening of a connection to a peer, some twenty times the way there and back in a region.
-	// VMs that are down do not answer at all: tries of a second each kept entries that had all lost power at once from
-	// hearing each other for 1.5 s after their start.
+	// peerDialTimeout bounds dialing a peer; it is about twenty times the round trip within a region. VMs that are down
+	// do not answer at all: with attempts of a second each, entries that had all lost power at once did not reach each
+	// other until 1.5 s after their start.
 	peerDialTimeout = 250 * time.Millisecond
-	// headerTimeout bounds the reading of a request's header; the platform's callers take less.
+	// headerTimeout bounds reading a request header; the platform's callers need less.
 	headerTimeout = 5 * time.Second
-	// maxHeader bounds a request's header; the platform allows 16 KB.
-	maxHeader = 32 << 10
-	// stopMargin is kept of the time before a stopping process is killed.
+	// maxHeaderBytes bounds the size of a request header; the platform allows 16 KB.
+	maxHeaderBytes = 32 << 10
+	// stopMargin is the part of the platform's stop time that is reserved for exiting before the process is killed.
 	stopMargin = 900 * time.Millisecond
-	// defaultIdle is how long callers' idle connections stay open before a configuration says it.
-	defaultIdle = 75 * time.Second
-	// idlePoll is how often callers' idle connections are looked at.
-	idlePoll = time.Second
-	// memoryShare is the part of the memory allowed at which the collector of garbage works harder. What the kernel
-	// holds for the process counts too, and a process over the limit is killed.
-	memoryShare = 0.7
-	// addressTTL is how long callers keep the addresses of entries, some of them three times as long. A stopping
-	// entry serves until most answers have lapsed, and must end well inside the time before it is killed.
+	// defaultIdleTimeout is how long idle caller connections stay open as long as no configuration sets a timeout.
+	defaultIdleTimeout = 75 * time.Second
+	// idleCheckInterval is how often caller connections are checked for idleness.
+	idleCheckInterval = time.Second
+	// memoryLimitRatio is the Go memory limit as a fraction of the allowed memory. It is below 1 because memory that the
+	// kernel holds for the process counts too, and a process over the limit is killed.
+	memoryLimitRatio = 0.7
+	// addressTTL is how long callers may cache the addresses of entries; some cache them three times as long. A stopping
+	// entry serves until most cached addresses have expired, and must exit well before it is killed.
 	addressTTL = time.Second
 )
 
-// peerSecret keeps processes of other systems out of the peers' connections. The platform gives its processes no
-// secret; who may reach the peers' port is for its network to say.
+// peerSecret keeps processes of other systems from connecting as peers. The platform provides no secret to its
+// processes; access to the peer port is controlled by its network.
 var peerSecret = sha256.Sum256([]byte("geraniumline entries on one platform"))
 
-// ForwardConfig holds what an entry on the users' platform is built from.
+// ForwardConfig configures an entry that runs on the users' platform.
 type ForwardConfig struct {
 	Settings platform.Settings
 	Log      *zap.Logger
-	// Off are the mechanisms of policy that are switched off.
+	// Disabled lists the policy mechanisms that are switched off.
 	Disabled switcher.Disabled
-	// MetricsPort serves the metrics on the VM's address; 0 serves none.
+	// MetricsPort is the port on the VM's address that serves the metrics; 0 disables it.
 	MetricsPort int
 }
 
-// MetricsPath is where the metrics are served in the Prometheus text form.
+// MetricsPath is the path that serves the metrics in the Prometheus text format.
 const MetricsPath = "/metrics"
 
-// forwarding is the parts of an entry that forwards between the platform's callers and endpoints.
+// forwarding holds the components of an entry that forwards requests from the platform's callers to its endpoints.
 type forwarding struct {
 	settings    platform.Settings
 	metricsPort int
@@ -80,16 +80,17 @@
 	meter     *meter.Meter
 }
 
-// RunForwarding runs an entry on the users' platform until a planned stop, begun by SIGTERM, is done.
+// RunForwarding runs an entry on the users' platform until a planned stop, started by SIGTERM, SIGINT or the end of
+// ctx, is complete.
 func RunForwarding(ctx context.Context, cfg ForwardConfig) error {
 	now := time.Now()
 	settings := cfg.Settings
 	if settings.MemoryBytes > 0 {
-		debug.SetMemoryLimit(int64(memoryShare * float64(settings.MemoryBytes)))
+		debug.SetMemoryLimit(int64(memoryLimitRatio * float64(settings.MemoryBytes)))
 	}
 	logger := cfg.Log.With(zap.String("entry", settings.Name))
 	if names := cfg.Disabled.Names(); len(names) > 0 {
-		logger.Warn("mechanisms are switched off", zap.Strings("mechanisms", names))
+		logger.Warn("policy mechanisms are disabled", zap.Strings("mechanisms", names))
 	}
 	e := &forwarding{settings: settings, log: logger, idle: newIdleConnections(), meter: meter.New(), metricsPort: cfg.MetricsPort}
 	e.forwarder = forwarder.New(forwarder.Config{
@@ -144,7 +145,7 @@
 	return nil
 }
 
-// socket is one address and what is served there.
+// socket is a listen address and the server behind it.
 type socket struct {
 	address string
 	server  *http.Server
@@ -155,23 +156,23 @@
 		Handler:           e.forwarder,
 		ReadHeaderTimeout: headerTimeout,
 		IdleTimeout:       -1,
-		MaxHeaderBytes:    maxHeader,
+		MaxHeaderBytes:    maxHeaderBytes,
 		ErrorLog:          log.New(io.Discard, "", 0),
 		ConnContext:       guarder.FramingContext,
 		ConnState: func(c net.Conn, state http.ConnState) {
 			guarder.FramingState(c, state)
-			e.idle.note(c, state, time.Now())
+			e.idle.track(c, state, time.Now())
 		},
 	}
-	list := []socket{{e.settings.CallerAddress, callers}}
-	for address, mux := range e.smallHandlers() {
-		list = append(list, socket{address, &http.Server{Handler: mux, ReadHeaderTimeout: headerTimeout}})
+	sockets := []socket{{e.settings.CallerAddress, callers}}
+	for address, mux := range e.auxiliaryHandlers() {
+		sockets = append(sockets, socket{address, &http.Server{Handler: mux, ReadHeaderTimeout: headerTimeout}})
 	}
-	return list
+	return sockets
 }
 
-// smallHandlers serves readiness and addresses, which may share a port.
-func (e *forwarding) smallHandlers() map[string]*http.ServeMux {
+// auxiliaryHandlers returns the handlers for readiness, metrics and addresses by listen address. They may share a port.
+func (e *forwarding) auxiliaryHandlers() map[string]*http.ServeMux {
 	muxes := make(map[string]*http.ServeMux)
 	add := func(address, path string, h http.Handler) {
 		if address == "" {
@@ -220,7 +221,7 @@
 		case <-ctx.Done():
 		case s := <-signals:
 			if s == syscall.SIGHUP {
-				e.log.Info("settings were changed; none that is used here changes while a process runs")
+				e.log.Info("ignoring SIGHUP: settings are read only at startup")
 				continue
 			}
 		}
@@ -233,7 +234,7 @@
 	return nil
 }
 
-// startBackground starts all that runs beside the requests.
+// startBackground starts the servers and the background tasks. The result is done when all of them have returned.
 func (e *forwarding) startBackground(ctx context.Context, listeners []net.Listener) *sync.WaitGroup {
 	var background sync.WaitGroup
 	store := platform.NewStore(platform.StoreConfig{Address: e.settings.StoreAddress, Log: e.log})
@@ -256,52 +257,52 @@
 	background.Go(func() { watcher.WatchEndpoints(ctx) })
 	background.Go(func() { directory.Run(ctx) })
 	background.Go(func() { e.forwarder.Run(ctx) })
-	background.Go(func() { e.closeIdle(ctx) })
+	background.Go(func() { e.closeIdleConnections(ctx) })
 	background.Go(func() {
 		if err := e.messenger.Serve(ctx); err != nil && ctx.Err() == nil {
-			e.log.Error("peers are not served any more", zap.Error(err))
+			e.log.Error("peer server failed", zap.Error(err))
 		}
 	})
 	for i, l := range listeners {
 		background.Go(func() {
 			if err := e.servers[i].Serve(l); !errors.Is(err, http.ErrServerClosed) {
-				e.log.Error("socket is not served any more", zap.Stringer("address", l.Addr()), zap.Error(err))
+				e.log.Error("HTTP server failed", zap.Stringer("address", l.Addr()), zap.Error(err))
 			}
 		})
 	}
 	return &background
 }
 
-// closeIdle closes callers' connections that are idle for longer than the configuration allows.
-func (e *forwarding) closeIdle(ctx context.Context) {
-	poll := time.NewTicker(idlePoll)
-	defer poll.Stop()
+// closeIdleConnections closes caller connections that have been idle for longer than the configuration allows.
+func (e *forwarding) closeIdleConnections(ctx context.Context) {
+	ticker := time.NewTicker(idleCheckInterval)
+	defer ticker.Stop()
 	for {
 		select {
 		case <-ctx.Done():
 			return
-		case now := <-poll.C:
-			limit := defaultIdle
+		case now := <-ticker.C:
+			limit := defaultIdleTimeout
 			if c := e.forwarder.Catalog(); c != nil && c.Limits().IdleTimeout > 0 {
 				limit = c.Limits().IdleTimeout
 			}
-			e.idle.close(now, limit)
+			e.idle.closeExpired(now, limit)
 		}
 	}
 }
 
-// stop ends the process without cutting a request.
+// stop drains the entry, then closes the servers and the messenger. Requests may finish within the stop time.
 func (e *forwarding) stop(ctx context.Context) {
-	limit := max(e.settings.StopTime-stopMargin, time.Second)
-	stopCtx, cancel := context.WithTimeout(context.WithoutCancel(ctx), limit+stopMargin/2)
+	timeout := max(e.settings.StopTime-stopMargin, time.Second)
+	stopCtx, cancel := context.WithTimeout(context.WithoutCancel(ctx), timeout+stopMargin/2)
 	defer cancel()
-	e.forwarder.Stop(stopCtx, limit)
+	e.forwarder.Stop(stopCtx, timeout)
 	for _, s := range e.servers {
 		if err := s.Shutdown(stopCtx); err != nil {
-			e.log.Warn("requests were still in flight at the end", zap.Error(err))
+			e.log.Warn("HTTP server did not shut down cleanly; requests may still have been in flight", zap.Error(err))
 		}
 	}
 	if err := e.messenger.Close(); err != nil {
-		e.log.Warn("peers' connections were not closed", zap.Error(err))
+		e.log.Warn("closing the messenger failed", zap.Error(err))
 	}
 }
--- a/assembler/idle.go
+++ b/assembler/idle.go
@@ -7,8 +7,8 @@
 	"time"
 )
 
-// idleConnections are callers' connections that wait for their next request. The time that they may wait is part of
-// the configuration and changes with it, which http.Server's own bound can't.
+// idleConnections tracks caller connections that wait for their next request. Their idle timeout is part of the
+// configuration and changes with it, which http.Server.IdleTimeout does not support.
 type idleConnections struct {
 	mu    sync.Mutex
 	since map[net.Conn]time.Time
@@ -18,8 +18,8 @@
 	return &idleConnections{since: make(map[net.Conn]time.Time)}
 }
 
-// note takes a change of a connection's state.
-func (i *idleConnections) note(c net.Conn, state http.ConnState, now time.Time) {
+// track records a state change of a connection.
+func (i *idleConnections) track(c net.Conn, state http.ConnState, now time.Time) {
 	i.mu.Lock()
 	defer i.mu.Unlock()
 	if state == http.StateIdle || state == http.StateNew {
@@ -29,14 +29,14 @@
 	delete(i.since, c)
 }
 
-// close closes the connections that have waited for longer than limit.
-func (i *idleConnections) close(now time.Time, limit time.Duration) {
+// closeExpired closes the connections that have been idle for longer than limit.
+func (i *idleConnections) closeExpired(now time.Time, limit time.Duration) {
 	i.mu.Lock()
 	defer i.mu.Unlock()
 	for c, since := range i.since {
 		if now.Sub(since) > limit {
 			delete(i.since, c)
-			// An error means that it is closed already.
+			// An error means that the connection is closed already.
 			_ = c.Close()
 		}
 	}
--- a/assembler/sockets.go
+++ b/assembler/sockets.go
@@ -17,20 +17,20 @@
 	"geraniumline/verifier"
 )
 
-// The labels of the sockets in metrics.
+// Values of the metrics' socket label.
 const (
 	socketCaller   = "caller"
 	socketOperator = "operator"
 	socketPeer     = "peer"
 )
 
-// sockets are an entry's listening sockets.
+// sockets holds the servers for callers and operators.
 type sockets struct {
 	callers   *guarder.Server
 	operators *guarder.Server
 }
 
-// openPeers opens the peers' socket. The messenger bounds what its connections may do.
+// openPeers listens for connections from peers. The messenger enforces the limits on each connection.
 func (e *entry) openPeers() (net.Listener, error) {
 	s := e.cfg.Settings
 	return guarder.Listen(guarder.ListenConfig{
@@ -42,27 +42,27 @@
 	})
 }
 
-// openSockets opens the callers' and the operators' sockets, or neither.
+// openSockets opens the sockets for callers and operators. If either fails, none stays open.
 func (e *entry) openSockets() (sockets, error) {
 	callers, operators, err := e.handlers()
 	if err != nil {
 		return sockets{}, oops.In("assembler").Wrap(err)
 	}
 	s := e.cfg.Settings
-	wrong := verifier.New(verifier.Config{})
+	credentialVerifier := verifier.New(verifier.Config{})
 	var opened sockets
-	opened.callers, err = guarder.Open(e.socket("callerAddress", socketCaller, s.CallerAddress, s.TLS.Caller, wrong, callers))
+	opened.callers, err = guarder.Open(e.socket("callerAddress", socketCaller, s.CallerAddress, s.TLS.Caller, credentialVerifier, callers))
 	if err != nil {
 		return sockets{}, err
 	}
-	opened.operators, err = guarder.Open(e.socket("operatorAddress", socketOperator, s.OperatorAddress, s.TLS.Operator, wrong, operators))
+	opened.operators, err = guarder.Open(e.socket("operatorAddress", socketOperator, s.OperatorAddress, s.TLS.Operator, credentialVerifier, operators))
 	if err != nil {
 		return sockets{}, errors.Join(err, opened.callers.Close())
 	}
 	return opened, nil
 }
 
-func (e *entry) socket(field, label, address string, certificate loader.Certificate, wrong *verifier.Verifier, handler http.Handler) guarder.Config {
+func (e *entry) socket(field, label, address string, certificate loader.Certificate, credentialVerifier *verifier.Verifier, handler http.Handler) guarder.Config {
 	return guarder.Config{
 		ListenConfig: guarder.ListenConfig{
 			Field:          field,
@@ -74,31 +74,31 @@
 		Certificate:  guarder.CertificateConfig{CertFile: certificate.CertFile, KeyFile: certificate.KeyFile},
 		Handler:      handler,
 		MaxBodyBytes: e.cfg.Settings.MaxBodyBytes,
-		Verifier:     wrong,
+		Verifier:     credentialVerifier,
 		Log:          e.cfg.Log,
 	}
 }
 
-// handlers makes what the sockets serve.
+// handlers returns the HTTP handlers for callers and operators.
 func (e *entry) handlers() (callers, operators http.Handler, err error) {
 	callers, err = receiver.NewCallers(receiver.CallersConfig{Core: e.performer, Tracer: e.tracer, Meter: e.meter})
 	if err != nil {
 		return nil, nil, err
 	}
-	served := receiver.NewOperators(receiver.OperatorsConfig{
+	operatorAPI := receiver.NewOperators(receiver.OperatorsConfig{
 		Core:   e.performer,
 		Tracer: e.tracer,
 		Hashes: operatorHashes(e.cfg.Settings),
 	})
-	api, err := served.Handler()
+	api, err := operatorAPI.Handler()
 	if err != nil {
 		return nil, nil, err
 	}
-	return callers, e.operatorPages(served, api), nil
+	return callers, e.operatorPages(operatorAPI, api), nil
 }
 
-// operatorPages adds the status page and the metrics to the operators' interface. All need an operator's
-// credential: metrics name client accounts.
+// operatorPages adds the status page and the metrics to the operator API. All of them require an operator
+// credential, because metrics contain the names of client accounts.
 func (e *entry) operatorPages(operators *receiver.Operators, api http.Handler) http.Handler {
 	mux := http.NewServeMux()
 	mux.Handle("GET /{$}", operators.Authenticated(presenter.Handler(statusOf(operators), time.Now)))
