--- a/assembler/explain_test.go
+++ b/assembler/explain_test.go
@@ -17,7 +17,7 @@
 	"geraniumline/platform/imitator"
 )
 
-// logBuffer takes the lines of all entries.
+// logBuffer collects the log lines of all entries.
 type logBuffer struct {
 	mu sync.Mutex
 	b  bytes.Buffer
@@ -35,7 +35,7 @@
 	return l.b.String()
 }
 
-// newLoggedFleet starts entries that log into one buffer.
+// newLoggedFleet starts n entries that log to the same buffer.
 func newLoggedFleet(t *testing.T, n int) (*fleet, *logBuffer) {
 	t.Helper()
 	encoding := zap.NewProductionEncoderConfig()
@@ -48,11 +48,11 @@
 	for range n {
 		f.start("")
 	}
-	f.await()
+	f.awaitReady()
 	return f, logs
 }
 
-// explain gives the report on a request once its end is on record.
+// explain returns the report on a request once the logs name the cause of its outcome.
 func explain(t *testing.T, logs *logBuffer, id string) explainer.Report {
 	t.Helper()
 	var report explainer.Report
@@ -60,22 +60,22 @@
 		var err error
 		report, err = explainer.Read(strings.NewReader(logs.text()), id)
 		return err == nil && report.Cause != ""
-	}, forwardPatience, 10*time.Millisecond)
+	}, waitTimeout, 10*time.Millisecond)
 	return report
 }
 
-// Three callers complain: one was refused under load, one lost the results of a stage, one had a call that may have run
-// and was not repeated. The logs alone must name the cause of each, and hold no credential and no body.
+// Three requests fail: one is refused under load, one loses the results of a stage, one has a call that may have run
+// and is not repeated. The logs alone must name the cause of each, and must contain no credential and no body.
 func TestTheLogsExplainThreeFailures(t *testing.T) {
 	f, logs := newLoggedFleet(t, 2)
-	f.fail("plain", imitator.Full, 6)
-	refused := f.ask(0, imitator.OncePath, "refused-1")
+	f.injectFault("plain", imitator.Full, 6)
+	refused := f.newRequest(0, imitator.OncePath, "refused-1")
 	refused.Body = "body-that-is-private"
 	require.Equal(t, http.StatusServiceUnavailable, f.call(refused).Status)
 	require.Equal(t, "noEndpoint", explain(t, logs, "refused-1").Cause)
 
-	f.fail("rank", imitator.Broken, -1)
-	lost := f.ask(1, imitator.StagesPath, "lost-1")
+	f.injectFault("rank", imitator.Broken, -1)
+	lost := f.newRequest(1, imitator.StagesPath, "lost-1")
 	lost.Pieces = "2,3"
 	require.Equal(t, http.StatusServiceUnavailable, f.call(lost).Status)
 	report := explain(t, logs, "lost-1")
@@ -88,8 +88,8 @@
 	require.Equal(t, 1, steps["stage completed"])
 	require.Positive(t, steps["call for pieces failed"])
 
-	f.fail("plain", imitator.Broken, -1)
-	require.Equal(t, http.StatusBadGateway, f.call(f.ask(0, imitator.OncePath, "maybe-1")).Status)
+	f.injectFault("plain", imitator.Broken, -1)
+	require.Equal(t, http.StatusBadGateway, f.call(f.newRequest(0, imitator.OncePath, "maybe-1")).Status)
 	require.Equal(t, "endpointBroke", explain(t, logs, "maybe-1").Cause)
 
 	text := logs.text()
--- a/assembler/fleet_test.go
+++ b/assembler/fleet_test.go
@@ -19,18 +19,18 @@
 	"geraniumline/platform/imitator"
 )
 
-const forwardPatience = 20 * time.Second
+const waitTimeout = 20 * time.Second
 
-// node is one entry that runs in the test's process.
+// node is an entry that runs in the test process.
 type node struct {
 	callers, ready, addresses, peers string
-	// metrics is where the entry serves its metrics.
+	// metrics is the address at which the entry serves its metrics.
 	metrics string
 	stop    context.CancelFunc
 	done    chan error
 }
 
-// fleet is entries before a platform of stand-ins.
+// fleet runs entries in front of an imitated platform.
 type fleet struct {
 	t     *testing.T
 	site  *imitator.Site
@@ -38,52 +38,52 @@
 	log   *zap.Logger
 }
 
-// newFleet starts n entries and waits until all are ready and know of each other.
+// newFleet starts n entries and waits until all are ready and have discovered each other.
 func newFleet(t *testing.T, n int) *fleet {
 	t.Helper()
-	return newFleetBefore(t, imitator.NewSite(), n)
+	return newFleetAt(t, imitator.NewSite(), n)
 }
 
-// newFleetBefore starts n entries before a site that the test has set up.
-func newFleetBefore(t *testing.T, site *imitator.Site, n int) *fleet {
+// newFleetAt starts n entries at a site that the test has set up.
+func newFleetAt(t *testing.T, site *imitator.Site, n int) *fleet {
 	t.Helper()
 	f := &fleet{t: t, site: site, log: zap.NewNop()}
 	t.Cleanup(f.close)
 	for range n {
 		f.start("")
 	}
-	f.await()
+	f.awaitReady()
 	return f
 }
 
-// startOptions tells in what an entry's settings differ from the others'.
+// startOptions overrides settings of one entry.
 type startOptions struct {
-	// store is the address of another store than the site's.
-	store string
-	// seedless names none of the living entries.
-	seedless bool
+	// storeAddress replaces the address of the site's store.
+	storeAddress string
+	// withoutSeeds starts the entry without any running entry among its seeds.
+	withoutSeeds bool
 }
 
-// start starts one more entry; a store address replaces the site's.
-func (f *fleet) start(store string) *node {
+// start starts another entry. A non-empty storeAddress replaces the address of the site's store.
+func (f *fleet) start(storeAddress string) *node {
 	f.t.Helper()
-	return f.startWith(startOptions{store: store})
+	return f.startWith(startOptions{storeAddress: storeAddress})
 }
 
-// startCut starts one more entry, which the store leaves without an answer.
-func (f *fleet) startCut() *node {
+// startWithoutStore starts another entry, whose store never answers.
+func (f *fleet) startWithoutStore() *node {
 	f.t.Helper()
-	cut := imitator.NewStore()
-	cut.SetOutage(imitator.Silent)
-	f.t.Cleanup(cut.Close)
-	return f.start(cut.Address())
+	store := imitator.NewStore()
+	store.SetOutage(imitator.Silent)
+	f.t.Cleanup(store.Close)
+	return f.start(store.Address())
 }
 
 func (f *fleet) startWith(o startOptions) *node {
 	f.t.Helper()
 	var seeds []string
 	for _, n := range f.nodes {
-		if !o.seedless {
+		if !o.withoutSeeds {
 			seeds = append(seeds, n.peers)
 		}
 	}
@@ -93,8 +93,8 @@
 	file, nd.callers, nd.ready, nd.addresses, nd.peers = f.site.Settings(f.t, name, seeds...)
 	settings, err := platform.LoadSettings(file)
 	require.NoError(f.t, err)
-	if o.store != "" {
-		settings.StoreAddress = o.store
+	if o.storeAddress != "" {
+		settings.StoreAddress = o.storeAddress
 	}
 	ctx, cancel := context.WithCancel(context.Background())
 	nd.stop = cancel
@@ -109,8 +109,8 @@
 	return nd
 }
 
-// await waits until each entry is ready and names all of them to callers.
-func (f *fleet) await() {
+// awaitReady waits until each entry is ready and returns the addresses of all of them to callers.
+func (f *fleet) awaitReady() {
 	f.t.Helper()
 	require.Eventually(f.t, func() bool {
 		for _, nd := range f.nodes {
@@ -120,7 +120,7 @@
 			}
 		}
 		return true
-	}, forwardPatience, 10*time.Millisecond)
+	}, waitTimeout, 10*time.Millisecond)
 }
 
 func (f *fleet) close() {
@@ -133,19 +133,19 @@
 	f.site.Close()
 }
 
-// ask gives a request of the account to an entry.
-func (f *fleet) ask(entry int, path, id string) imitator.Ask {
+// newRequest returns a request of the test account to an entry.
+func (f *fleet) newRequest(entry int, path, id string) imitator.Ask {
 	return imitator.Ask{Address: f.nodes[entry].callers, Path: path, ID: id, Key: imitator.Key}
 }
 
-func (f *fleet) call(a imitator.Ask) imitator.Reply {
+func (f *fleet) call(request imitator.Ask) imitator.Reply {
 	f.t.Helper()
-	reply, err := a.Call(f.t.Context())
+	reply, err := request.Call(f.t.Context())
 	require.NoError(f.t, err)
 	return reply
 }
 
-// runs lists the runs of an attempt at all endpoints.
+// runs returns the runs of an attempt at all endpoints.
 func (f *fleet) runs(id string) []imitator.Run {
 	var all []imitator.Run
 	for _, e := range f.site.Endpoints {
@@ -158,14 +158,14 @@
 	return all
 }
 
-// fail lets both endpoints of a service fail.
-func (f *fleet) fail(service string, fault imitator.Fault, n int) {
+// injectFault makes both endpoints of a service fail the next n requests, or all if n is negative.
+func (f *fleet) injectFault(service string, fault imitator.Fault, n int) {
 	for i := range 2 {
 		f.site.Endpoint(fmt.Sprintf("i-%s-%d", service, i)).Fail(fault, n)
 	}
 }
 
-// metric reads one metric of an entry.
+// metric returns the value of an entry's metric, or an empty string if there is none.
 func (f *fleet) metric(entry int, name string) string {
 	f.t.Helper()
 	resp, err := http.Get("http://" + f.nodes[entry].metrics + MetricsPath)
--- a/assembler/harness_test.go
+++ b/assembler/harness_test.go
@@ -29,25 +29,26 @@
 	testOperator   = "operator"
 )
 
-// testEntry is one entry in this process, with stand-ins for all that it talks to.
+// testEntry is an entry that runs in this process, with fakes of everything that it talks to.
 type testEntry struct {
-	caller   string
-	operator *operatorserver.Client
-	ledgers  []*faker.Endpoint
-	stages   []string
+	// caller is the address for callers.
+	caller            string
+	operator          *operatorserver.Client
+	endpoints         []*faker.Endpoint
+	endpointAddresses []string
 }
 
 func (testEntry) BasicAuth(context.Context, operatorserver.OperationName) (operatorserver.BasicAuth, error) {
 	return operatorserver.BasicAuth{Username: testOperator, Password: testCredential}, nil
 }
 
-// startEntry runs an entry until the test ends. Its pipelines are "summary", whose stages may all be repeated,
-// and "ticket", whose last stage may not.
+// startEntry runs an entry until the test ends. Its pipelines are "summary", whose stages are all repeatable,
+// and "ticket", whose last stage is not.
 func startEntry(t testing.TB, slots int) *testEntry {
 	return startEntryWith(t, slots, newServices(slots))
 }
 
-// newServices gives each pool a stand-in that answers at once.
+// newServices returns a factory of fake endpoints that answer after 2 ms.
 func newServices(slots int) func(pool string) (*faker.Endpoint, http.Handler) {
 	return func(string) (*faker.Endpoint, http.Handler) {
 		endpoint := faker.NewService(faker.ServiceConfig{
@@ -58,7 +59,7 @@
 	}
 }
 
-// startEntryWith has newEndpoint make each pool's one endpoint, and the handler that it is reached by.
+// startEntryWith is like startEntry, but gets the single endpoint of each pool and its handler from newEndpoint.
 func startEntryWith(t testing.TB, slots int, newEndpoint func(pool string) (*faker.Endpoint, http.Handler)) *testEntry {
 	e := &testEntry{}
 	var vms []platformserver.VM
@@ -68,8 +69,8 @@
 		t.Cleanup(func() { server.Close(); endpoint.Close() })
 		address := strings.TrimPrefix(server.URL, "http://")
 		vms = append(vms, platformserver.VM{Address: address, Zone: "zone-a", Pool: pool, State: platformserver.VMStateLive})
-		e.ledgers = append(e.ledgers, endpoint)
-		e.stages = append(e.stages, address)
+		e.endpoints = append(e.endpoints, endpoint)
+		e.endpointAddresses = append(e.endpointAddresses, address)
 	}
 	log := faker.NewLog(faker.LogConfig{})
 	logServer := httptest.NewServer(log.Handler())
@@ -119,7 +120,7 @@
 	e.operator = client
 	require.Eventually(t, func() bool {
 		status, err := client.GetStatus(ctx)
-		return err == nil && len(status.Endpoints) == len(e.stages)
+		return err == nil && len(status.Endpoints) == len(e.endpointAddresses)
 	}, 10*time.Second, 10*time.Millisecond)
 }
 
@@ -173,10 +174,10 @@
 	}
 }
 
-// executions counts the calls that all endpoints have run.
+// executions returns the number of calls that all endpoints have run.
 func (e *testEntry) executions() int {
 	n := 0
-	for _, endpoint := range e.ledgers {
+	for _, endpoint := range e.endpoints {
 		n += len(endpoint.Ledger().Executions)
 	}
 	return n
--- a/assembler/notice_test.go
+++ b/assembler/notice_test.go
@@ -13,11 +13,11 @@
 	"geraniumline/platform/imitator"
 )
 
-// limitWindow is the span in which requests at a limited endpoint are counted.
+// limitWindow is the period over which the requests at a limited endpoint are counted.
 const limitWindow = 4 * time.Second
 
-// timesOf lists when arrivals came.
-func timesOf(arrivals []imitator.Arrival) []time.Time {
+// arrivalTimes returns the times of arrivals.
+func arrivalTimes(arrivals []imitator.Arrival) []time.Time {
 	times := make([]time.Time, len(arrivals))
 	for i, a := range arrivals {
 		times[i] = a.At
@@ -25,8 +25,8 @@
 	return times
 }
 
-// countsOne tells whether an entry counts one endpoint of each service by a gauge.
-func (f *fleet) countsOne(entry int, gauge string) bool {
+// reportsOnePerService reports whether a gauge of an entry is 1 for each service.
+func (f *fleet) reportsOnePerService(entry int, gauge string) bool {
 	for _, service := range services {
 		if f.metric(entry, fmt.Sprintf("%s{service=%q}", gauge, service)) != "1" {
 			return false
@@ -35,7 +35,7 @@
 	return true
 }
 
-// Guards against entries that pass over the limit in an endpoint's answers: plain ones, streams and calls for pieces.
+// Guards against entries that ignore the limit in an endpoint's answers to plain requests, streams and piece calls.
 func TestALimitInAnswersIsKept(t *testing.T) {
 	const limit = 1
 	f := newFleet(t, 3)
@@ -50,12 +50,12 @@
 	require.Eventually(t, func() bool {
 		serve("told")
 		for entry := range f.nodes {
-			if !f.countsOne(entry, "geraniumline_endpoints_limited") {
+			if !f.reportsOnePerService(entry, "geraniumline_endpoints_limited") {
 				return false
 			}
 		}
 		return true
-	}, forwardPatience, 10*time.Millisecond, "every entry hears of all limits, by answers or from its peers")
+	}, waitTimeout, 10*time.Millisecond, "every entry learns all limits from answers or from its peers")
 	before := make(map[string]int)
 	for _, service := range services {
 		before[service] = len(f.site.Endpoint(fmt.Sprintf("i-%s-0", service)).Arrivals())
@@ -65,12 +65,13 @@
 	}
 	for _, service := range services {
 		got := f.site.Endpoint(fmt.Sprintf("i-%s-0", service)).Arrivals()[before[service]:]
-		require.LessOrEqual(t, measurer.MostWithin(timesOf(got), limitWindow), 3*limit*4/2+5, service)
+		require.LessOrEqual(t, measurer.MostWithin(arrivalTimes(got), limitWindow), 3*limit*4/2+5, service)
 	}
-	require.Equal(t, http.StatusOK, f.call(f.ask(0, imitator.PlainPath, "last")).Status)
+	require.Equal(t, http.StatusOK, f.call(f.newRequest(0, imitator.PlainPath, "last")).Status)
 }
 
-// Guards against requests and pieces that go to endpoints whose answers say that they leave, as while the store is away.
+// Guards against requests and pieces sent to endpoints that announce in their answers that they are leaving, as they do
+// while the store is unavailable.
 func TestEndpointsWhoseAnswersSayThatTheyLeaveGetNothing(t *testing.T) {
 	f := newFleet(t, 3)
 	for _, service := range services {
@@ -78,15 +79,15 @@
 	}
 	require.Eventually(t, func() bool {
 		for entry := range f.nodes {
-			if !f.idle(entry, 0) {
+			if !f.receivesNothing(entry, 0) {
 				return false
 			}
 		}
 		return true
-	}, forwardPatience, 20*time.Millisecond)
+	}, waitTimeout, 20*time.Millisecond)
 	for entry := range f.nodes {
-		require.True(t, f.idle(entry, 0))
-		require.Eventually(t, func() bool { return f.countsOne(entry, "geraniumline_endpoints_leaving") }, forwardPatience, 10*time.Millisecond)
+		require.True(t, f.receivesNothing(entry, 0))
+		require.Eventually(t, func() bool { return f.reportsOnePerService(entry, "geraniumline_endpoints_leaving") }, waitTimeout, 10*time.Millisecond)
 	}
 	for _, service := range services {
 		e := f.site.Endpoint(fmt.Sprintf("i-%s-0", service))
@@ -94,12 +95,12 @@
 		f.site.Enter(e, service, "in_service")
 	}
 	for entry := range f.nodes {
-		require.Eventually(t, func() bool { return !f.idle(entry, 0) }, forwardPatience, 20*time.Millisecond, "a new start is used")
+		require.Eventually(t, func() bool { return !f.receivesNothing(entry, 0) }, waitTimeout, 20*time.Millisecond, "a restarted endpoint is used again")
 	}
 }
 
-// Guards against an endpoint that gets one request after the other while it turns all away and asks for rest, and against
-// callers that are refused though its sibling has room.
+// Guards against sending request after request to an endpoint that refuses them all and asks for a pause, and against
+// refusing callers although the service's other endpoint has capacity.
 func TestAnEndpointThatAsksForRestGetsIt(t *testing.T) {
 	f := newFleet(t, 3)
 	for _, service := range services {
@@ -123,8 +124,9 @@
 	}
 }
 
-// Guards against callers that are sent back within a moment, again and again, while all endpoints of a service rest.
-func TestARestingServiceRefusesAtOnceAndSaysUntilWhen(t *testing.T) {
+// Guards against callers that are told to retry within moments, over and over, while all endpoints of a service have asked
+// for a pause.
+func TestAPausedServiceRefusesAtOnceWithItsRetryTime(t *testing.T) {
 	f := newFleet(t, 1)
 	for i := range 2 {
 		f.site.Endpoint(fmt.Sprintf("i-plain-%d", i)).AskForRest(4 * time.Second)
@@ -135,9 +137,9 @@
 	refuse := func(round string) []imitator.Reply {
 		var replies []imitator.Reply
 		for _, path := range paths {
-			a := f.ask(0, path, round+path)
-			a.Pieces = "3,5"
-			replies = append(replies, f.call(a))
+			request := f.newRequest(0, path, round+path)
+			request.Pieces = "3,5"
+			replies = append(replies, f.call(request))
 		}
 		return replies
 	}
@@ -156,6 +158,6 @@
 		require.Greater(t, seconds, 1.0, paths[i])
 		require.Less(t, seconds, 6.0, paths[i])
 	}
-	require.Equal(t, before, requests(), "nothing is sent that can't be served")
+	require.Equal(t, before, requests(), "requests that can't be served are not sent to endpoints")
 	require.Empty(t, f.runs("second"+imitator.StagesPath))
 }
--- a/assembler/openness_test.go
+++ b/assembler/openness_test.go
@@ -12,7 +12,7 @@
 	"geraniumline/platform/imitator"
 )
 
-// services are those of the stand-ins, each of which has two endpoints.
+// services are the services of the imitated platform, with two endpoints each.
 var services = []string{"plain", "model", "encode", "rank"}
 
 // splitZones moves the second endpoint of each service to another zone.
@@ -22,8 +22,8 @@
 	}
 }
 
-// work counts the requests and pieces that the endpoints of the number have got.
-func (f *fleet) work(number int) (n int) {
+// workCount returns how many requests and pieces the endpoints with the given number have run.
+func (f *fleet) workCount(number int) (n int) {
 	for _, service := range services {
 		e := f.site.Endpoint(fmt.Sprintf("i-%s-%d", service, number))
 		n += len(e.Runs()) + e.Pieces()
@@ -31,71 +31,72 @@
 	return n
 }
 
-// serveAll sends requests of each kind to an entry and requires that all are served.
+// serveAll sends requests of each kind to an entry and requires that all of them succeed.
 func (f *fleet) serveAll(entry int, name string) {
 	f.t.Helper()
 	for i := range 4 {
 		for _, path := range []string{imitator.PlainPath, imitator.StreamPath, imitator.StagesPath} {
-			a := f.ask(entry, path, fmt.Sprintf("%s-%d%s", name, i, path))
+			request := f.newRequest(entry, path, fmt.Sprintf("%s-%d%s", name, i, path))
 			if path == imitator.StagesPath {
-				a.Pieces = "3,5"
+				request.Pieces = "3,5"
 			}
-			require.Equal(f.t, http.StatusOK, f.call(a).Status, path)
+			require.Equal(f.t, http.StatusOK, f.call(request).Status, path)
 		}
 	}
 }
 
-// idle tells whether the endpoints of a number get nothing of what is sent to an entry.
-func (f *fleet) idle(entry, number int) bool {
-	before := f.work(number)
+// receivesNothing reports whether the endpoints with the given number run none of the requests sent to an entry.
+func (f *fleet) receivesNothing(entry, number int) bool {
+	before := f.workCount(number)
 	f.serveAll(entry, "idle")
-	return f.work(number) == before
+	return f.workCount(number) == before
 }
 
-// The operator evacuates an availability zone and takes it back. Its endpoints must get neither requests nor pieces, while
-// callers notice nothing; afterwards they are used again. An entry that can't reach the store hears of both from its peers.
+// The operator evacuates an availability zone and ends the evacuation. Meanwhile the zone's endpoints must receive neither
+// requests nor pieces, and no request may fail; afterwards they must be used again. An entry that can't reach the store
+// learns of both from its peers.
 func TestAnEvacuatedZoneGetsNothing(t *testing.T) {
 	f := newFleet(t, 2)
-	f.startCut()
-	f.await()
+	f.startWithoutStore()
+	f.awaitReady()
 	f.splitZones(imitator.ZoneB)
 	for entry := range 3 {
 		f.serveAll(entry, "before")
 	}
 	f.site.Evacuate(imitator.ZoneB)
 	for entry := range 3 {
-		require.Eventually(t, func() bool { return f.idle(entry, 1) }, forwardPatience, 20*time.Millisecond)
+		require.Eventually(t, func() bool { return f.receivesNothing(entry, 1) }, waitTimeout, 20*time.Millisecond)
 	}
-	// A newer configuration and a forgotten history change nothing of it.
+	// Neither a newer configuration nor the loss of the operator's history may end the evacuation.
 	f.site.Configure()
 	f.site.ForgetOperator()
 	time.Sleep(200 * time.Millisecond)
 	for entry := range 3 {
-		require.True(t, f.idle(entry, 1))
+		require.True(t, f.receivesNothing(entry, 1))
 	}
 	f.site.TakeBack(imitator.ZoneB)
 	f.site.ForgetOperator()
 	for entry := range 3 {
-		require.Eventually(t, func() bool { return !f.idle(entry, 1) }, forwardPatience, 20*time.Millisecond)
+		require.Eventually(t, func() bool { return !f.receivesNothing(entry, 1) }, waitTimeout, 20*time.Millisecond)
 	}
 }
 
-// An entry starts while a zone is evacuated. It must not serve a single request there before it has heard of it.
+// An entry starts while a zone is evacuated. It must not send a single request there before it learns of the evacuation.
 func TestANewEntryKnowsWhatIsEvacuated(t *testing.T) {
 	f := newFleet(t, 1)
 	f.splitZones(imitator.ZoneB)
 	f.site.Evacuate(imitator.ZoneB)
-	require.Eventually(t, func() bool { return f.idle(0, 1) }, forwardPatience, 20*time.Millisecond)
-	before := f.work(1)
+	require.Eventually(t, func() bool { return f.receivesNothing(0, 1) }, waitTimeout, 20*time.Millisecond)
+	before := f.workCount(1)
 	nd := f.start("")
-	require.Eventually(t, func() bool { return imitator.Ready(t.Context(), nd.ready) }, forwardPatience, time.Millisecond)
+	require.Eventually(t, func() bool { return imitator.Ready(t.Context(), nd.ready) }, waitTimeout, time.Millisecond)
 	f.serveAll(1, "new")
-	require.Equal(t, before, f.work(1))
+	require.Equal(t, before, f.workCount(1))
 }
 
-// All zones are evacuated. A request that nothing may serve is refused at once, truly, and its caller told when to come
-// back; held until its deadline it could not.
-func TestNothingIsHeldWhereAllIsEvacuated(t *testing.T) {
+// All zones are evacuated. A request that no endpoint may serve must be refused at once with a retry time, instead of
+// being held until its deadline.
+func TestRequestsAreRefusedAtOnceWhenAllZonesAreEvacuated(t *testing.T) {
 	f := newFleet(t, 1)
 	f.splitZones(imitator.ZoneB)
 	f.site.Evacuate(imitator.ZoneB)
@@ -105,56 +106,57 @@
 		id := "all" + path
 		require.Eventually(t, func() bool {
 			began := time.Now()
-			a := f.ask(0, path, id)
-			a.Pieces = "3,5"
-			reply = f.call(a)
+			request := f.newRequest(0, path, id)
+			request.Pieces = "3,5"
+			reply = f.call(request)
 			return reply.Status == http.StatusServiceUnavailable && time.Since(began) < time.Second
-		}, forwardPatience, 20*time.Millisecond)
+		}, waitTimeout, 20*time.Millisecond)
 		require.NotEmpty(t, reply.RetryAfter, path)
 	}
 	f.site.TakeBack(imitator.ZoneA)
 	require.Eventually(t, func() bool {
-		return f.call(f.ask(0, imitator.PlainPath, "again")).Status == http.StatusOK
-	}, forwardPatience, 20*time.Millisecond)
+		return f.call(f.newRequest(0, imitator.PlainPath, "again")).Status == http.StatusOK
+	}, waitTimeout, 20*time.Millisecond)
 }
 
-// A client account may be served at home only. Its requests and their pieces must not reach an endpoint of another region;
-// where nothing at home can serve they are refused at once, and truly.
+// A client account may be served in its home region only. Its requests and their pieces must not reach an endpoint of
+// another region. If no endpoint of the home region can serve them, they must be refused with a retry time.
 func TestRequestsStayInTheirHomes(t *testing.T) {
 	f := newFleet(t, 1)
 	f.splitZones(imitator.ZoneFar)
 	f.site.Tenants[0]["AllowedRegions"] = []string{imitator.Region}
 	f.site.Configure()
-	require.Eventually(t, func() bool { return f.idle(0, 1) }, forwardPatience, 20*time.Millisecond)
+	require.Eventually(t, func() bool { return f.receivesNothing(0, 1) }, waitTimeout, 20*time.Millisecond)
 	f.site.Evacuate(imitator.ZoneA)
 	var reply imitator.Reply
 	require.Eventually(t, func() bool {
-		reply = f.call(f.ask(0, imitator.OncePath, "home"))
+		reply = f.call(f.newRequest(0, imitator.OncePath, "home"))
 		return reply.Status == http.StatusServiceUnavailable
-	}, forwardPatience, 20*time.Millisecond)
+	}, waitTimeout, 20*time.Millisecond)
 	require.NotEmpty(t, reply.RetryAfter)
 	f.site.Tenants[0]["AllowedRegions"] = []string{imitator.FarRegion}
 	f.site.Configure()
 	require.Eventually(t, func() bool {
-		return f.call(f.ask(0, imitator.PlainPath, "far")).Status == http.StatusOK
-	}, forwardPatience, 20*time.Millisecond)
-	require.True(t, f.idle(0, 0))
+		return f.call(f.newRequest(0, imitator.PlainPath, "far")).Status == http.StatusOK
+	}, waitTimeout, 20*time.Millisecond)
+	require.True(t, f.receivesNothing(0, 0))
 }
 
-// One of two model endpoints becomes cold under load that three entries send. Found empty it would get all of it, crash, come
-// back cold and crash again. Between them the entries must stay within what it bears, and still use it.
+// One of two model endpoints becomes cold while three entries send load. If the entries chose it for its free capacity, it
+// would receive all the load, crash, restart cold and crash again. Together they must stay within the load that it can
+// handle, and still use it.
 func TestAColdEndpointIsNotOverrun(t *testing.T) {
 	f := newFleet(t, 3)
 	const cold = "i-model-1"
-	f.site.Chill(cold, "model", forwardPatience)
+	f.site.Chill(cold, "model", waitTimeout)
 	for entry := range 3 {
-		require.Eventually(t, func() bool { return f.metric(entry, "geraniumline_endpoints_cold") == "1" }, forwardPatience, 20*time.Millisecond)
+		require.Eventually(t, func() bool { return f.metric(entry, "geraniumline_endpoints_cold") == "1" }, waitTimeout, 20*time.Millisecond)
 	}
-	f.site.Endpoint(cold).Chill(forwardPatience)
+	f.site.Endpoint(cold).Chill(waitTimeout)
 	var callers sync.WaitGroup
 	for i := range 120 {
 		callers.Go(func() {
-			reply := f.call(f.ask(i%3, imitator.StreamPath, fmt.Sprintf("cold-%d", i)))
+			reply := f.call(f.newRequest(i%3, imitator.StreamPath, fmt.Sprintf("cold-%d", i)))
 			require.Equal(t, http.StatusOK, reply.Status)
 		})
 		time.Sleep(10 * time.Millisecond)
@@ -164,8 +166,8 @@
 	require.Positive(t, f.site.Endpoint(cold).ColdArrivals())
 }
 
-// A stage's service has so many endpoints that it is collected by zones. Each request's pieces are made in one zone, both zones
-// are used, and an evacuation of one sends all to the other.
+// A stage's service has so many endpoints that its pieces are collected by zone. The pieces of each request must run in one
+// zone, both zones must be used, and after the evacuation of one zone all pieces must run in the other.
 func TestALargeServiceIsCollectedByZones(t *testing.T) {
 	f := newFleet(t, 3)
 	zones := map[string]string{}
@@ -177,40 +179,40 @@
 	for _, e := range f.site.Endpoints {
 		zones[e.ID] = f.site.Zones[e.ID]
 	}
-	made := func(attempt string) map[string]int {
-		in := map[string]int{}
+	piecesByZone := func(attempt string) map[string]int {
+		counts := map[string]int{}
 		for _, e := range f.site.Endpoints {
-			in[zones[e.ID]] += len(e.PieceInputs(attempt, 0))
+			counts[zones[e.ID]] += len(e.PieceInputs(attempt, 0))
 		}
-		return in
+		return counts
 	}
-	used := func(name string) map[string]int {
-		all := map[string]int{}
+	requestsByZone := func(name string) map[string]int {
+		counts := map[string]int{}
 		for i := range 12 {
-			a := f.ask(i%3, imitator.StagesPath, fmt.Sprintf("%s-%d", name, i))
-			a.Pieces = "6,2"
-			require.Equal(t, http.StatusOK, f.call(a).Status)
-			in := made(a.ID)
-			if len(in) == 1 || in[imitator.ZoneB] == 6 || in[imitator.ZoneB] == 0 {
-				all["whole"]++
+			request := f.newRequest(i%3, imitator.StagesPath, fmt.Sprintf("%s-%d", name, i))
+			request.Pieces = "6,2"
+			require.Equal(t, http.StatusOK, f.call(request).Status)
+			byZone := piecesByZone(request.ID)
+			if len(byZone) == 1 || byZone[imitator.ZoneB] == 6 || byZone[imitator.ZoneB] == 0 {
+				counts["whole"]++
 			}
-			if in[imitator.ZoneB] > 0 {
-				all[imitator.ZoneB]++
+			if byZone[imitator.ZoneB] > 0 {
+				counts[imitator.ZoneB]++
 			} else {
-				all[imitator.ZoneA]++
+				counts[imitator.ZoneA]++
 			}
 		}
-		return all
+		return counts
 	}
 	round := 0
 	require.Eventually(t, func() bool {
 		round++
-		all := used(fmt.Sprint("both", round))
-		return all["whole"] == 12 && all[imitator.ZoneA] > 0 && all[imitator.ZoneB] > 0
-	}, forwardPatience, 20*time.Millisecond)
+		counts := requestsByZone(fmt.Sprint("both", round))
+		return counts["whole"] == 12 && counts[imitator.ZoneA] > 0 && counts[imitator.ZoneB] > 0
+	}, waitTimeout, 20*time.Millisecond)
 	f.site.Evacuate(imitator.ZoneB)
 	require.Eventually(t, func() bool {
 		round++
-		return used(fmt.Sprint("one", round))[imitator.ZoneB] == 0
-	}, forwardPatience, 20*time.Millisecond)
+		return requestsByZone(fmt.Sprint("one", round))[imitator.ZoneB] == 0
+	}, waitTimeout, 20*time.Millisecond)
 }
--- a/assembler/refusal_test.go
+++ b/assembler/refusal_test.go
@@ -14,12 +14,12 @@
 	"geraniumline/caller"
 )
 
-// A caller that sends something wrong gets a code that says what, and an outcome that says that nothing ran.
-// The proof that nothing ran is the endpoints' own ledger, which stays empty.
-func TestWrongRequestsAreRefusedAndRunNothing(t *testing.T) {
+// An invalid request must be refused with a code that names the error and an outcome that says that nothing ran.
+// The endpoints' ledgers must stay empty.
+func TestInvalidRequestsAreRefusedAndNotRun(t *testing.T) {
 	e := startEntry(t, 8)
-	old := uuidV7(t, time.Now().Add(-2*time.Hour))
-	future := uuidV7(t, time.Now().Add(time.Hour))
+	old := uuidV7At(t, time.Now().Add(-2*time.Hour))
+	future := uuidV7At(t, time.Now().Add(time.Hour))
 	good := `{"input":"x","deadlineMillis":1000}`
 	scenarios := []struct {
 		testName   string
@@ -50,7 +50,7 @@
 		{"no deadline", testAccount, "", "summary", "k", `{"input":"x"}`, 400, "badRequest"},
 		{"deadline passed", testAccount, "", "summary", "k", `{"input":"x","deadlineMillis":0}`, 400, "badRequest"},
 		{"negative deadline", testAccount, "", "summary", "k", `{"input":"x","deadlineMillis":-5}`, 400, "badRequest"},
-		{"absurd deadline", testAccount, "", "summary", "k", `{"input":"x","deadlineMillis":99999999}`, 400, "badRequest"},
+		{"deadline too long", testAccount, "", "summary", "k", `{"input":"x","deadlineMillis":99999999}`, 400, "badRequest"},
 		{"deadline too short for the stages", testAccount, "", "summary", "k", `{"input":"x","deadlineMillis":1}`, 503, "cannotFinishInTime"},
 		{"oversize input", testAccount, "", "summary", "k", `{"input":"` + strings.Repeat("x", 300_000) + `","deadlineMillis":1000}`, 400, "badRequest"},
 		{"oversize body", testAccount, "", "summary", "k", `{"input":"` + strings.Repeat("x", 2<<20) + `","deadlineMillis":1000}`, 413, "bodyTooLarge"},
@@ -81,7 +81,7 @@
 			require.Equal(t, s.status, response.StatusCode)
 			outcome := "notRun"
 			if s.code == "keyTooOld" {
-				outcome = "unknown" // nothing ran now; whether it once did is no longer known
+				outcome = "unknown" // nothing ran now, but an earlier request with this key may have
 			}
 			require.Equal(t, outcome, failure.Outcome)
 			require.NotEmpty(t, failure.Message)
@@ -91,7 +91,8 @@
 	}
 }
 
-func uuidV7(t *testing.T, at time.Time) string {
+// uuidV7At returns a version 7 UUID with the given time.
+func uuidV7At(t *testing.T, at time.Time) string {
 	key := uuid.Must(uuid.NewV7())
 	millis := at.UnixMilli()
 	for i := range 6 {
@@ -101,9 +102,9 @@
 	return key.String()
 }
 
-// A caller that knows another account's key asks for its outcome, or sends it as its own. It learns nothing:
-// keys are the account's own, so the first is unknown to it and the second is a request of its own.
-func TestNoAccountReadsAnothersAnswer(t *testing.T) {
+// A caller that knows an idempotency key of another account queries its outcome and sends a request with it. Keys are
+// scoped by account, so the key must be unknown in the query, and the request must run as one of the caller's own.
+func TestIdempotencyKeysAreScopedByAccount(t *testing.T) {
 	e := startEntry(t, 8)
 	owner := caller.New(caller.Config{Account: testAccount, Credential: testAccount + testCredential, Entries: []string{e.caller}})
 	other := caller.New(caller.Config{Account: otherAccount, Credential: otherAccount + testCredential, Entries: []string{e.caller}})
@@ -121,7 +122,7 @@
 	require.NotEqual(t, answer.Text, own.Text)
 }
 
-// A caller that mistakes a path or a method gets the interface's own form of a failure, not a text page.
+// A request with an unknown path or a wrong method must get the API's JSON error, not a plain text page.
 func TestWrongPathAndMethod(t *testing.T) {
 	e := startEntry(t, 8)
 	for _, s := range []struct {
--- a/assembler/speed_test.go
+++ b/assembler/speed_test.go
@@ -20,16 +20,16 @@
 	"geraniumline/operatorserver"
 )
 
-// BenchmarkAddedTime compares an entry with one plain net/http client that calls the same four stages one
-// after another. Both run in this process, beside the stand-ins.
+// BenchmarkAddedTime compares an entry with a plain net/http client that calls the same four stages one after another.
+// Both run in this process, as do the fake endpoints.
 func BenchmarkAddedTime(b *testing.B) {
 	const slots = 4096
 	e := startEntry(b, slots)
 	client := &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 512}}
 	entry := caller.New(caller.Config{Account: testAccount, Credential: testAccount + testCredential, Entries: []string{e.caller}, HTTP: client})
 	var n atomic.Int64
-	ways := map[string]func() error{
-		"direct": func() error { return callStages(client, e.stages[:4], n.Add(1)) },
+	variants := map[string]func() error{
+		"direct": func() error { return callStages(client, e.endpointAddresses[:4], n.Add(1)) },
 		"entry": func() error {
 			request := caller.Request{Pipeline: "summary", Key: fmt.Sprintf("k-%d", n.Add(1)), Input: "input", Deadline: 20 * time.Second}
 			_, err := entry.SendTo(context.Background(), e.caller, request)
@@ -37,15 +37,15 @@
 		},
 	}
 	for _, concurrency := range []int{1, 16, 128} {
-		for _, way := range []string{"direct", "entry"} {
-			b.Run(fmt.Sprintf("%s/%d", way, concurrency), func(b *testing.B) {
-				measure(b, concurrency, ways[way])
+		for _, variant := range []string{"direct", "entry"} {
+			b.Run(fmt.Sprintf("%s/%d", variant, concurrency), func(b *testing.B) {
+				measure(b, concurrency, variants[variant])
 			})
 		}
 	}
 }
 
-// callStages calls the stages directly, each with the text of the one before.
+// callStages calls the stages directly, passing the text of each to the next.
 func callStages(client *http.Client, stages []string, n int64) error {
 	input := "input"
 	for i, address := range stages {
@@ -76,12 +76,12 @@
 	histogram := hdrhistogram.New(1, 60_000_000, 3)
 	var mu sync.Mutex
 	var wg sync.WaitGroup
-	var left atomic.Int64
-	left.Store(int64(b.N))
+	var remaining atomic.Int64
+	remaining.Store(int64(b.N))
 	start := time.Now()
 	for range concurrency {
 		wg.Go(func() {
-			for left.Add(-1) >= 0 {
+			for remaining.Add(-1) >= 0 {
 				began := time.Now()
 				if err := call(); err != nil {
 					b.Error(err)
@@ -107,17 +107,17 @@
 	return n
 }
 
-// BenchmarkInFlight holds many requests in one entry and reports the memory that each takes, the callers'
-// connections and goroutines included, since both ends run in this process.
+// BenchmarkInFlight keeps many requests in flight in one entry and reports the memory that they use together. It
+// includes the callers' connections and goroutines, since both ends run in this process.
 func BenchmarkInFlight(b *testing.B) {
 	const requests = 10_000
 	e := startEntry(b, 8)
-	for _, endpoint := range e.ledgers {
+	for _, endpoint := range e.endpoints {
 		faults := endpoint.Faults()
 		faults.Hang = true
 		endpoint.SetFaults(faults)
 	}
-	var before, held runtime.MemStats
+	var before, loaded runtime.MemStats
 	runtime.GC()
 	runtime.ReadMemStats(&before)
 	ctx, cancel := context.WithCancel(context.Background())
@@ -134,8 +134,8 @@
 		return err == nil && len(status.Accounts) > 0 && inFlight(status.Accounts) >= requests*9/10
 	}, 60*time.Second, 100*time.Millisecond)
 	runtime.GC()
-	runtime.ReadMemStats(&held)
-	b.ReportMetric(float64(held.HeapInuse+held.StackInuse-before.HeapInuse-before.StackInuse)/(1<<20), "MB-both-ends")
+	runtime.ReadMemStats(&loaded)
+	b.ReportMetric(float64(loaded.HeapInuse+loaded.StackInuse-before.HeapInuse-before.StackInuse)/(1<<20), "MB-both-ends")
 	cancel()
 	wg.Wait()
 }
--- a/assembler/stream_test.go
+++ b/assembler/stream_test.go
@@ -19,8 +19,8 @@
 	"geraniumline/operatorserver"
 )
 
-// gate holds an engine's replies to testAccount back after their first part, until it is opened. Other
-// accounts pass.
+// gate blocks an engine's replies to testAccount after their first part until it is opened. Replies to other
+// accounts are not blocked.
 type gate struct {
 	opened chan struct{}
 	open   func()
@@ -31,7 +31,7 @@
 	return &gate{opened: opened, open: sync.OnceFunc(func() { close(opened) })}
 }
 
-func (g *gate) before(next http.Handler) http.Handler {
+func (g *gate) wrap(next http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		body, _ := io.ReadAll(r.Body)
 		r.Body = io.NopCloser(bytes.NewReader(body))
@@ -48,7 +48,7 @@
 	written int
 }
 
-// Write takes one part, as the stand-in writes one at a time.
+// Write writes one part of the reply; the fake engine writes one part per call.
 func (w *gatedWriter) Write(part []byte) (int, error) {
 	if w.written > 0 {
 		<-w.gate.opened
@@ -59,7 +59,7 @@
 
 func (w *gatedWriter) Unwrap() http.ResponseWriter { return w.ResponseWriter }
 
-// startGatedEntry runs an entry whose engine streams tokens through a gate.
+// startGatedEntry runs an entry whose engine streams its tokens through a gate.
 func startGatedEntry(t *testing.T) (*testEntry, *gate) {
 	const slots = 32
 	g := newGate()
@@ -70,45 +70,45 @@
 			return services(pool)
 		}
 		engine := faker.NewEngine(faker.EngineConfig{EndpointConfig: faker.EndpointConfig{Slots: slots}, TokenTime: time.Millisecond})
-		return engine, g.before(engine.Handler())
+		return engine, g.wrap(engine.Handler())
 	})
 	t.Cleanup(g.open)
 	return e, g
 }
 
-func (e *testEntry) callerOf(account string) *caller.Caller {
+func (e *testEntry) newCaller(account string) *caller.Caller {
 	return caller.New(caller.Config{Account: account, Credential: account + testCredential, Entries: []string{e.caller}})
 }
 
-// sent is a request that runs in the background.
-type sent struct {
+// sendResult is the outcome of a request that runs in the background.
+type sendResult struct {
 	answer caller.Answer
 	parts  []string
 	err    error
 }
 
-func (e *testEntry) send(t *testing.T, request caller.Request, first chan<- string) <-chan sent {
+func (e *testEntry) send(t *testing.T, request caller.Request, first chan<- string) <-chan sendResult {
 	request.Pipeline = "summary"
 	request.Deadline = 20 * time.Second
-	done := make(chan sent, 1)
-	var s sent
+	done := make(chan sendResult, 1)
+	var result sendResult
 	request.Part = func(text string) {
-		s.parts = append(s.parts, text)
-		if len(s.parts) == 1 && first != nil {
+		result.parts = append(result.parts, text)
+		if len(result.parts) == 1 && first != nil {
 			first <- text
 		}
 	}
 	go func() {
-		s.answer, s.err = e.callerOf(testAccount).SendTo(t.Context(), e.caller, request)
-		done <- s
+		result.answer, result.err = e.newCaller(testAccount).SendTo(t.Context(), e.caller, request)
+		done <- result
 	}()
 	return done
 }
 
-// An engine has given its first token and no more. The caller has that token in hand while the request runs;
-// asked by its key, the entry says running; a second request under the key joins the first, so the engine
-// runs it once; another account's request is answered beside it. Once the engine goes on, both callers get
-// the one whole answer, the first its parts in order, and the trace that the caller began has the hops.
+// An engine stalls after its first token. While the request runs, the caller must have received that token, a query by
+// key must report the request as running, a second request with the same key must join the first without running again,
+// and another account's request must be answered. When the engine continues, both callers must get the same complete
+// answer, the first one its parts in order, and the caller's trace must contain all stages.
 func TestStreamThroughAnEntry(t *testing.T) {
 	const traceID = "0af7651916cd43dd8448eb211c80319c"
 	e, g := startGatedEntry(t)
@@ -121,17 +121,17 @@
 		require.Fail(t, "the request ended before its first token", "%v", early.err)
 	}
 	require.NotEmpty(t, token)
-	require.Empty(t, streamed, "the answer is not whole yet")
+	require.Empty(t, streamed, "the answer is not complete yet")
 
-	outcome, err := e.callerOf(testAccount).OutcomeAt(t.Context(), e.caller, "k")
+	outcome, err := e.newCaller(testAccount).OutcomeAt(t.Context(), e.caller, "k")
 	require.NoError(t, err)
 	require.Equal(t, callerserver.OutcomeStateRunning, outcome.State)
 
 	joined := e.send(t, caller.Request{Key: "k", Input: "readings"}, nil)
-	other, err := e.callerOf(otherAccount).SendTo(t.Context(), e.caller, caller.Request{Pipeline: "summary", Key: "k", Input: "rain", Deadline: 20 * time.Second})
+	other, err := e.newCaller(otherAccount).SendTo(t.Context(), e.caller, caller.Request{Pipeline: "summary", Key: "k", Input: "rain", Deadline: 20 * time.Second})
 	require.NoError(t, err)
 	require.NotEmpty(t, other.Text)
-	require.Empty(t, streamed, "the engine is still held")
+	require.Empty(t, streamed, "the engine is still blocked")
 
 	g.open()
 	one, two := <-streamed, <-joined
@@ -141,13 +141,13 @@
 	require.Greater(t, len(one.parts), 1)
 	require.Equal(t, token, one.parts[0])
 	require.Equal(t, one.answer.Text, two.answer.Text)
-	require.Equal(t, 2*4, e.executions(), "two requests of four stages: the joined one ran nothing")
+	require.Equal(t, 2*4, e.executions(), "two requests ran four stages each; the joined one ran none")
 	require.Equal(t, traceID, one.answer.TraceID)
 	e.requireHops(t, traceID, "encode", "retrieve", "rerank", "generate")
 }
 
-// requireHops waits until the trace names all stages: a span is kept when it ends, which may be just after its
-// caller has the answer.
+// requireHops waits until the trace names all stages. A span is recorded when it ends, which may be just after its
+// caller has received the answer.
 func (e *testEntry) requireHops(t *testing.T, traceID string, stages ...string) {
 	require.Eventually(t, func() bool {
 		trace, err := e.operator.GetTrace(t.Context(), operatorserver.GetTraceParams{TraceId: traceID})
@@ -168,9 +168,9 @@
 	}, 10*time.Second, 10*time.Millisecond)
 }
 
-// Callers that send half a body and wait, that send too large a one, or that go away in the middle of a
-// streamed answer cost the others nothing: theirs are answered while the bad ones still hold their connections.
-func TestBadCallersDoNotHoldOthersUp(t *testing.T) {
+// Some callers send half a body or none and wait, send a body that is too large, or do not read their streamed answer.
+// While they keep their connections open, requests of other callers must still be answered.
+func TestMisbehavingCallersDoNotBlockOthers(t *testing.T) {
 	scenarios := []struct {
 		testName string
 		body     string
@@ -185,12 +185,12 @@
 	for _, s := range scenarios {
 		t.Run(s.testName, func(t *testing.T) {
 			for i := range 16 {
-				e.hold(t, fmt.Sprintf("%s-%d", strings.ReplaceAll(s.testName, " ", "-"), i), s.body, s.length)
+				e.holdConnection(t, fmt.Sprintf("%s-%d", strings.ReplaceAll(s.testName, " ", "-"), i), s.body, s.length)
 			}
 			for i := range 8 {
 				request := caller.Request{Pipeline: "summary", Key: fmt.Sprintf("%s-%d", s.testName[:2], i), Input: "rain", Deadline: 20 * time.Second}
 				request.Key = strings.ReplaceAll(request.Key, " ", "-")
-				answer, err := e.callerOf(otherAccount).SendTo(t.Context(), e.caller, request)
+				answer, err := e.newCaller(otherAccount).SendTo(t.Context(), e.caller, request)
 				require.NoError(t, err)
 				require.NotEmpty(t, answer.Text)
 			}
@@ -198,8 +198,9 @@
 	}
 }
 
-// hold sends what it is given and keeps the connection open, reading nothing, until the test's end.
-func (e *testEntry) hold(t *testing.T, key, body string, length int) {
+// holdConnection sends a request with the given body and content length, or the body's length if 0. It reads nothing and
+// keeps the connection open until the test ends.
+func (e *testEntry) holdConnection(t *testing.T, key, body string, length int) {
 	conn, err := net.Dial("tcp", e.caller)
 	require.NoError(t, err)
 	t.Cleanup(func() { _ = conn.Close() })
