--- a/biller/biller.go
+++ b/biller/biller.go
@@ -90,9 +90,9 @@
 	Bills       []Bill
 }
 
-// PeerIncarnations returns the bills of other incarnations that are kept apart, in a fixed order, to be passed on: when an
+// OtherIncarnations returns the bills of other incarnations that are kept apart, in a fixed order, to be passed on: when an
 // entry has gone its peers are all that knows of its bills.
-func (b *Biller) PeerIncarnations() []Incarnation {
+func (b *Biller) OtherIncarnations() []Incarnation {
 	var others []Incarnation
 	for _, entry := range slices.Sorted(maps.Keys(b.peers)) {
 		s := b.peers[entry]
--- a/reducer/bill.go
+++ b/reducer/bill.go
@@ -26,7 +26,7 @@
 	}
 	c.billsAt = now.Add(billsEvery)
 	c.sendBills(biller.Incarnation{Entry: c.cfg.Entry, Incarnation: c.cfg.Incarnation, Bills: c.biller.Bills()})
-	for _, other := range c.biller.PeerIncarnations() {
+	for _, other := range c.biller.OtherIncarnations() {
 		member, known := c.detector.Member(other.Entry)
 		if known && member.State == detector.Live && member.Incarnation == other.Incarnation && member.Name != c.cfg.Entry {
 			continue
