--- a/assembler/forwarding.go
+++ b/assembler/forwarding.go
@@ -90,7 +90,7 @@
 	}
 	logger := cfg.Log.With(zap.String("entry", settings.Name))
 	if names := cfg.Disabled.Names(); len(names) > 0 {
-		logger.Warn("policy mechanisms are disabled", zap.Strings("mechanisms", names))
+		logger.Warn("mechanisms are switched off", zap.Strings("mechanisms", names))
 	}
 	e := &forwarding{settings: settings, log: logger, idle: newIdleConnections(), meter: meter.New(), metricsPort: cfg.MetricsPort}
 	e.forwarder = forwarder.New(forwarder.Config{
@@ -164,11 +164,11 @@
 			e.idle.track(c, state, time.Now())
 		},
 	}
-	sockets := []socket{{e.settings.CallerAddress, callers}}
+	list := []socket{{e.settings.CallerAddress, callers}}
 	for address, mux := range e.auxiliaryHandlers() {
-		sockets = append(sockets, socket{address, &http.Server{Handler: mux, ReadHeaderTimeout: headerTimeout}})
+		list = append(list, socket{address, &http.Server{Handler: mux, ReadHeaderTimeout: headerTimeout}})
 	}
-	return sockets
+	return list
 }
 
 // auxiliaryHandlers returns the handlers for readiness, metrics and addresses by listen address. They may share a port.
