--- a/appender/appender.go
+++ b/appender/appender.go
@@ -1,4 +1,4 @@
-// Package appender is the client of the platform's append-only log.
+// Package appender implements a client for the platform's append-only log.
 package appender
 
 import (
@@ -12,26 +12,27 @@
 	"geraniumline/recorder"
 )
 
-// Config says where the log is and how long to wait for it.
+// Config holds the address of the log, timeouts and limits. Zero values select defaults, except for URL.
 type Config struct {
 	// URL is the platform's address, such as http://10.0.0.1:9000.
 	URL  string
 	HTTP *http.Client
-	// AppendTimeout ends an append whose reply does not come.
+	// AppendTimeout bounds an append, including the wait for its reply.
 	AppendTimeout time.Duration
-	// ReadTimeout ends a read, beyond the time that the read itself asks the log to wait.
+	// ReadTimeout bounds a read, in addition to the time that the read asks the log to wait.
 	ReadTimeout time.Duration
 	// PollWait is how long Tail asks the log to wait for the next record.
 	PollWait time.Duration
-	// PageRecords bounds the records that Tail asks for at once.
+	// PageRecords is the most records that Tail requests per read.
 	PageRecords int
-	// MinBackoff and MaxBackoff bound Tail's wait after a failed read. Jitter is added from the shared source,
-	// which is enough: Tail is a performer and decides nothing that a replay must repeat.
+	// MinBackoff and MaxBackoff bound Tail's wait after a failed read. Its jitter comes from the global random source,
+	// which is sufficient: Tail only performs I/O and makes no decision that a replay must reproduce.
 	MinBackoff time.Duration
 	MaxBackoff time.Duration
 }
 
-// DefaultPageRecords is how many records Tail asks for at once: a shorter page reaches the stream's end.
+// DefaultPageRecords is how many records Tail requests per read by default. A page with fewer records reaches the end
+// of the stream.
 const DefaultPageRecords = 1000
 
 const (
@@ -57,14 +58,14 @@
 	return c
 }
 
-// idleConnections covers the tails of all streams and the appends that a batcher has in flight. The default of
-// two would close and dial a connection for most appends, at the cost of a round trip before each.
-const idleConnections = 16
+// maxIdleConnections covers the tails of all streams and the appends that a batcher has in flight. With the default of
+// two, most appends would dial a new connection, at the cost of a round trip each.
+const maxIdleConnections = 16
 
 func newTransport() *http.Transport {
 	return &http.Transport{
 		DialContext:         (&net.Dialer{Timeout: dialTimeout}).DialContext,
-		MaxIdleConnsPerHost: idleConnections,
+		MaxIdleConnsPerHost: maxIdleConnections,
 		IdleConnTimeout:     idleTimeout,
 	}
 }
@@ -74,7 +75,7 @@
 	idleTimeout = 30 * time.Second
 )
 
-// Close lets go of the connections that are idle.
+// Close closes the idle connections.
 func (a *Appender) Close() { a.cfg.HTTP.CloseIdleConnections() }
 
 func setDuration(d *time.Duration, value time.Duration) {
@@ -83,13 +84,13 @@
 	}
 }
 
-// Appender appends to the platform's log and reads from it.
+// Appender appends records to the platform's log and reads them.
 type Appender struct {
 	cfg    Config
 	client *platformserver.Client
 }
 
-// New gives an appender, or an error if the URL cannot be parsed.
+// New returns an Appender, or an error if the URL cannot be parsed.
 func New(cfg Config) (*Appender, error) {
 	cfg = cfg.withDefaults()
 	client, err := platformserver.NewClient(cfg.URL, platformserver.WithClient(cfg.HTTP))
@@ -99,8 +100,8 @@
 	return &Appender{cfg: cfg, client: client}, nil
 }
 
-// Append appends one record and gives its offset. Errors are a *RefusedError if the record was surely not
-// appended, or an *UncertainError if it may have been or may yet be.
+// Append appends a record and returns its offset. It fails with a *RefusedError if the record has not been and will not
+// be appended, or with an *UncertainError if it may have been or may still be appended.
 func (a *Appender) Append(ctx context.Context, stream string, data []byte) (int64, error) {
 	ctx, cancel := context.WithTimeout(ctx, a.cfg.AppendTimeout)
 	defer cancel()
@@ -112,16 +113,18 @@
 	return reply.Offset, nil
 }
 
-// Page is a run of records. First is the log's oldest kept offset, Next the offset to read from next.
+// Page holds consecutive records of a stream. First is the oldest offset that the log retains, Next the offset to read
+// from next.
 type Page struct {
 	Records []recorder.Record
 	First   int64
 	Next    int64
-	// Era counts the returns of the log from an older copy. Offsets of another era say nothing of this one's records.
+	// Era counts how often the log was restored from an older copy. Offsets are not comparable between eras.
 	Era int64
 }
 
-// Read gives the records from an offset on, up to limit. It waits up to wait for the first one.
+// Read returns up to limit records, starting at offset from. It waits up to wait for the first one. It fails with a
+// *ReadError.
 func (a *Appender) Read(ctx context.Context, stream string, from int64, limit int, wait time.Duration) (Page, error) {
 	ctx, cancel := context.WithTimeout(ctx, wait+a.cfg.ReadTimeout)
 	defer cancel()
@@ -141,6 +144,7 @@
 	return page, nil
 }
 
+// retryAfter returns the delay that a reply of the log asked for, or 0.
 func retryAfter(err error) time.Duration {
 	var refused *platformserver.PlatformErrorStatusCode
 	if !errors.As(err, &refused) {
--- a/appender/appender_test.go
+++ b/appender/appender_test.go
@@ -19,20 +19,20 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-// fakeLog is a log of one stream whose replies can be made to fail.
+// fakeLog is a log with one stream that can return errors.
 type fakeLog struct {
 	platformserver.UnimplementedHandler
 	mu      sync.Mutex
 	records []platformserver.LogRecord
-	// status is the error that calls get, 0 for none; failures is how many get it.
+	// status is the HTTP status of failing calls; failures is how many of the next calls fail.
 	status   int
 	failures int
-	// era is told with each page.
+	// era is returned with each page.
 	era int64
-	// waits are those that reads have asked for.
+	// waits are the wait times in milliseconds that reads have requested.
 	waits []int
-	// after is called once the call has taken effect and before it is answered.
-	after func()
+	// beforeReply is called after an append has taken effect and before its reply.
+	beforeReply func()
 }
 
 func (l *fakeLog) fail() error {
@@ -42,7 +42,7 @@
 		return nil
 	}
 	l.failures--
-	reply := platformserver.PlatformError{Code: "fails", Message: "made to fail"}
+	reply := platformserver.PlatformError{Code: "fails", Message: "injected failure"}
 	reply.RetryAfterMillis.SetTo(7)
 	return &platformserver.PlatformErrorStatusCode{StatusCode: l.status, Response: reply}
 }
@@ -55,8 +55,8 @@
 	offset := int64(3 * (len(l.records) + 1))
 	l.records = append(l.records, platformserver.LogRecord{Offset: offset, AtMillis: offset, Data: call.Data})
 	l.mu.Unlock()
-	if l.after != nil {
-		l.after()
+	if l.beforeReply != nil {
+		l.beforeReply()
 	}
 	return &platformserver.AppendReply{Offset: offset}, nil
 }
@@ -95,7 +95,7 @@
 	return len(l.records)
 }
 
-// serve starts the log on loopback and gives an appender for it.
+// serve starts the log on loopback and returns an appender for it.
 func serve(t *testing.T, l *fakeLog) (*Appender, *httptest.Server) {
 	t.Helper()
 	handler, err := platformserver.NewServer(l)
@@ -129,8 +129,8 @@
 	require.Equal(t, Page{Records: []recorder.Record{{Offset: 6, AtMillis: 6, Data: []byte{1, 0xff}}}, First: 3, Next: 7}, page)
 }
 
-// The caller of a refused append may be told "not run"; after an uncertain one that might be untrue. So an error
-// is a refusal only if it proves that nothing was appended.
+// A refused append lets the entry report "not run" to the caller, which would be wrong if the record had been appended.
+// So an error must count as a refusal only if it proves that nothing was appended.
 func TestAppendErrors(t *testing.T) {
 	scenarios := []struct {
 		testName string
@@ -142,7 +142,7 @@
 		{"too large", http.StatusRequestEntityTooLarge, true},
 		{"server error", http.StatusInternalServerError, false},
 		{"unavailable", http.StatusServiceUnavailable, false},
-		{"a gateway's timeout", http.StatusGatewayTimeout, false},
+		{"gateway timeout", http.StatusGatewayTimeout, false},
 	}
 	for _, s := range scenarios {
 		t.Run(s.testName, func(t *testing.T) {
@@ -159,25 +159,25 @@
 	}
 }
 
-// The log appends the record and its reply is lost with the connection. To the entry it looks like a failure,
-// but the claim is in the log: it must not be taken for a refusal.
+// The log appends the record, but its reply is lost with the connection. The error must not count as a refusal, since the
+// record is in the log.
 func TestALostReplyIsUncertain(t *testing.T) {
 	l := &fakeLog{}
 	a, server := serve(t, l)
-	l.after = func() { server.CloseClientConnections() }
+	l.beforeReply = func() { server.CloseClientConnections() }
 	_, err := a.Append(t.Context(), "claims", []byte("x"))
 	var uncertain *UncertainError
 	require.ErrorAs(t, err, &uncertain, "%v", err)
 	require.Equal(t, 1, l.len())
 }
 
-// The log takes the record and then stalls for longer than the entry waits. The record is there all the same.
+// The log appends the record and then stalls for longer than the entry waits. The error must not count as a refusal.
 func TestAStalledReplyIsUncertain(t *testing.T) {
 	l := &fakeLog{}
 	a, _ := serve(t, l)
 	ctx, cancel := context.WithCancel(t.Context())
 	done := make(chan struct{})
-	l.after = func() { cancel(); <-done }
+	l.beforeReply = func() { cancel(); <-done }
 	_, err := a.Append(ctx, "claims", []byte("x"))
 	close(done)
 	var uncertain *UncertainError
@@ -185,7 +185,7 @@
 	require.Equal(t, 1, l.len())
 }
 
-// Nobody listens where the log should be: not a byte of the append was sent.
+// Nothing listens at the log's address, so no byte of the append was sent. The error must count as a refusal.
 func TestARefusedConnectionIsARefusal(t *testing.T) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
@@ -196,9 +196,9 @@
 	require.ErrorAs(t, err, &refused, "%v", err)
 }
 
-// The log fails for a while in the middle of a stream. The reader is told once of each failure and once when it is
-// back, misses no record and sees none twice.
-func TestTailOutlastsAFailure(t *testing.T) {
+// The log fails for a while in the middle of a stream. Tail must report each failure and the recovery once, and must
+// deliver each record exactly once.
+func TestTailRecoversFromFailures(t *testing.T) {
 	l := &fakeLog{status: http.StatusServiceUnavailable}
 	a, _ := serve(t, l)
 	for range 5 {
@@ -208,7 +208,7 @@
 	a.cfg.PageRecords = 2
 	ctx, cancel := context.WithCancel(t.Context())
 	var offsets []int64
-	var failed, back int
+	var failed, recovered int
 	a.Tail(ctx, "claims", 0, func(p Page) {
 		for _, r := range p.Records {
 			offsets = append(offsets, r.Offset)
@@ -228,14 +228,14 @@
 			failed++
 			return
 		}
-		back++
+		recovered++
 	})
 	require.Equal(t, []int64{3, 6, 9, 12, 15}, offsets)
 	require.Equal(t, 3, failed)
-	require.Equal(t, 1, back)
+	require.Equal(t, 1, recovered)
 }
 
-// Guards against a tail that hangs for a whole wait on a log that has come back.
+// Guards against a read that hangs for the whole poll wait after the log has recovered.
 func TestReadsAfterAFailureDoNotWait(t *testing.T) {
 	l := &fakeLog{status: http.StatusServiceUnavailable, failures: 2}
 	a, _ := serve(t, l)
@@ -249,8 +249,8 @@
 	require.Equal(t, []int{1, 0, 0, 1}, l.waits)
 }
 
-// Guards against records of a new era of the log that are never read, since their offsets were read in the era before.
-func TestAStreamIsReadAnewInANewEra(t *testing.T) {
+// Guards against skipping records of a new era because their offsets were already read in the previous era.
+func TestTailRereadsTheStreamInANewEra(t *testing.T) {
 	l := &fakeLog{}
 	a, _ := serve(t, l)
 	for range 3 {
@@ -274,7 +274,7 @@
 			l.records = append(l.records, platformserver.LogRecord{Offset: 6, AtMillis: 6, Data: []byte("new")})
 			l.era = 1
 		case len(offsets) == 5 && l.era == 1:
-			// A late answer of the era before.
+			// A late reply of the previous era.
 			l.era = 0
 		}
 	}, func(err error) {
--- a/appender/errors.go
+++ b/appender/errors.go
@@ -11,10 +11,10 @@
 	"geraniumline/platformserver"
 )
 
-// RefusedError tells of an append that surely did not take place and never will.
+// RefusedError reports that a record has not been appended and will not be.
 type RefusedError struct {
 	Stream string
-	// RetryAfter is the log's wish, 0 for none.
+	// RetryAfter is the delay that the log asked for, or 0.
 	RetryAfter time.Duration
 	Cause      error
 }
@@ -23,58 +23,59 @@
 	return fmt.Sprintf("append to %s refused: %v", e.Stream, e.Cause)
 }
 
-// Unwrap gives the client's error.
+// Unwrap returns the underlying error.
 func (e *RefusedError) Unwrap() error { return e.Cause }
 
-// UncertainError tells of an append that may have taken place, or may yet.
+// UncertainError reports that a record may have been appended or may still be.
 type UncertainError struct {
 	Stream string
 	Cause  error
 }
 
 func (e *UncertainError) Error() string {
-	return fmt.Sprintf("append to %s without a clear reply: %v", e.Stream, e.Cause)
+	return fmt.Sprintf("append to %s has an uncertain outcome: %v", e.Stream, e.Cause)
 }
 
-// Unwrap gives the client's error.
+// Unwrap returns the underlying error.
 func (e *UncertainError) Unwrap() error { return e.Cause }
 
-// ReadError tells of a read that failed; it has no effect.
+// ReadError reports a failed read, which has no effect on the log.
 type ReadError struct {
-	Stream     string
-	From       int64
+	Stream string
+	From   int64
+	// RetryAfter is the delay that the log asked for, or 0.
 	RetryAfter time.Duration
 	Cause      error
 }
 
 func (e *ReadError) Error() string {
-	return fmt.Sprintf("read of %s from %d: %v", e.Stream, e.From, e.Cause)
+	return fmt.Sprintf("read of %s from offset %d failed: %v", e.Stream, e.From, e.Cause)
 }
 
-// Unwrap gives the client's error.
+// Unwrap returns the underlying error.
 func (e *ReadError) Unwrap() error { return e.Cause }
 
-// StaleEraError tells of a page from before the log returned from an older copy.
+// StaleEraError reports a page from before the log was restored from an older copy.
 type StaleEraError struct {
 	Known    int64
 	Received int64
 }
 
 func (e *StaleEraError) Error() string {
-	return fmt.Sprintf("page of era %d after one of era %d", e.Received, e.Known)
+	return fmt.Sprintf("received a page of era %d after era %d", e.Received, e.Known)
 }
 
-// appendError sorts a failed append. Only two kinds are sure: a connection that was never made, and a reply
-// that says so by its status. Anything else, a server error included, may hide an append that took effect;
-// a caller who took it for a refusal would say "not run" of a request that then runs.
+// appendError classifies a failed append. Only two kinds are certain not to have taken effect: a connection that was
+// never established, and a reply with a status that excludes it. After any other failure, including a server error, the
+// record may be in the log; an entry that treated it as refused would report "not run" for a request that then runs.
 func appendError(stream string, err error) error {
-	if neverSent(err) || refusedByStatus(err) {
+	if notSent(err) || refusedByStatus(err) {
 		return &RefusedError{Stream: stream, RetryAfter: retryAfter(err), Cause: err}
 	}
 	return &UncertainError{Stream: stream, Cause: err}
 }
 
-func neverSent(err error) bool {
+func notSent(err error) bool {
 	if errors.Is(err, syscall.ECONNREFUSED) {
 		return true
 	}
--- a/appender/tail.go
+++ b/appender/tail.go
@@ -7,12 +7,12 @@
 	"time"
 )
 
-// unknownEra is below that of any page.
+// unknownEra is the era before the first page; it is below all valid ones.
 const unknownEra = -1
 
-// Tail reads a stream from an offset on until ctx ends. Each page goes to sink, in order, empty ones included,
-// since First matters in each. Status is told of each failed read, and with nil of the first good one after.
-// When the log has returned from an older copy, the stream is read anew from its beginning.
+// Tail reads a stream from an offset on until ctx ends. It calls sink with each page in order, including empty ones, since
+// each reports First. It calls status with the error of each failed read, and with nil on the first success after a
+// failure. When the log has been restored from an older copy, Tail rereads the stream from its beginning.
 func (a *Appender) Tail(ctx context.Context, stream string, from int64, sink func(Page), status func(error)) {
 	backoff := a.cfg.MinBackoff
 	failing := false
@@ -20,7 +20,7 @@
 	for ctx.Err() == nil {
 		wait := a.cfg.PollWait
 		if failing {
-			// A log that comes back may leave reads of its outage unanswered. Without a wait such a read is given up sooner.
+			// A log that recovers may never answer reads sent during its outage. Without a wait such a read times out sooner.
 			wait = 0
 		}
 		page, err := a.Read(ctx, stream, from, a.cfg.PageRecords, wait)
@@ -33,7 +33,7 @@
 		if err != nil {
 			failing = true
 			status(err)
-			pause(ctx, max(jitter(backoff), wish(err)))
+			sleep(ctx, max(jitter(backoff), requestedDelay(err)))
 			backoff = min(2*backoff, a.cfg.MaxBackoff)
 			continue
 		}
@@ -43,10 +43,10 @@
 		}
 		backoff = a.cfg.MinBackoff
 		if page.Era > era {
-			renewed := era != unknownEra
+			restored := era != unknownEra
 			era = page.Era
-			if renewed {
-				// The page is of offsets that the era before has given.
+			if restored {
+				// The page was requested with an offset of the previous era.
 				from = 0
 				continue
 			}
@@ -56,7 +56,8 @@
 	}
 }
 
-func wish(err error) time.Duration {
+// requestedDelay returns the delay that the log asked for in a failed read, or 0.
+func requestedDelay(err error) time.Duration {
 	var failed *ReadError
 	if errors.As(err, &failed) {
 		return failed.RetryAfter
@@ -64,12 +65,12 @@
 	return 0
 }
 
-// jitter keeps the entries from all coming back at once when the log does.
+// jitter returns a random duration between d/2 and d, so that the entries do not all retry at once when the log recovers.
 func jitter(d time.Duration) time.Duration {
 	return d/2 + rand.N(d/2+1)
 }
 
-func pause(ctx context.Context, d time.Duration) {
+func sleep(ctx context.Context, d time.Duration) {
 	timer := time.NewTimer(d)
 	defer timer.Stop()
 	select {
