--- a/addresser/addresser.go
+++ b/addresser/addresser.go
@@ -1,8 +1,8 @@
-// Package addresser decides which entries a client account should use.
+// Package addresser selects the entries that a client account should use.
 //
-// Each account has its own small subset of the entries (shuffle sharding), so that a node's state follows the
-// accounts it serves and one account's flood reaches few entries. The subset comes from a rendezvous hash:
-// every entry gives the same answer from the same members, and a member's leave moves only its own accounts.
+// Each account is assigned a small subset of the entries (shuffle sharding), so that an entry keeps state only for the
+// accounts it serves and a flood from one account affects few entries. The subset is chosen by rendezvous hashing: every
+// entry computes the same addresses from the same members, and a member that leaves moves only its own accounts.
 package addresser
 
 import (
@@ -11,43 +11,43 @@
 	"geraniumline/detector"
 )
 
-// Config holds the shape of an answer.
+// Config holds the size and lifetime of an AddressList.
 type Config struct {
-	// SubsetSize is how many primaries an account has.
+	// SubsetSize is the number of primary entries of an account.
 	SubsetSize int
-	// Spares is how many addresses follow the primaries, to be used when no primary can be reached.
+	// Spares is the number of addresses after the primaries, for use when no primary can be reached.
 	Spares int
-	// TTL is how long a caller may keep the answer.
+	// TTL is how long a caller may cache the addresses.
 	TTL time.Duration
 }
 
-// Address is one entry's address for callers.
+// Address is the address of an entry for callers.
 type Address struct {
 	Address string
 	Zone    string
 	Spare   bool
 }
 
-// AddressList is what a caller is told: addresses in the order of use, and for how long.
+// AddressList holds addresses in the order in which a caller should try them, and how long it may cache them.
 type AddressList struct {
 	TTL       time.Duration
 	Addresses []Address
 }
 
-// Addresser answers from the membership that it is given.
+// Addresser selects addresses from a list of members.
 type Addresser struct {
 	cfg Config
 }
 
-// New makes an Addresser.
+// New returns an Addresser.
 func New(cfg Config) *Addresser {
 	return &Addresser{cfg: cfg}
 }
 
-// AddressesFor gives the account's addresses: primaries spread over availability zones, then spares, from zones
-// without a primary first. Only live members are given; if there are none, those that may still be alive.
+// AddressesFor returns the account's addresses: primaries spread over availability zones, then spares, first from zones
+// without a primary. It uses live members only; if there are none, it uses those that may still be alive.
 func (a *Addresser) AddressesFor(account string, members []detector.Member) AddressList {
-	p := newPicker(account, usable(members))
+	p := newPicker(account, bestAvailable(members))
 	addresses := make([]Address, 0, a.cfg.SubsetSize+a.cfg.Spares)
 	for len(addresses) < cap(addresses) {
 		m := p.next()
@@ -60,9 +60,9 @@
 	return AddressList{TTL: a.cfg.TTL, Addresses: addresses}
 }
 
-// usable gives the best members there are: live ones, else live ones on VMs that are leaving, else suspects.
-// An answer with a doubtful address is worth more to a caller than none.
-func usable(members []detector.Member) []*detector.Member {
+// bestAvailable returns the live members; if there are none, live members on VMs that are leaving; if there are none
+// either, suspected members. An address that may not work is more useful to a caller than none.
+func bestAvailable(members []detector.Member) []*detector.Member {
 	var live, leaving, suspect []*detector.Member
 	for i := range members {
 		m := &members[i]
--- a/addresser/picker.go
+++ b/addresser/picker.go
@@ -7,20 +7,20 @@
 	"geraniumline/hasher"
 )
 
-// picker takes members for one account, one after another.
+// picker selects members for one account, one at a time.
 type picker struct {
 	candidates []candidate
-	// taken counts the members taken from each zone.
-	taken []int
+	// picked counts the members picked from each zone.
+	picked []int
 }
 
-// candidate is a member that can still be taken.
+// candidate is a member and whether it has been picked.
 type candidate struct {
 	member *detector.Member
-	// zone is the index of the member's zone in taken.
-	zone  int
-	score uint64
-	taken bool
+	// zone is the index of the member's zone in picker.picked.
+	zone   int
+	score  uint64
+	picked bool
 }
 
 func newPicker(account string, members []*detector.Member) *picker {
@@ -32,36 +32,36 @@
 		if !ok {
 			zone = len(zones)
 			zones[m.Zone] = zone
-			p.taken = append(p.taken, 0)
+			p.picked = append(p.picked, 0)
 		}
 		p.candidates[i] = candidate{member: m, zone: zone, score: hasher.Mix(seed ^ xxhash.Sum64String(m.Name))}
 	}
 	return p
 }
 
-// next takes the member with the highest score among those whose zones were taken from least; nil if none is left.
-// Taking away a member that isn't picked changes no other pick, so a leave moves only the leaver's accounts.
+// next picks the member with the highest score among those in the zones with the fewest picks. It returns nil if none is
+// left. Removing a member that isn't picked changes no other pick, so a member that leaves moves only its own accounts.
 func (p *picker) next() *detector.Member {
 	var best *candidate
 	for i := range p.candidates {
 		c := &p.candidates[i]
-		if !c.taken && (best == nil || p.before(c, best)) {
+		if !c.picked && (best == nil || p.before(c, best)) {
 			best = c
 		}
 	}
 	if best == nil {
 		return nil
 	}
-	best.taken = true
-	p.taken[best.zone]++
+	best.picked = true
+	p.picked[best.zone]++
 	return best.member
 }
 
-// before tells whether x is picked rather than y. Names settle equal scores, so that all entries agree.
+// before reports whether x is picked before y. Equal scores are ordered by name, so that all entries agree.
 func (p *picker) before(x, y *candidate) bool {
 	switch {
-	case p.taken[x.zone] != p.taken[y.zone]:
-		return p.taken[x.zone] < p.taken[y.zone]
+	case p.picked[x.zone] != p.picked[y.zone]:
+		return p.picked[x.zone] < p.picked[y.zone]
 	case x.score != y.score:
 		return x.score > y.score
 	default:
--- a/biller/bench_test.go
+++ b/biller/bench_test.go
@@ -13,7 +13,8 @@
 
 var stages = []string{"chat/encode", "chat/retrieve", "chat/rerank", "chat/generate"}
 
-func billed(accounts int) *biller.Biller {
+// newBilled returns a Biller with work in each stage for a number of accounts.
+func newBilled(accounts int) *biller.Biller {
 	b := biller.New()
 	for i := range accounts {
 		account := fmt.Sprintf("account%d", i)
@@ -25,9 +26,9 @@
 	return b
 }
 
-// TestBillingAllocatesNothing covers what is called for each stage and each request.
+// TestBillingAllocatesNothing covers the methods that are called for each stage and each request.
 func TestBillingAllocatesNothing(t *testing.T) {
-	b := billed(1)
+	b := newBilled(1)
 	require.Zero(t, testing.AllocsPerRun(1000, func() {
 		b.AddWork("account0", stages[3], 900)
 		b.AddWasted("account0", stages[3], 30)
@@ -35,10 +36,10 @@
 	}))
 }
 
-func BenchmarkWork(b *testing.B) {
+func BenchmarkAddWork(b *testing.B) {
 	for _, n := range []int{5, 43_000} {
 		b.Run(fmt.Sprintf("accounts=%d", n), func(b *testing.B) {
-			bills := billed(n)
+			bills := newBilled(n)
 			names := make([]string, n)
 			for i := range names {
 				names[i] = fmt.Sprintf("account%d", i)
@@ -53,13 +54,13 @@
 	}
 }
 
-// BenchmarkMemory is an account with work in four stages.
+// BenchmarkMemory measures the memory of an account with work in four stages.
 func BenchmarkMemory(b *testing.B) {
 	for _, n := range []int{1000, 10_000, 43_000} {
 		b.Run(fmt.Sprintf("accounts=%d", n), func(b *testing.B) {
 			for b.Loop() {
-				held := measurer.HeapBytes(func() any { return billed(n) })
-				b.ReportMetric(float64(held)/float64(n), "B/account")
+				heapBytes := measurer.HeapBytes(func() any { return newBilled(n) })
+				b.ReportMetric(float64(heapBytes)/float64(n), "B/account")
 			}
 		})
 	}
--- a/biller/bill.go
+++ b/biller/bill.go
@@ -1,13 +1,13 @@
-// Package biller adds up the work that each client account caused, by stage, with wasted
-// work apart, and how its requests ended. Totals only grow, so that merging the bills of
-// several entries counts everything exactly once however often and in whatever order they
-// arrive.
+// Package biller accumulates the work that each client account caused, by stage and with
+// wasted work separate, and the outcomes of its requests. Totals never decrease, so merging
+// the bills of several entries counts everything exactly once, no matter how often and in
+// which order they arrive.
 package biller
 
-// Outcome is how a request ended.
+// Outcome is the outcome of a request.
 type Outcome uint8
 
-// The outcomes.
+// The outcomes of a request.
 const (
 	AnsweredInTime Outcome = iota
 	AnsweredLate
@@ -15,7 +15,7 @@
 	Unknown
 )
 
-// Counts are requests by outcome.
+// Counts holds the number of requests by outcome.
 type Counts struct {
 	InTime  uint64 `json:"inTime"`
 	Late    uint64 `json:"late"`
@@ -23,7 +23,7 @@
 	Unknown uint64 `json:"unknown"`
 }
 
-// Attainment is the part of the requests that were answered in time; 1 when there were none.
+// Attainment returns the fraction of requests that were answered in time, or 1 if there were none.
 func (c Counts) Attainment() float64 {
 	total := c.Sum()
 	if total == 0 {
@@ -32,7 +32,7 @@
 	return float64(c.InTime) / float64(total)
 }
 
-// Sum is the number of requests.
+// Sum returns the number of requests with any outcome.
 func (c Counts) Sum() uint64 {
 	return c.InTime + c.Late + c.NotRun + c.Unknown
 }
@@ -44,8 +44,8 @@
 	c.Unknown += other.Unknown
 }
 
-// raise takes the greater of each count.
-func (c *Counts) raise(other Counts) {
+// raiseTo raises each count to that of other if it is greater.
+func (c *Counts) raiseTo(other Counts) {
 	c.InTime = max(c.InTime, other.InTime)
 	c.Late = max(c.Late, other.Late)
 	c.NotRun = max(c.NotRun, other.NotRun)
@@ -65,14 +65,14 @@
 	}
 }
 
-// StageCost is the work of one stage in endpoint milliseconds.
+// StageCost holds the work of one stage in endpoint milliseconds. Cost does not include Wasted.
 type StageCost struct {
 	Stage  string  `json:"stage"`
 	Cost   float64 `json:"cost"`
 	Wasted float64 `json:"wasted"`
 }
 
-// Bill is one account's total.
+// Bill holds the running totals of one account.
 type Bill struct {
 	Account string      `json:"account"`
 	Urgent  Counts      `json:"urgent"`
@@ -81,7 +81,7 @@
 	Stages  []StageCost `json:"stages"`
 }
 
-// Counts are the requests of all urgency classes.
+// Counts returns the counts summed over all urgency classes.
 func (b Bill) Counts() Counts {
 	var all Counts
 	all.add(b.Urgent)
--- a/biller/biller.go
+++ b/biller/biller.go
@@ -7,48 +7,50 @@
 	"geraniumline/scheduler"
 )
 
-// Biller holds this entry's own bills and the last known bills of its peers. It is not
+// Biller holds this entry's own totals and the last known totals of its peers. It is not
 // safe for concurrent use: the reducer owns it.
 type Biller struct {
 	own   totals
 	peers map[string]*source
-	// settled is the sum of what is no longer kept apart.
+	// settled is the sum of the incarnations that are no longer stored separately.
 	settled totals
-	// apart is how many entries have bills that are kept apart.
-	apart  int
+	// unsettled is the number of entries with incarnations that are stored separately.
+	unsettled int
+	// merges is the number of calls of Merge.
 	merges uint64
 }
 
-// New makes a Biller with nothing on it.
+// New returns a Biller with empty totals.
 func New() *Biller {
 	return &Biller{own: totals{}, peers: map[string]*source{}, settled: totals{}}
 }
 
-// AddWork adds work of a stage for an account, in endpoint milliseconds.
+// AddWork adds work of a stage to an account, in endpoint milliseconds. It ignores costs that are not positive.
 func (b *Biller) AddWork(account, stage string, cost float64) {
 	if cost > 0 {
 		b.own.account(account).stage(stage).cost += cost
 	}
 }
 
-// AddWasted adds work that led to no answer: hedges that lost, failed tries, cancelled calls.
-// It is apart from Work, not a part of it.
+// AddWasted adds work that did not contribute to an answer, such as losing hedges, failed
+// attempts and cancelled calls, in endpoint milliseconds. It is not included in the work
+// of AddWork.
 func (b *Biller) AddWasted(account, stage string, cost float64) {
 	if cost > 0 {
 		b.own.account(account).stage(stage).wasted += cost
 	}
 }
 
-// CountOutcome counts how a request of the account ended.
+// CountOutcome counts a request of the account by its outcome.
 func (b *Biller) CountOutcome(account string, urgency scheduler.Urgency, o Outcome) {
 	b.own.account(account).count(urgency, o)
 }
 
-// Bills gives this entry's own totals since it started.
+// Bills returns this entry's own totals since it started.
 func (b *Biller) Bills() []Bill { return b.own.bills() }
 
-// Merge takes in the bills of an incarnation of another entry, or of an earlier one of this
-// entry. They are running totals, and may come twice, late or out of order.
+// Merge merges the bills of an incarnation of another entry, or of an earlier incarnation of
+// this entry. They are running totals and may arrive repeatedly, late or out of order.
 func (b *Biller) Merge(entry string, incarnation uint64, bills []Bill) {
 	s, ok := b.peers[entry]
 	if !ok {
@@ -56,20 +58,20 @@
 		b.peers[entry] = s
 	}
 	b.merges++
-	s.merged = b.merges
+	s.lastMerge = b.merges
 	if s.isSettled(incarnation) {
 		return
 	}
 	if len(s.incarnations) == 0 {
-		b.apart++
+		b.unsettled++
 	}
 	s.merge(incarnation, bills)
-	b.settle(s, keptIncarnations)
-	b.bound()
+	b.settle(s, maxIncarnations)
+	b.enforceLimits()
 }
 
-// Total gives the bills over this entry and all whose bills were merged, each counted once.
-// Sums are taken in a fixed order: floating point sums depend on it, and a replay must agree.
+// Total returns the bills summed over this entry and all merged incarnations, each counted once.
+// Sums are computed in a fixed order: floating-point sums depend on it, and a replay must produce the same result.
 func (b *Biller) Total() []Bill {
 	sum := totals{}
 	sum.add(b.own)
@@ -83,15 +85,15 @@
 	return sum.bills()
 }
 
-// Incarnation is the bills of one incarnation of another entry.
+// Incarnation holds the bills of one incarnation of an entry.
 type Incarnation struct {
 	Entry       string
 	Incarnation uint64
 	Bills       []Bill
 }
 
-// OtherIncarnations returns the bills of other incarnations that are kept apart, in a fixed order, to be passed on: when an
-// entry has gone its peers are all that knows of its bills.
+// OtherIncarnations returns the bills of other incarnations that are stored separately, in a fixed order. They are
+// forwarded to peers, since after an entry has gone only its peers still have its bills.
 func (b *Biller) OtherIncarnations() []Incarnation {
 	var others []Incarnation
 	for _, entry := range slices.Sorted(maps.Keys(b.peers)) {
--- a/biller/biller_test.go
+++ b/biller/biller_test.go
@@ -11,7 +11,7 @@
 	"geraniumline/scheduler"
 )
 
-// TestBills covers one entry's own totals.
+// TestBills covers the totals of a single entry.
 func TestBills(t *testing.T) {
 	b := biller.New()
 	b.AddWork("wards", "chat/generate", 900)
@@ -33,13 +33,13 @@
 	require.InDelta(t, 0.5, b.Bills()[1].Urgent.Attainment(), 1e-9)
 }
 
-// TestMergeCountsOnce sends the bills of several entries, each through restarts, in random
-// order, some twice and some never but in a later form.
+// TestMergeCountsOnce merges the bills of several entries with several incarnations each, in
+// random order and some of them twice.
 //
-// An operator would see a club billed twice when a heartbeat was repeated or came after a
-// later one, or a bill lost when an entry restarted and counted from 0 again. Each
-// incarnation's totals only grow, so the greatest of what was heard is right, and the sum
-// over incarnations counts each piece of work once.
+// It guards against billing an account twice when a message is repeated or arrives after a
+// later one, and against losing a bill when an entry restarts and counts from 0 again. Each
+// incarnation's totals never decrease, so the greatest one received is correct, and the sum
+// over incarnations counts all work once.
 func TestMergeCountsOnce(t *testing.T) {
 	rng := rand.New(rand.NewPCG(1, 1))
 	type message struct {
@@ -75,10 +75,11 @@
 	require.Equal(t, uint64(entries*incarnations*reports), got[0].Normal.InTime)
 }
 
-// TestMergeIsBounded lets entries come and go, as VMs that are replaced, far beyond what is kept apart.
+// TestMergeIsBounded merges the bills of far more entries and incarnations than are stored separately, as when VMs are
+// replaced.
 //
-// Once an incarnation's bills were added to the settled total, a late copy of them must not
-// count again, and what was settled must not be lost.
+// After an incarnation's bills have been added to the settled total, a late copy of them must
+// not be counted again, and the settled total must not be lost.
 func TestMergeIsBounded(t *testing.T) {
 	const entries, incarnations = 3000, 6
 	bill := []biller.Bill{{Account: "clubs", Stages: []biller.StageCost{{Stage: "digest/generate", Cost: 1}}}}
--- a/biller/source.go
+++ b/biller/source.go
@@ -1,27 +1,27 @@
 package biller
 
-// The bounds of what is kept of other entries. VMs are replaced every day and each new one
-// brings a new name, so without them a long-lived entry would fill up with the bills of
-// entries that are gone.
+// Bounds on the state of other entries. VMs are replaced every day and each new one has a
+// new name, so without bounds a long-lived entry would accumulate the bills of entries that
+// are gone.
 const (
-	// keptIncarnations is how many incarnations of an entry are kept apart.
-	keptIncarnations = 4
-	// keptSources is how many entries are kept apart.
-	keptSources = 1024
-	// keptMarks is how many entries are remembered at all.
-	keptMarks = 65_536
+	// maxIncarnations is the number of incarnations of an entry that are stored separately.
+	maxIncarnations = 4
+	// maxUnsettled is the number of entries with incarnations that are stored separately.
+	maxUnsettled = 1024
+	// maxSources is the number of entries of which any state is stored.
+	maxSources = 65_536
 )
 
-// source is what is known of one entry's bills.
+// source holds the bills received from one entry.
 type source struct {
 	incarnations map[uint64]totals
-	// settledTo is the highest incarnation whose bills were added to the Biller's settled
-	// total. A bill of that or an earlier one that comes late is dropped: it can't be told
-	// apart from what was added, and would be counted twice.
+	// settledTo is the highest incarnation whose bills were added to Biller.settled. Late
+	// bills of that incarnation or an earlier one are dropped: their part in the settled
+	// total is unknown, so they would be counted twice.
 	settledTo uint64
 	settled   bool
-	// merged is when the entry was last heard of, by a count of merges.
-	merged uint64
+	// lastMerge is the value of Biller.merges at the last merge of the entry's bills.
+	lastMerge uint64
 }
 
 func (s *source) isSettled(incarnation uint64) bool {
@@ -34,10 +34,10 @@
 		t = totals{}
 		s.incarnations[incarnation] = t
 	}
-	t.raise(bills)
+	t.raiseTo(bills)
 }
 
-// oldest is the lowest incarnation that is kept apart.
+// oldest returns the lowest incarnation that is stored separately.
 func (s *source) oldest() uint64 {
 	oldest := ^uint64(0)
 	for incarnation := range s.incarnations {
@@ -46,7 +46,7 @@
 	return oldest
 }
 
-// settle adds the oldest incarnations to the settled total until only some are kept apart.
+// settle adds the oldest incarnations to the settled total until at most keep remain stored separately.
 func (b *Biller) settle(s *source, keep int) {
 	for len(s.incarnations) > keep {
 		oldest := s.oldest()
@@ -57,24 +57,25 @@
 	}
 }
 
-// bound settles the entries that were not heard of for longest.
-func (b *Biller) bound() {
-	if b.apart > keptSources {
+// enforceLimits settles or removes the entry with the oldest last merge if there are too many.
+func (b *Biller) enforceLimits() {
+	if b.unsettled > maxUnsettled {
 		s, _ := b.stalest(func(s *source) bool { return len(s.incarnations) > 0 })
 		b.settle(s, 0)
-		b.apart--
+		b.unsettled--
 	}
-	if len(b.peers) > keptMarks {
+	if len(b.peers) > maxSources {
 		_, entry := b.stalest(func(s *source) bool { return len(s.incarnations) == 0 })
 		delete(b.peers, entry)
 	}
 }
 
-func (b *Biller) stalest(fits func(s *source) bool) (*source, string) {
+// stalest returns the matching source with the oldest last merge, and its entry's name.
+func (b *Biller) stalest(matches func(s *source) bool) (*source, string) {
 	var found *source
 	var name string
 	for entry, s := range b.peers {
-		if fits(s) && (found == nil || s.merged < found.merged) {
+		if matches(s) && (found == nil || s.lastMerge < found.lastMerge) {
 			found, name = s, entry
 		}
 	}
--- a/biller/totals.go
+++ b/biller/totals.go
@@ -7,11 +7,12 @@
 	"geraniumline/scheduler"
 )
 
-// totals are the bills of one source: account by account, stage by stage.
+// totals holds the running totals of one incarnation, or a sum of several, by account name.
 type totals map[string]*accountTotal
 
-// accountTotal is one account's running total.
+// accountTotal is the running total of one account.
 type accountTotal struct {
+	// counts is indexed by scheduler.Urgency.
 	counts [3]Counts
 	stages map[string]*stageTotal
 }
@@ -43,13 +44,13 @@
 	a.counts[min(urgency, scheduler.Relaxed)].count(o)
 }
 
-// raise takes the greater of each total: a source's totals only grow, so an older bill that
-// arrives late, or one that arrives twice, changes nothing.
-func (t totals) raise(bills []Bill) {
+// raiseTo raises each total to that of bills if it is greater. Totals of an incarnation never
+// decrease, so an older bill that arrives late, or one that arrives twice, changes nothing.
+func (t totals) raiseTo(bills []Bill) {
 	for i := range bills {
 		a := t.account(bills[i].Account)
 		for class, counts := range bills[i].classes() {
-			a.counts[class].raise(counts)
+			a.counts[class].raiseTo(counts)
 		}
 		for _, stage := range bills[i].Stages {
 			s := a.stage(stage.Stage)
@@ -59,14 +60,14 @@
 	}
 }
 
-// add sums another source's totals into t.
+// add adds other to t.
 func (t totals) add(other totals) {
-	for name, from := range other {
+	for name, total := range other {
 		a := t.account(name)
 		for class := range a.counts {
-			a.counts[class].add(from.counts[class])
+			a.counts[class].add(total.counts[class])
 		}
-		for stage, cost := range from.stages {
+		for stage, cost := range total.stages {
 			s := a.stage(stage)
 			s.cost += cost.cost
 			s.wasted += cost.wasted
@@ -74,7 +75,7 @@
 	}
 }
 
-// bills gives the totals by account name, stages by stage name.
+// bills returns the totals as bills, sorted by account name and their stages by stage name.
 func (t totals) bills() []Bill {
 	bills := make([]Bill, 0, len(t))
 	for name, a := range t {
@@ -99,6 +100,7 @@
 	return bill
 }
 
+// classes returns the counts of b, indexed by scheduler.Urgency.
 func (b *Bill) classes() [3]Counts {
 	return [3]Counts{
 		scheduler.Urgent:  b.Urgent,
