--- a/dialer/dialer.go
+++ b/dialer/dialer.go
@@ -1,5 +1,5 @@
-// Package dialer makes the dialers of all outgoing connections, so that none of them waits for a silent peer longer
-// than it is told to.
+// Package dialer creates the dialers for all outgoing connections, so that none of them waits for an unresponsive peer
+// longer than configured.
 package dialer
 
 import (
@@ -8,25 +8,25 @@
 )
 
 const (
-	// keepAliveIdle and keepAliveEvery are when a connection on which nothing arrives is probed. A reader that only
-	// waits has nothing unacknowledged, so the limit on silence does not end its connection when the path has gone
-	// dark; the probes do, after keepAliveIdle and keepAliveCount times keepAliveEvery. A stream's caller leaves
-	// after some seconds without an event.
-	keepAliveIdle  = time.Second
-	keepAliveEvery = 500 * time.Millisecond
-	keepAliveCount = 3
+	// A connection on which nothing arrives is probed after keepAliveIdle and then every keepAliveInterval. A connection
+	// that only waits for data has nothing unacknowledged, so the acknowledgement timeout does not close it when the
+	// network path fails; the probes do, after keepAliveIdle and keepAliveCount times keepAliveInterval. The caller of a
+	// stream disconnects after some seconds without an event.
+	keepAliveIdle     = time.Second
+	keepAliveInterval = 500 * time.Millisecond
+	keepAliveCount    = 3
 )
 
-// New makes a dialer whose connections are to stand within timeout, end when sent bytes are not acknowledged for
-// silence, and are probed while nothing arrives.
-func New(timeout, silence time.Duration) *net.Dialer {
+// New returns a dialer that must connect within timeout. Its connections are closed when sent bytes are not acknowledged
+// within ackTimeout, and are probed while nothing arrives. On systems other than Linux ackTimeout has no effect.
+func New(timeout, ackTimeout time.Duration) *net.Dialer {
 	return &net.Dialer{
 		Timeout: timeout,
-		Control: limitSilence(silence),
+		Control: ackTimeoutControl(ackTimeout),
 		KeepAliveConfig: net.KeepAliveConfig{
 			Enable:   true,
 			Idle:     keepAliveIdle,
-			Interval: keepAliveEvery,
+			Interval: keepAliveInterval,
 			Count:    keepAliveCount,
 		},
 	}
--- a/dialer/silence_linux_test.go
+++ b/dialer/silence_linux_test.go
@@ -9,8 +9,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// A cut that loses packets can't be made on loopback without privileges; this holds that the kernel was told.
-func TestDialedConnectionsLimitSilence(t *testing.T) {
+// Packet loss can't be produced on loopback without privileges, so this checks that the socket options are set.
+func TestDialedConnectionsSetTimeouts(t *testing.T) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
 	defer func() { _ = ln.Close() }()
--- a/dialer/silence_other.go
+++ b/dialer/silence_other.go
@@ -7,8 +7,8 @@
 	"time"
 )
 
-// limitSilence does nothing where the option is missing: after a cut, a peer may take as long to be reached again as
-// the cut lasted.
-func limitSilence(time.Duration) func(network, address string, c syscall.RawConn) error {
+// ackTimeoutControl does nothing on systems without TCP_USER_TIMEOUT: after a link failure, it may take as long as the
+// failure lasted until a peer is reachable again.
+func ackTimeoutControl(time.Duration) func(network, address string, c syscall.RawConn) error {
 	return nil
 }
--- a/relayer/relayer.go
+++ b/relayer/relayer.go
@@ -1,5 +1,5 @@
-// Package relayer passes TCP connections on to one address, for proofs that need a network which closes, stalls or
-// loses one direction. It knows nothing of what it passes on.
+// Package relayer forwards TCP connections to one address, for tests that need a network which closes connections, stalls
+// or loses one direction. It does not interpret the forwarded bytes.
 package relayer
 
 import (
@@ -10,28 +10,29 @@
 	"time"
 )
 
-// Mode says what becomes of the bytes. It holds for open and for new connections.
+// Mode is what a relay does with connections. It applies to open and new ones.
 type Mode uint8
 
 // The modes of a relay.
 const (
-	// Open passes everything on.
+	// Open forwards everything.
 	Open Mode = iota
-	// Closed ends all connections and refuses new ones by closing them at once.
+	// Closed closes all connections, including new ones once they are accepted.
 	Closed
-	// Stalled keeps connections open and passes nothing on.
+	// Stalled keeps connections open and forwards nothing.
 	Stalled
-	// NoReplies passes on what clients send and keeps back what they are sent.
+	// NoReplies forwards what clients send and holds back what the target sends.
 	NoReplies
 )
 
 const (
-	// stallPoll is how often a stalled direction looks whether it may go on.
-	stallPoll = 5 * time.Millisecond
-	chunk     = 32 << 10
+	// stallPollInterval is how often a stalled direction checks whether it may continue.
+	stallPollInterval = 5 * time.Millisecond
+	// bufferSize is the size in bytes of the copy buffer of each direction.
+	bufferSize = 32 << 10
 )
 
-// Relay listens on one loopback address and passes connections on to another.
+// Relay listens on a loopback address and forwards connections to its target.
 type Relay struct {
 	target   string
 	listener net.Listener
@@ -42,7 +43,7 @@
 	done  sync.WaitGroup
 }
 
-// New makes a relay to a target, host:port, and starts it. Close ends it.
+// New starts a relay to target, a host:port. It fails if it cannot listen. Close stops it.
 func New(target string) (*Relay, error) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -53,10 +54,10 @@
 	return r, nil
 }
 
-// Address is where the relay listens.
+// Address returns the address on which the relay listens.
 func (r *Relay) Address() string { return r.listener.Addr().String() }
 
-// Set changes the mode.
+// Set changes the mode. Closed closes all open connections.
 func (r *Relay) Set(mode Mode) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -66,7 +67,7 @@
 	}
 }
 
-// Close ends the relay and its connections.
+// Close stops the relay, closes its connections and waits until its goroutines have returned.
 func (r *Relay) Close() error {
 	err := r.listener.Close()
 	r.Set(Closed)
@@ -90,17 +91,17 @@
 			continue
 		}
 		server, err := net.Dial("tcp", r.target)
-		if err != nil || !r.keep(client, server) {
+		if err != nil || !r.register(client, server) {
 			_ = client.Close()
 			continue
 		}
-		r.done.Go(func() { r.pass(server, client, Stalled) })
-		r.done.Go(func() { r.pass(client, server, Stalled, NoReplies) })
+		r.done.Go(func() { r.forward(server, client, Stalled) })
+		r.done.Go(func() { r.forward(client, server, Stalled, NoReplies) })
 	}
 }
 
-// keep notes a pair of connections, unless the relay is closed.
-func (r *Relay) keep(client, server net.Conn) bool {
+// register adds a pair of connections, or closes server and returns false if the mode is Closed.
+func (r *Relay) register(client, server net.Conn) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if r.mode == Closed {
@@ -111,13 +112,13 @@
 	return true
 }
 
-// pass copies one direction until an end closes, and waits while a mode holds it back.
-func (r *Relay) pass(to, from net.Conn, held ...Mode) {
-	defer r.drop(to, from)
-	buffer := make([]byte, chunk)
+// forward copies one direction until either end closes. It pauses while the mode is one of stallModes.
+func (r *Relay) forward(to, from net.Conn, stallModes ...Mode) {
+	defer r.closeConns(to, from)
+	buffer := make([]byte, bufferSize)
 	for {
 		n, err := from.Read(buffer)
-		r.await(held)
+		r.awaitResume(stallModes)
 		if n > 0 {
 			if _, err := to.Write(buffer[:n]); err != nil {
 				return
@@ -129,9 +130,9 @@
 	}
 }
 
-func (r *Relay) await(held []Mode) {
-	for r.isIn(held) {
-		time.Sleep(stallPoll)
+func (r *Relay) awaitResume(stallModes []Mode) {
+	for r.isIn(stallModes) {
+		time.Sleep(stallPollInterval)
 	}
 }
 
@@ -146,7 +147,7 @@
 	return false
 }
 
-func (r *Relay) drop(conns ...net.Conn) {
+func (r *Relay) closeConns(conns ...net.Conn) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for _, conn := range conns {
--- a/relayer/relayer_test.go
+++ b/relayer/relayer_test.go
@@ -9,13 +9,13 @@
 	"github.com/stretchr/testify/require"
 )
 
-// echo answers each line with itself and counts the lines that reached it.
-func echo(t *testing.T) (address string, got chan string) {
+// startEcho starts a server that echoes each line and sends the lines that it receives to a channel.
+func startEcho(t *testing.T) (address string, received chan string) {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
 	t.Cleanup(func() { _ = l.Close() })
-	got = make(chan string, 8)
+	received = make(chan string, 8)
 	go func() {
 		for {
 			conn, err := l.Accept()
@@ -26,16 +26,17 @@
 				defer func() { _ = conn.Close() }()
 				lines := bufio.NewScanner(conn)
 				for lines.Scan() {
-					got <- lines.Text()
+					received <- lines.Text()
 					_, _ = conn.Write([]byte(lines.Text() + "\n"))
 				}
 			}()
 		}
 	}()
-	return l.Addr().String(), got
+	return l.Addr().String(), received
 }
 
-// A peer behind the relay is cut off whole, one way, or by closing, and comes back when the relay opens again.
+// The relay stalls both directions, holds back replies or closes connections. A connection that it keeps open must deliver
+// everything after the relay opens again.
 func TestModes(t *testing.T) {
 	for _, s := range []struct {
 		testName string
@@ -48,7 +49,7 @@
 		{"closed", Closed, false, false},
 	} {
 		t.Run(s.testName, func(t *testing.T) {
-			target, got := echo(t)
+			target, received := startEcho(t)
 			r, err := New(target)
 			require.NoError(t, err)
 			defer func() { require.NoError(t, r.Close()) }()
@@ -61,14 +62,14 @@
 			line, err := replies.ReadString('\n')
 			require.NoError(t, err)
 			require.Equal(t, "one\n", line)
-			require.Equal(t, "one", <-got)
+			require.Equal(t, "one", <-received)
 
 			r.Set(s.mode)
 			_, _ = conn.Write([]byte("two\n"))
 			require.NoError(t, conn.SetReadDeadline(time.Now().Add(100*time.Millisecond)))
 			_, err = replies.ReadString('\n')
 			require.Error(t, err)
-			require.Equal(t, s.arrives, len(got) == 1)
+			require.Equal(t, s.arrives, len(received) == 1)
 
 			r.Set(Open)
 			require.NoError(t, conn.SetReadDeadline(time.Now().Add(5*time.Second)))
--- a/spooler/spooler.go
+++ b/spooler/spooler.go
@@ -1,4 +1,5 @@
-// Package spooler writes log lines behind a bounded buffer: a reader of the logs that stalls costs lines, never time.
+// Package spooler writes log lines through a bounded buffer, so that a stalled log reader causes lost lines and never
+// delays the process.
 package spooler
 
 import (
@@ -10,15 +11,15 @@
 )
 
 const (
-	// DefaultLines bounds the lines that wait; at some 300 bytes each they take 1.2 MB.
+	// DefaultLines is the default size of the buffer in lines; at about 300 bytes each they take 1.2 MB.
 	DefaultLines = 4096
-	// gatherTime is how long lines wait for others: a write for each line costs more than making the line.
-	gatherTime = 20 * time.Millisecond
-	// maxBlock is the size from which a block of lines is written at once.
-	maxBlock = 64 << 10
+	// batchDelay is how long lines wait to be written together: a write for each line costs more than formatting the line.
+	batchDelay = 20 * time.Millisecond
+	// maxBatchBytes is the size from which a batch of lines is written without further delay.
+	maxBatchBytes = 64 << 10
 )
 
-// Spooler is an io.Writer that never waits. It implements zapcore.WriteSyncer.
+// Spooler is an io.Writer whose Write never blocks. It implements zapcore.WriteSyncer.
 type Spooler struct {
 	lines   chan []byte
 	dropped atomic.Int64
@@ -27,7 +28,8 @@
 	closed  bool
 }
 
-// New starts a spooler that writes to w; lines 0 takes DefaultLines.
+// New starts a Spooler that writes to w and buffers at most the given number of lines. If lines is 0 or less, it uses
+// DefaultLines.
 func New(w io.Writer, lines int) *Spooler {
 	if lines <= 0 {
 		lines = DefaultLines
@@ -37,7 +39,8 @@
 	return s
 }
 
-// Write takes one line. A line that finds no room is dropped and counted.
+// Write buffers one line and never fails. If the buffer is full, the line is dropped and counted. After Close, lines are
+// discarded.
 func (s *Spooler) Write(line []byte) (int, error) {
 	s.mu.RLock()
 	defer s.mu.RUnlock()
@@ -52,13 +55,13 @@
 	return len(line), nil
 }
 
-// Sync does nothing: Close waits for the lines.
+// Sync does nothing, since Close writes the buffered lines.
 func (s *Spooler) Sync() error { return nil }
 
-// Dropped is how many lines found no room so far.
+// Dropped returns how many lines have been dropped because the buffer was full.
 func (s *Spooler) Dropped() int64 { return s.dropped.Load() }
 
-// Close writes what waits and ends the spooler.
+// Close writes the buffered lines and stops the Spooler.
 func (s *Spooler) Close() {
 	s.mu.Lock()
 	if !s.closed {
@@ -71,33 +74,33 @@
 
 func (s *Spooler) run(w io.Writer) {
 	defer close(s.done)
-	told := int64(0)
-	var block []byte
+	reported := int64(0)
+	var batch []byte
 	for line := range s.lines {
-		block = s.gather(append(block[:0], line...))
-		if n := s.dropped.Load(); n > told && len(s.lines) == 0 {
-			block = fmt.Appendf(block, `{"level":"warn","msg":"log lines dropped","lines":%d}`+"\n", n-told)
-			told = n
+		batch = s.fillBatch(append(batch[:0], line...))
+		if n := s.dropped.Load(); n > reported && len(s.lines) == 0 {
+			batch = fmt.Appendf(batch, `{"level":"warn","msg":"log lines dropped","lines":%d}`+"\n", n-reported)
+			reported = n
 		}
-		// An error here means that nobody reads the logs; the process serves on without them.
-		_, _ = w.Write(block)
+		// An error here means that nothing reads the logs; the process continues without them.
+		_, _ = w.Write(batch)
 	}
 }
 
-// gather adds the lines that come within gatherTime, so that one write takes them all.
-func (s *Spooler) gather(block []byte) []byte {
-	timer := time.NewTimer(gatherTime)
+// fillBatch adds the lines that arrive within batchDelay, so that they are written together.
+func (s *Spooler) fillBatch(batch []byte) []byte {
+	timer := time.NewTimer(batchDelay)
 	defer timer.Stop()
-	for len(block) < maxBlock {
+	for len(batch) < maxBatchBytes {
 		select {
 		case line, open := <-s.lines:
 			if !open {
-				return block
+				return batch
 			}
-			block = append(block, line...)
+			batch = append(batch, line...)
 		case <-timer.C:
-			return block
+			return batch
 		}
 	}
-	return block
+	return batch
 }
--- a/spooler/spooler_test.go
+++ b/spooler/spooler_test.go
@@ -9,30 +9,31 @@
 	"github.com/stretchr/testify/require"
 )
 
-// stalled is a reader of logs that takes nothing until it is let go.
-type stalled struct {
+// stalledWriter blocks all writes until released is closed.
+type stalledWriter struct {
 	bytes.Buffer
-	free chan struct{}
+	released chan struct{}
 }
 
-func (s *stalled) Write(p []byte) (int, error) {
-	<-s.free
+func (s *stalledWriter) Write(p []byte) (int, error) {
+	<-s.released
 	return s.Buffer.Write(p)
 }
 
-// The reader of the logs stalls: lines are dropped beyond the bound, nobody waits, and the loss is told afterwards.
-func TestAStalledReaderCostsLinesAndNoTime(t *testing.T) {
-	w := &stalled{free: make(chan struct{})}
+// The log reader stalls. Lines beyond the buffer's size must be dropped without blocking Write, and the number of dropped
+// lines must be logged afterwards.
+func TestAStalledReaderDropsLinesWithoutBlocking(t *testing.T) {
+	w := &stalledWriter{released: make(chan struct{})}
 	s := New(w, 10)
-	// One block of lines is on its way and ten lines wait; no more are kept.
-	long := strings.Repeat("x", maxBlock/5)
+	// One batch of lines is being written and ten lines are buffered; the others are dropped.
+	long := strings.Repeat("x", maxBatchBytes/5)
 	for i := range 100 {
 		n, err := fmt.Fprintf(s, "line %d %s\n", i, long)
 		require.NoError(t, err)
 		require.Positive(t, n)
 	}
 	require.GreaterOrEqual(t, s.Dropped(), int64(84))
-	close(w.free)
+	close(w.released)
 	s.Close()
 	require.Contains(t, w.String(), "line 0 ")
 	require.Contains(t, w.String(), fmt.Sprintf(`"lines":%d`, s.Dropped()))
