--- a/appender/appender.go
+++ b/appender/appender.go
@@ -23,7 +23,7 @@
 	ReadTimeout time.Duration
 	// PollWait is how long Tail asks the log to wait for the next record.
 	PollWait time.Duration
-	// PageRecords is the most records that Tail requests per read.
+	// PageRecords is the maximum number of records that Tail requests per read.
 	PageRecords int
 	// MinBackoff and MaxBackoff bound Tail's wait after a failed read. Its jitter comes from the global random source,
 	// which is sufficient: Tail only performs I/O and makes no decision that a replay must reproduce.
--- a/assembler/assembler.go
+++ b/assembler/assembler.go
@@ -194,7 +194,8 @@
 	}
 }
 
-// shutDown stops the servers, the messenger and the tracer after the last replies have been delivered.
+// shutDown stops the servers, the messenger and the tracer. Remaining replies have up to shutdownTimeout to reach their
+// callers.
 func (e *entry) shutDown(opened sockets) {
 	ctx, cancel := context.WithTimeout(context.Background(), shutdownTimeout)
 	defer cancel()
--- a/assembler/forwarding.go
+++ b/assembler/forwarding.go
@@ -221,7 +221,7 @@
 		case <-ctx.Done():
 		case s := <-signals:
 			if s == syscall.SIGHUP {
-				e.log.Info("ignoring SIGHUP: settings are read only at startup")
+				e.log.Info("ignoring SIGHUP: changed settings take effect only at startup")
 				continue
 			}
 		}
--- a/assembler/forwarding_test.go
+++ b/assembler/forwarding_test.go
@@ -67,11 +67,11 @@
 			}
 		}
 		require.Eventually(t, func() bool {
-			held := 0
+			unfreed := 0
 			for _, e := range f.site.Endpoints {
-				held += e.Held()
+				unfreed += e.Held()
 			}
-			return held == 0
+			return unfreed == 0
 		}, waitTimeout, 10*time.Millisecond, "all results are freed")
 	})
 	t.Run("stage without pieces is skipped", func(t *testing.T) {
@@ -212,7 +212,7 @@
 	}
 }
 
-// A caller leaves while an endpoint works on its request: the endpoint must notice.
+// A caller disconnects while an endpoint works on its request. The endpoint's call must be canceled.
 func TestWorkEndsWithItsCaller(t *testing.T) {
 	f := newFleet(t, 1)
 	f.injectFault("model", imitator.Hanging, -1)
--- a/biller/source.go
+++ b/biller/source.go
@@ -4,11 +4,11 @@
 // new name, so without bounds a long-lived entry would accumulate the bills of entries that
 // are gone.
 const (
-	// maxIncarnations is the number of incarnations of an entry that are stored separately.
+	// maxIncarnations is the maximum number of incarnations of an entry that are stored separately.
 	maxIncarnations = 4
-	// maxUnsettled is the number of entries with incarnations that are stored separately.
+	// maxUnsettled is the maximum number of entries with incarnations that are stored separately.
 	maxUnsettled = 1024
-	// maxSources is the number of entries of which any state is stored.
+	// maxSources is the maximum number of entries of which any state is stored.
 	maxSources = 65_536
 )
 
