--- a/appender/errors.go
+++ b/appender/errors.go
@@ -49,7 +49,7 @@
 }
 
 func (e *ReadError) Error() string {
-	return fmt.Sprintf("read of %s from offset %d failed: %v", e.Stream, e.From, e.Cause)
+	return fmt.Sprintf("read of %s from %d: %v", e.Stream, e.From, e.Cause)
 }
 
 // Unwrap returns the underlying error.
@@ -62,7 +62,7 @@
 }
 
 func (e *StaleEraError) Error() string {
-	return fmt.Sprintf("received a page of era %d after era %d", e.Received, e.Known)
+	return fmt.Sprintf("page of era %d after one of era %d", e.Received, e.Known)
 }
 
 // appendError classifies a failed append. Only two kinds are certain not to have taken effect: a connection that was
