--- a/reducer/ask.go
+++ b/reducer/ask.go
@@ -42,7 +42,7 @@
 		c.refuse(e.ID, "", *failure)
 		return
 	}
-	c.emit(SendAddresses{ID: e.ID, Answer: c.addresser.Answer(e.Credentials.Account, c.detector.Members())})
+	c.emit(SendAddresses{ID: e.ID, Answer: c.addresser.AddressesFor(e.Credentials.Account, c.detector.Members())})
 }
 
 // handleOutcomeRequested answers from this entry's own state if it is conclusive, and queries the peers otherwise.
--- a/reducer/stage.go
+++ b/reducer/stage.go
@@ -310,7 +310,7 @@
 	c.recordCallEnd(call.address, router.CallEnd{Result: router.Succeeded, Duration: now.Sub(call.started), Expected: mean}, now)
 	c.admitter.Observe(r.plan.stageNames[r.stage], now.Sub(call.started), cost, now)
 	c.scheduler.Charge(stage.Pool, r.key.Account, cost-c.admitter.ExpectedCost(r.plan.stageNames[r.stage], cost))
-	c.biller.Work(r.key.Account, stage.Name, cost)
+	c.biller.AddWork(r.key.Account, stage.Name, cost)
 	r.measuredCost += cost
 	r.calls = append(r.calls[:index], r.calls[index+1:]...)
 	c.cancelCalls(r, now)
@@ -341,5 +341,5 @@
 
 // recordWaste bills the time of a call as wasted work.
 func (c *Core) recordWaste(r *request, call *callState, now time.Time) {
-	c.biller.Wasted(r.key.Account, r.currentStage().Name, float64(now.Sub(call.started).Milliseconds()))
+	c.biller.AddWasted(r.key.Account, r.currentStage().Name, float64(now.Sub(call.started).Milliseconds()))
 }
