--- a/reducer/callergone_test.go
+++ b/reducer/callergone_test.go
@@ -15,10 +15,10 @@
 // continues, because its callers may ask for its outcome by the key.
 func TestCallersDisconnect(t *testing.T) {
 	for _, s := range []struct {
-		testName string
-		pipeline string
-		leave    []int
-		running  bool
+		testName    string
+		pipeline    string
+		disconnect  []int
+		wantRunning bool
 	}{
 		{"the first disconnects", summary, []int{0}, true},
 		{"the joined one disconnects", summary, []int{1}, true},
@@ -28,9 +28,9 @@
 	} {
 		t.Run(s.testName, func(t *testing.T) {
 			w := newServingWorld(t, 1)
-			held := true
+			silent := true
 			w.stageMode = func(call *endpointserver.StageCall) string {
-				if call.Stage == "draft" && held {
+				if call.Stage == "draft" && silent {
 					return "silent"
 				}
 				return ""
@@ -40,13 +40,13 @@
 			w.until("a run of the stage", func() bool { return w.runs(key, "draft") > 0 })
 			callers[1] = w.send(0, s.pipeline, key, "wall 7", deadline).id
 			waiting := map[uint64]bool{callers[0]: true, callers[1]: true}
-			for _, i := range s.leave {
+			for _, i := range s.disconnect {
 				w.deliver(0, CallerGone{ID: callers[i]})
 				w.run(2 * stepTime)
 				delete(waiting, callers[i])
 			}
-			require.Equal(t, s.running, w.nodes[0].core.Gauges().InFlight > 0)
-			held = false
+			require.Equal(t, s.wantRunning, w.nodes[0].core.Gauges().InFlight > 0)
+			silent = false
 			w.run(2 * time.Second)
 			for _, id := range callers {
 				state, _, _ := w.result(id)
--- a/reducer/claim_test.go
+++ b/reducer/claim_test.go
@@ -83,8 +83,8 @@
 			state, _, _ := w.awaitResult(again.id)
 			require.Equal(t, s.want, state)
 			require.Less(t, w.now.Sub(again.sent), time.Second, "a request that is given up must be answered at once, not at the deadline")
-			asked, _, _ := w.awaitResult(w.queryOutcome(2, key))
-			require.Equal(t, s.want, asked, "every entry must report the outcome")
+			queried, _, _ := w.awaitResult(w.queryOutcome(2, key))
+			require.Equal(t, s.want, queried, "every entry must report the outcome")
 			w.run(time.Second)
 			late, _, _ := w.awaitResult(w.send(2, ticket, key, "wall 7", deadline).id)
 			require.Equal(t, s.want, late, "the retry arrives after the owner was declared dead")
@@ -325,10 +325,10 @@
 // be the dead entry.
 func TestRefusalOfKeyThatRanElsewhere(t *testing.T) {
 	for _, s := range []struct {
-		testName string
-		others   bool
-		dies     bool
-		want     State
+		testName      string
+		thirdReadsLog bool
+		ownerDies     bool
+		want          State
 	}{
 		{"another entry reads the log", true, true, StateUnknown},
 		{"no other entry reads the log", false, true, StateUnknown},
@@ -337,13 +337,13 @@
 		t.Run(s.testName, func(t *testing.T) {
 			w := newServingWorld(t, 3)
 			w.nodes[1].noLog = true
-			w.nodes[2].noLog = !s.others
+			w.nodes[2].noLog = !s.thirdReadsLog
 			w.run(100 * time.Millisecond)
 			key := keyAt(w.now, 1)
 			w.stageMode = func(call *endpointserver.StageCall) string { return map[string]string{"log": "silent"}[call.Stage] }
 			w.send(0, ticket, key, "wall 7", deadline)
 			w.until("a run of the side effect", func() bool { return w.runs(key, "log") == 1 })
-			w.nodes[0].dead = s.dies
+			w.nodes[0].dead = s.ownerDies
 			again := w.send(1, ticket, key, "wall 7", deadline)
 			state, _, _ := w.awaitResult(again.id)
 			require.Equal(t, s.want, state)
--- a/reducer/limit_test.go
+++ b/reducer/limit_test.go
@@ -61,10 +61,10 @@
 		deliverVMLists(hints[:4], all[:4])
 		s.runFor(partitionTime / 10)
 	}
-	over, usable := atMost(0.05), atLeast(0.9)
+	overGoal, usableGoal := atMost(0.05), atLeast(0.9)
 	during := answeredShare(*sent, partitioned, sideEnded)
-	check(t, measurer.Row{Case: "limits/cutTakenForDeath", Measure: "over", Ours: max(0, during-1), Bound: atMost(0.05), Goal: &over})
-	check(t, measurer.Row{Case: "limits/cutTakenForDeath", Measure: "usable", Ours: during, Bound: atLeast(0.9), Goal: &usable})
+	check(t, measurer.Row{Case: "limits/cutTakenForDeath", Measure: "over", Ours: max(0, during-1), Bound: atMost(0.05), Goal: &overGoal})
+	check(t, measurer.Row{Case: "limits/cutTakenForDeath", Measure: "usable", Ours: during, Bound: atLeast(0.9), Goal: &usableGoal})
 	after := answeredShare(*sent, sideEnded.Add(2*time.Second), s.now.Add(-2*time.Second))
-	check(t, measurer.Row{Case: "limits/goneFromList", Measure: "usable", Ours: after, Bound: atLeast(0.9), Goal: &usable})
+	check(t, measurer.Row{Case: "limits/goneFromList", Measure: "usable", Ours: after, Bound: atLeast(0.9), Goal: &usableGoal})
 }
--- a/reducer/property_test.go
+++ b/reducer/property_test.go
@@ -135,11 +135,11 @@
 // performSome performs some of the pending operations, each drawn at random.
 func (r *randomRun) performSome() {
 	for range 12 {
-		open := slices.DeleteFunc(slices.Clone(r.indices()), func(i int) bool { return r.w.blocked(r.w.queue[i]) })
-		if len(open) == 0 {
+		unblocked := slices.DeleteFunc(slices.Clone(r.indices()), func(i int) bool { return r.w.blocked(r.w.queue[i]) })
+		if len(unblocked) == 0 {
 			return
 		}
-		at := open[r.draw("flight", min(len(open), 6)-1)]
+		at := unblocked[r.draw("flight", min(len(unblocked), 6)-1)]
 		op := r.w.queue[at]
 		r.w.queue = slices.Delete(r.w.queue, at, at+1)
 		r.w.perform(op)
--- a/reducer/publish_test.go
+++ b/reducer/publish_test.go
@@ -209,11 +209,11 @@
 	w := newServingWorld(t, 3)
 	var sent []attempt
 	var delayed []pendingOp
-	begun := w.now
+	startedAt := w.now
 	// The last side effects finish long after the address answers have expired.
 	w.hook = func(op pendingOp) bool {
 		part, ok := op.event.(*StagePartArrived)
-		age := w.now.Sub(begun)
+		age := w.now.Sub(startedAt)
 		if !ok || part.Part.Stage != "log" || age < 900*time.Millisecond || age > 2*time.Second {
 			return true
 		}
@@ -222,26 +222,26 @@
 	}
 	w.deliver(0, StopSignalled{})
 	for i := uint16(0); !w.nodes[0].dead; i++ {
-		if w.now.Sub(begun) < time.Second {
+		if w.now.Sub(startedAt) < time.Second {
 			sent = append(sent, w.send(0, ticket, keyAt(w.now, i), fmt.Sprintf("wall %d", i), deadline))
 			sent = append(sent, w.send(0, summary, fmt.Sprintf("case-%d", i), fmt.Sprintf("case %d", i), deadline))
 		}
-		if w.now.Sub(begun) == 500*time.Millisecond {
+		if w.now.Sub(startedAt) == 500*time.Millisecond {
 			w.deliver(0, StopSignalled{})
 		}
-		if w.now.Sub(begun) > 2*time.Second {
+		if w.now.Sub(startedAt) > 2*time.Second {
 			w.queue = append(w.queue, delayed...)
 			delayed = nil
 		}
 		w.step()
-		require.Less(t, w.now.Sub(begun), time.Minute)
+		require.Less(t, w.now.Sub(startedAt), time.Minute)
 	}
-	require.GreaterOrEqual(t, w.now.Sub(begun), 1200*time.Millisecond, "the process must not exit before the address answers expire")
+	require.GreaterOrEqual(t, w.now.Sub(startedAt), 1200*time.Millisecond, "the process must not exit before the address answers expire")
 	for _, a := range sent {
 		state, code, _ := w.result(a.id)
 		require.Equal(t, StateAnswered, state, code)
-		asked, _, text := w.awaitResult(w.queryOutcome(1, a.key))
-		require.Equal(t, StateAnswered, asked)
+		queried, _, text := w.awaitResult(w.queryOutcome(1, a.key))
+		require.Equal(t, StateAnswered, queried)
 		require.Equal(t, wantText(a.pipeline, a.body), text, "the outcome must have been handed over")
 	}
 	w.checkInvariants()
--- a/reducer/quarantine_test.go
+++ b/reducer/quarantine_test.go
@@ -16,11 +16,11 @@
 }
 
 type crashResult struct {
-	losses int
+	endpointsLost int
 	// failed is how many of the other requests were not answered.
-	failed int
-	code   reducer.Code
-	took   time.Duration
+	failed  int
+	code    reducer.Code
+	latency time.Duration
 }
 
 // crashTrial sends an input that crashes every endpoint that runs it, repeatedly and under new keys, together with
@@ -49,7 +49,7 @@
 		s.runFor(500 * time.Millisecond)
 	}
 	s.runFor(4 * time.Second)
-	c := crashResult{losses: s.losses(), code: last.code, took: last.ended.Sub(last.sent)}
+	c := crashResult{endpointsLost: s.crashCount(), code: last.code, latency: last.ended.Sub(last.sent)}
 	for _, a := range *background {
 		if !a.answered() {
 			c.failed++
@@ -65,9 +65,9 @@
 func TestPolicyCrashingRequest(t *testing.T) {
 	t.Parallel()
 	tests := []struct {
-		testName string
-		trial    crashTrial
-		losses   float64
+		testName      string
+		trial         crashTrial
+		endpointsLost float64
 	}{
 		{"tenEndpoints", crashTrial{perPool: 10, seed: 4}, 2},
 		{"threeEndpoints", crashTrial{perPool: 3, seed: 4}, 2},
@@ -80,17 +80,17 @@
 			ours := tt.trial.measure(t)
 			tt.trial.configure = disableQuarantine
 			none := tt.trial.measure(t)
-			goal, none0 := atMost(2), atMost(0)
+			goal, zero := atMost(2), atMost(0)
 			check(t, measurer.Row{
-				Case: "crashingRequest." + tt.testName, Measure: "endpointsLost", Ours: float64(ours.losses),
-				Baselines: []measurer.Baseline{{Name: "noQuarantine", Value: float64(none.losses)}}, Bound: atMost(tt.losses), Goal: &goal,
+				Case: "crashingRequest." + tt.testName, Measure: "endpointsLost", Ours: float64(ours.endpointsLost),
+				Baselines: []measurer.Baseline{{Name: "noQuarantine", Value: float64(none.endpointsLost)}}, Bound: atMost(tt.endpointsLost), Goal: &goal,
 			})
 			check(t, measurer.Row{
 				Case: "crashingRequest." + tt.testName, Measure: "innocentsNotAnswered", Ours: float64(ours.failed),
-				Baselines: []measurer.Baseline{{Name: "noQuarantine", Value: float64(none.failed)}}, Bound: atMost(0), Goal: &none0,
+				Baselines: []measurer.Baseline{{Name: "noQuarantine", Value: float64(none.failed)}}, Bound: atMost(0), Goal: &zero,
 			})
 			require.Equal(t, reducer.CodeQuarantined, ours.code)
-			require.Zero(t, ours.took)
+			require.Zero(t, ours.latency)
 		})
 	}
 }
--- a/reducer/refusal_test.go
+++ b/reducer/refusal_test.go
@@ -13,11 +13,11 @@
 // and answer unknown if a peer that may have served the key is gone.
 func TestNotRunMeansKeyNeverRan(t *testing.T) {
 	for _, s := range []struct {
-		testName string
-		first    bool
-		kill     bool
-		want     State
-		code     Code
+		testName  string
+		served    bool
+		killOwner bool
+		want      State
+		code      Code
 	}{
 		{"no entry served it", false, false, StateNotRun, CodeLogUnavailable},
 		{"served by a live entry", true, false, StateAnswered, ""},
@@ -29,11 +29,11 @@
 			key := keyAt(w.now, 1)
 			w.nodes[1].noLog, w.nodes[2].noLog = true, true
 			w.run(2 * time.Second)
-			if s.first {
+			if s.served {
 				state, _, _ := w.awaitResult(w.send(0, ticket, key, "wall 7", deadline).id)
 				require.Equal(t, StateAnswered, state)
 			}
-			if s.kill {
+			if s.killOwner {
 				w.kill(0)
 				w.run(time.Second)
 			}
--- a/reducer/simendpoint_test.go
+++ b/reducer/simendpoint_test.go
@@ -21,7 +21,7 @@
 	failing bool
 	hanging bool
 	dead    bool
-	losses  int
+	crashes int
 	running int
 	queue   []*simCall
 	calls   []*simCall
@@ -135,7 +135,7 @@
 		return
 	}
 	p.dead = true
-	p.losses++
+	p.crashes++
 	lost := p.calls
 	p.calls, p.queue, p.running = nil, nil, 0
 	for _, call := range lost {
--- a/reducer/straggler_test.go
+++ b/reducer/straggler_test.go
@@ -49,9 +49,9 @@
 	// worst is the lowest attainment of any half second.
 	worst float64
 	// seconds is the time from the fault until attainment stays within 1 percentage point of its earlier value.
-	seconds float64
-	ejected float64
-	lost    int
+	seconds    float64
+	ejected    float64
+	unanswered int
 }
 
 func measureRecovery(t *testing.T, degrade func(*simEndpoint), configure func(*reducer.Config)) recovery {
@@ -80,7 +80,7 @@
 	}
 	for _, a := range *after {
 		if !a.answered() {
-			r.lost++
+			r.unanswered++
 		}
 	}
 	return r
--- a/reducer/system_test.go
+++ b/reducer/system_test.go
@@ -214,9 +214,9 @@
 
 // load sends requests to random entries at exponentially distributed intervals for the given time. The returned
 // slice grows as they are sent.
-func (s *system) load(perSecond float64, last, deadline time.Duration) *[]*simRequest {
+func (s *system) load(perSecond float64, duration, deadline time.Duration) *[]*simRequest {
 	sent := &[]*simRequest{}
-	end := s.now.Add(last)
+	end := s.now.Add(duration)
 	var next func()
 	next = func() {
 		if !s.now.Before(end) {
@@ -347,10 +347,10 @@
 	return most
 }
 
-func (s *system) losses() int {
+func (s *system) crashCount() int {
 	n := 0
 	for _, e := range s.endpointList {
-		n += e.losses
+		n += e.crashes
 	}
 	return n
 }
