--- a/reducer/tick.go
+++ b/reducer/tick.go
@@ -6,59 +6,59 @@
 	"geraniumline/detector"
 )
 
-// tick lets time pass: timers, heartbeats, the planned stop, snapshots.
+// tick runs the work that depends on time: timers, heartbeats, snapshots, orders to engines and the planned stop.
 func (c *Core) tick(now time.Time) {
 	c.lastTick = now
-	c.takeTransitions(c.detector.Tick(now), now)
+	c.handleTransitions(c.detector.Tick(now), now)
 	c.runTimers(now)
-	c.pumpAll(now)
-	if !now.Before(c.heartbeatAt) {
-		c.heartbeatAt = now.Add(c.cfg.HeartbeatEvery)
-		c.beat(now)
-		c.snapshot(now)
-		c.tellBills(now)
+	c.dispatchAllPools(now)
+	if !now.Before(c.nextHeartbeat) {
+		c.nextHeartbeat = now.Add(c.cfg.HeartbeatEvery)
+		c.sendHeartbeats(now)
+		c.appendSnapshot(now)
+		c.broadcastBills(now)
 	}
-	c.stepOrders(now)
-	c.stepStop(now)
+	c.updatePlacedPools(now)
+	c.advanceStop(now)
 }
 
-func (c *Core) pumpAll(now time.Time) {
+func (c *Core) dispatchAllPools(now time.Time) {
 	for _, pool := range c.fold.Pools() {
-		c.pump(pool.Name, now)
+		c.dispatchQueued(pool.Name, now)
 	}
 }
 
-// snapshot appends the whole configuration well before the log drops its oldest records.
-func (c *Core) snapshot(now time.Time) {
-	health := c.logs[StreamConfig]
+// appendSnapshot appends a snapshot of the configuration if one is due, well before the log drops its oldest records.
+func (c *Core) appendSnapshot(now time.Time) {
+	health := c.streams[StreamConfig]
 	if health.failing || !health.caughtUp || !c.fold.SnapshotDue(now) {
-		c.snapshotDue = time.Time{}
+		c.snapshotDueSince = time.Time{}
 		return
 	}
-	if c.snapshotDue.IsZero() {
-		c.snapshotDue = now
+	if c.snapshotDueSince.IsZero() {
+		c.snapshotDueSince = now
 	}
-	if now.Sub(c.snapshotDue) < time.Duration(c.rank())*snapshotStagger {
+	if now.Sub(c.snapshotDueSince) < time.Duration(c.liveRank())*snapshotStagger {
 		return
 	}
-	c.snapshotDue = time.Time{}
+	c.snapshotDueSince = time.Time{}
 	parts, err := c.fold.Snapshot(now)
 	if err != nil {
-		c.emit(LogChange{Message: "the snapshot can't be encoded", Subject: err.Error()})
+		c.emit(LogChange{Message: "failed to encode the configuration snapshot", Subject: err.Error()})
 		return
 	}
 	for _, part := range parts {
-		c.nextBatch++
-		c.emit(Append{Stream: StreamConfig, BatchID: c.nextBatch, Data: part})
+		c.lastBatchID++
+		c.emit(Append{Stream: StreamConfig, BatchID: c.lastBatchID, Data: part})
 	}
 }
 
-// snapshotStagger is how long the next entry in order waits for the one before to append the snapshot. One is
-// enough, and all of them at once would take up the log; but the first may be cut from the log.
+// snapshotStagger is how long each entry waits for the one before it in rank to append the snapshot. One snapshot is
+// enough, and all entries appending at once would load the log, but the first may be unable to reach the log.
 const snapshotStagger = 2 * time.Second
 
-// rank is this entry's place among the live ones, by name.
-func (c *Core) rank() int {
+// liveRank returns this entry's rank among the live entries by name.
+func (c *Core) liveRank() int {
 	rank := 0
 	for _, member := range c.detector.Members() {
 		if member.Name < c.cfg.Entry && member.State == detector.Live {
@@ -68,8 +68,8 @@
 	return rank
 }
 
-// takeVMs takes the platform's lagging list.
-func (c *Core) takeVMs(e VMsListed, now time.Time) {
+// handleVMsListed passes the platform's list of VMs to the router and the detector.
+func (c *Core) handleVMsListed(e VMsListed, now time.Time) {
 	c.router.UpdateVMs(e.Endpoints, now)
 	for _, hint := range e.Entries {
 		if hint.PeerAddress == c.cfg.PeerAddress {
@@ -77,5 +77,5 @@
 		}
 		c.detector.AddHint(hint.PeerAddress, hint.Zone, hint.Leaving, now)
 	}
-	c.endParts(e.Entries, now)
+	c.releaseShares(e.Entries, now)
 }
