--- a/connector/answer.go
+++ b/connector/answer.go
@@ -8,8 +8,8 @@
 	"time"
 )
 
-// Answer is an endpoint's answer. Its body is read by Read, which ends with io.EOF only if the body is whole.
-type Answer struct {
+// Response is an endpoint's answer. Its body is read by Read, which ends with io.EOF only if the body is whole.
+type Response struct {
 	client *Client
 	conn   *conn
 	resp   *http.Response
@@ -18,18 +18,18 @@
 	whole  bool
 }
 
-func newAnswer(c *Client, cn *conn, resp *http.Response, stop func() bool) *Answer {
-	return &Answer{client: c, conn: cn, resp: resp, stop: stop}
+func newResponse(c *Client, cn *conn, resp *http.Response, stop func() bool) *Response {
+	return &Response{client: c, conn: cn, resp: resp, stop: stop}
 }
 
 // Status is the answer's status code.
-func (a *Answer) Status() int { return a.resp.StatusCode }
+func (a *Response) Status() int { return a.resp.StatusCode }
 
 // Header is the answer's header.
-func (a *Answer) Header() http.Header { return a.resp.Header }
+func (a *Response) Header() http.Header { return a.resp.Header }
 
 // Read reads the body.
-func (a *Answer) Read(p []byte) (int, error) {
+func (a *Response) Read(p []byte) (int, error) {
 	n, err := a.resp.Body.Read(p)
 	if errors.Is(err, io.EOF) {
 		a.whole = true
@@ -39,7 +39,7 @@
 
 // Close ends the exchange. After a whole body the connection is kept for the next one; before its end the connection
 // is closed, which tells the endpoint that nobody waits.
-func (a *Answer) Close() {
+func (a *Response) Close() {
 	a.once.Do(func() {
 		alive := a.stop()
 		if !a.whole || !alive {
@@ -50,15 +50,15 @@
 	})
 }
 
-// ReadWhole reads the rest of the body, at most limit bytes, and ends the exchange.
-func (a *Answer) ReadWhole(limit int64) ([]byte, error) {
+// ReadAll reads the rest of the body, at most limit bytes, and ends the exchange.
+func (a *Response) ReadAll(limit int64) ([]byte, error) {
 	defer a.Close()
 	data, err := io.ReadAll(io.LimitReader(a, limit+1))
 	if err != nil {
-		return nil, &BrokenError{Address: a.conn.address, Err: err}
+		return nil, &ExchangeError{Address: a.conn.address, Err: err}
 	}
 	if int64(len(data)) > limit {
-		return nil, &BrokenError{Address: a.conn.address, Err: &SizeError{Limit: limit}}
+		return nil, &ExchangeError{Address: a.conn.address, Err: &SizeError{Limit: limit}}
 	}
 	return data, nil
 }
--- a/connector/conn.go
+++ b/connector/conn.go
@@ -74,10 +74,12 @@
 	return b.Bytes()
 }
 
-// ForeignError tells of answers on a connection that belong to no exchange on it.
-type ForeignError struct{}
+// UnmatchedResponseError tells of answers on a connection that belong to no exchange on it.
+type UnmatchedResponseError struct{}
 
-func (*ForeignError) Error() string { return "the connection carries answers of other exchanges" }
+func (*UnmatchedResponseError) Error() string {
+	return "the connection carries answers of other exchanges"
+}
 
 // receive reads the header of the answer to the call. Answers of earlier exchanges that come late are passed over.
 func (cn *conn) receive(call *Call) (*http.Response, error) {
@@ -96,14 +98,14 @@
 			return resp, nil
 		}
 		if resp.Close {
-			return nil, &ForeignError{}
+			return nil, &UnmatchedResponseError{}
 		}
 		_, err = io.Copy(io.Discard, resp.Body)
 		if err := errors.Join(err, resp.Body.Close()); err != nil {
 			return nil, err
 		}
 	}
-	return nil, &ForeignError{}
+	return nil, &UnmatchedResponseError{}
 }
 
 // readResponse passes over informational answers.
--- a/connector/connector.go
+++ b/connector/connector.go
@@ -21,9 +21,9 @@
 	// DefaultDialTimeout is a hundred times the way between availability zones and back. Nothing has been sent
 	// when it ends, so another endpoint can be tried inside the objective of a short call.
 	DefaultDialTimeout = 250 * time.Millisecond
-	// DefaultSilence ends a connection whose sent bytes are not acknowledged. It allows for two resends over a link
+	// DefaultAckTimeout ends a connection whose sent bytes are not acknowledged. It allows for two resends over a link
 	// that loses packets.
-	DefaultSilence = 1500 * time.Millisecond
+	DefaultAckTimeout = 1500 * time.Millisecond
 	// DefaultIdle is how long an idle connection is used again where the endpoint names no time. Endpoints close
 	// idle connections after seconds; a request that meets the close may have run or not.
 	DefaultIdle = 2 * time.Second
@@ -41,7 +41,7 @@
 // Config sets a Client up. Zero fields take the defaults above.
 type Config struct {
 	DialTimeout time.Duration
-	Silence     time.Duration
+	AckTimeout  time.Duration
 	Idle        time.Duration
 	MaxIdle     int
 }
@@ -75,16 +75,16 @@
 // stand may as well be this VM's own loss of its network.
 func (e *UnsentError) Refused() bool { return errors.Is(e.Err, syscall.ECONNREFUSED) }
 
-// BrokenError tells that an exchange failed after something was sent: the request may have run.
-type BrokenError struct {
+// ExchangeError tells that an exchange failed after something was sent: the request may have run.
+type ExchangeError struct {
 	Address string
 	Err     error
 }
 
-func (e *BrokenError) Error() string { return fmt.Sprintf("exchange with %s: %v", e.Address, e.Err) }
+func (e *ExchangeError) Error() string { return fmt.Sprintf("exchange with %s: %v", e.Address, e.Err) }
 
 // Unwrap gives the cause.
-func (e *BrokenError) Unwrap() error { return e.Err }
+func (e *ExchangeError) Unwrap() error { return e.Err }
 
 // Client keeps the connections to endpoints. It is safe for concurrent use.
 type Client struct {
@@ -100,8 +100,8 @@
 	if cfg.DialTimeout == 0 {
 		cfg.DialTimeout = DefaultDialTimeout
 	}
-	if cfg.Silence == 0 {
-		cfg.Silence = DefaultSilence
+	if cfg.AckTimeout == 0 {
+		cfg.AckTimeout = DefaultAckTimeout
 	}
 	if cfg.Idle == 0 {
 		cfg.Idle = DefaultIdle
@@ -111,31 +111,31 @@
 	}
 	return &Client{
 		cfg:    cfg,
-		dialer: dialer.New(cfg.DialTimeout, cfg.Silence),
+		dialer: dialer.New(cfg.DialTimeout, cfg.AckTimeout),
 		idle:   make(map[string][]*conn),
 	}
 }
 
 // Do makes one exchange up to the answer's header. The context ends the whole exchange, the reading of the answer's
 // body too, by closing the connection, which also ends the endpoint's work on it. The answer must be closed.
-// Errors are *UnsentError or *BrokenError.
-func (c *Client) Do(ctx context.Context, call *Call) (*Answer, error) {
+// Errors are *UnsentError or *ExchangeError.
+func (c *Client) Do(ctx context.Context, call *Call) (*Response, error) {
 	cn, err := c.take(ctx, call.Address)
 	if err != nil {
 		return nil, &UnsentError{Address: call.Address, Err: err}
 	}
 	stop := context.AfterFunc(ctx, cn.abort)
 	cn.send(call)
-	resp, err := cn.receive(call) //nolint:bodyclose // the Answer reads it to its end or closes its connection
+	resp, err := cn.receive(call) //nolint:bodyclose // the Response reads it to its end or closes its connection
 	if err != nil {
 		stop()
 		cn.abort()
 		if ctx.Err() != nil {
 			err = ctx.Err()
 		}
-		return nil, &BrokenError{Address: call.Address, Err: err}
+		return nil, &ExchangeError{Address: call.Address, Err: err}
 	}
-	return newAnswer(c, cn, resp, stop), nil
+	return newResponse(c, cn, resp, stop), nil
 }
 
 // take gives an idle connection or a new one.
@@ -209,8 +209,8 @@
 	return true
 }
 
-// Sweep closes the idle connections that are past their time.
-func (c *Client) Sweep(now time.Time) {
+// CloseExpired closes the idle connections that are past their time.
+func (c *Client) CloseExpired(now time.Time) {
 	c.mu.Lock()
 	var old []*conn
 	for address, list := range c.idle {
--- a/connector/connector_test.go
+++ b/connector/connector_test.go
@@ -54,7 +54,7 @@
 func newClient(t *testing.T) *Client {
 	t.Helper()
 	c := New(Config{})
-	t.Cleanup(func() { c.Sweep(time.Now().Add(time.Hour)) })
+	t.Cleanup(func() { c.CloseExpired(time.Now().Add(time.Hour)) })
 	return c
 }
 
@@ -102,7 +102,7 @@
 	if err != nil {
 		return "", err
 	}
-	body, err := answer.ReadWhole(1 << 10)
+	body, err := answer.ReadAll(1 << 10)
 	return string(body), err
 }
 
@@ -218,7 +218,7 @@
 				}
 			})
 			_, err := do(t, newClient(t), p.address, "1")
-			var broken *BrokenError
+			var broken *ExchangeError
 			require.ErrorAs(t, err, &broken)
 		})
 	}
@@ -252,7 +252,7 @@
 		long.Body = make([]byte, 16<<20)
 		answer, err := c.Do(t.Context(), long)
 		require.NoError(t, err)
-		body, err := answer.ReadWhole(1 << 10)
+		body, err := answer.ReadAll(1 << 10)
 		require.NoError(t, err)
 		require.Equal(t, "early", string(body))
 	}
@@ -306,7 +306,7 @@
 	ctx, cancel := context.WithCancel(t.Context())
 	time.AfterFunc(20*time.Millisecond, cancel)
 	_, err := newClient(t).Do(ctx, call(p.address, "1"))
-	var broken *BrokenError
+	var broken *ExchangeError
 	require.ErrorAs(t, err, &broken)
 	require.ErrorIs(t, err, context.Canceled)
 	<-gone
--- a/forwarder/forwarder.go
+++ b/forwarder/forwarder.go
@@ -287,7 +287,7 @@
 		}
 		if now.Sub(lastSweep) >= sweepInterval {
 			lastSweep = now
-			f.cfg.Client.Sweep(now)
+			f.cfg.Client.CloseExpired(now)
 			f.updateGauges(now)
 			f.reportDroppedLines(now)
 		}
--- a/forwarder/handler.go
+++ b/forwarder/handler.go
@@ -112,7 +112,7 @@
 
 // check determines the route, the client account, the deadlines and the service.
 func (x *exchange) check() *FailureError {
-	if guarder.Ambiguous(x.in.Context()) {
+	if guarder.HasAmbiguousLength(x.in.Context()) {
 		// The request has two conflicting body lengths, so the start of the next request is ambiguous and could hide
 		// a smuggled one.
 		x.w.Header().Set("Connection", "close")
--- a/forwarder/notice.go
+++ b/forwarder/notice.go
@@ -15,7 +15,7 @@
 
 // readResponse decodes the header of an endpoint's response, and applies its notice about the work that the endpoint
 // accepts.
-func (f *Forwarder) readResponse(e *registrar.Endpoint, resp *connector.Answer) ResponseInfo {
+func (f *Forwarder) readResponse(e *registrar.Endpoint, resp *connector.Response) ResponseInfo {
 	info := f.cfg.Wire.ReadResponse(resp.Status(), resp.Header())
 	if info.NoticeErr != nil {
 		f.cfg.Meter.Counter(meter.NoticesUnusable, e.Service).Inc(1)
--- a/forwarder/piececalls.go
+++ b/forwarder/piececalls.go
@@ -61,7 +61,7 @@
 		return collector.Broken, nil
 	}
 	info := f.readResponse(&e.Endpoint, resp)
-	data, err := resp.ReadWhole(maxPiecesResponse)
+	data, err := resp.ReadAll(maxPiecesResponse)
 	if err != nil {
 		f.logCallFailure(service, e, err)
 		return collector.Broken, nil
@@ -123,7 +123,7 @@
 		Body:    body,
 	})
 	if err == nil {
-		_, err = resp.ReadWhole(maxPiecesResponse)
+		_, err = resp.ReadAll(maxPiecesResponse)
 	}
 	if err != nil {
 		f.log.Debug("results not freed", zap.String("address", e.Address), zap.Error(err))
--- a/forwarder/plain.go
+++ b/forwarder/plain.go
@@ -78,13 +78,13 @@
 	return context.WithDeadline(x.ctx, now.Add(wait))
 }
 
-func (x *exchange) exchangePlain(ctx context.Context, choice selector.Choice, now time.Time) (*connector.Answer, ResponseInfo, []byte, error) {
+func (x *exchange) exchangePlain(ctx context.Context, choice selector.Choice, now time.Time) (*connector.Response, ResponseInfo, []byte, error) {
 	resp, err := x.f.cfg.Client.Do(ctx, x.call(choice, x.callInfo(choice.Endpoint, now)))
 	if err != nil {
 		return nil, ResponseInfo{}, nil, err
 	}
 	info := x.f.readResponse(&choice.Endpoint, resp)
-	body, err := resp.ReadWhole(maxPlainResponse)
+	body, err := resp.ReadAll(maxPlainResponse)
 	return resp, info, body, err
 }
 
@@ -102,7 +102,7 @@
 }
 
 // writeResponse writes a complete endpoint response to the caller.
-func (x *exchange) writeResponse(resp *connector.Answer, body []byte) {
+func (x *exchange) writeResponse(resp *connector.Response, body []byte) {
 	x.copyHeader(resp.Header())
 	x.w.Header().Set("Content-Length", strconv.Itoa(len(body)))
 	x.headerSent = true
--- a/forwarder/stream.go
+++ b/forwarder/stream.go
@@ -117,8 +117,8 @@
 }
 
 // handleRefusal handles an endpoint that refused the request without running it.
-func (s *streamer) handleRefusal(choice selector.Choice, resp *connector.Answer, info ResponseInfo) (bool, *FailureError) {
-	if _, err := resp.ReadWhole(maxPlainResponse); err != nil {
+func (s *streamer) handleRefusal(choice selector.Choice, resp *connector.Response, info ResponseInfo) (bool, *FailureError) {
+	if _, err := resp.ReadAll(maxPlainResponse); err != nil {
 		s.x.f.log.Debug("reading refusal body failed", zap.String("request", s.x.req.ID), zap.Error(err))
 	}
 	s.x.endRefusedCall(choice)
@@ -129,9 +129,9 @@
 }
 
 // handleErrorResponse handles a response that is not a stream.
-func (s *streamer) handleErrorResponse(choice selector.Choice, resp *connector.Answer) (bool, *FailureError) {
+func (s *streamer) handleErrorResponse(choice selector.Choice, resp *connector.Response) (bool, *FailureError) {
 	x := s.x
-	body, err := resp.ReadWhole(maxPlainResponse)
+	body, err := resp.ReadAll(maxPlainResponse)
 	if err != nil {
 		return s.handleFailure(choice, err)
 	}
@@ -159,7 +159,7 @@
 }
 
 // relay writes complete events to the caller until the stream ends.
-func (s *streamer) relay(choice *selector.Choice, resp *connector.Answer, stall *time.Timer, sent time.Time) (bool, *FailureError) {
+func (s *streamer) relay(choice *selector.Choice, resp *connector.Response, stall *time.Timer, sent time.Time) (bool, *FailureError) {
 	split := splitter.New(0)
 	buf := make([]byte, streamBuffer)
 	first := true
@@ -180,7 +180,7 @@
 			}
 		}
 		if errors.Is(err, io.EOF) {
-			return s.finish(*choice, resp, split.Rest(), first)
+			return s.finish(*choice, resp, split.Remainder(), first)
 		}
 		if err != nil {
 			return s.handleFailure(*choice, err)
@@ -190,7 +190,7 @@
 
 // beginResponse writes the header with the first event; until then another endpoint can take over unnoticed by the
 // caller. The endpoint has read its inputs by then, so their space is freed.
-func (s *streamer) beginResponse(choice *selector.Choice, resp *connector.Answer, sent time.Time) {
+func (s *streamer) beginResponse(choice *selector.Choice, resp *connector.Response, sent time.Time) {
 	x := s.x
 	took := time.Since(sent)
 	x.f.cfg.Meter.Histogram(meter.ForwardFirstMicros).Update(took.Microseconds())
@@ -208,7 +208,7 @@
 	s.writeHeader(resp)
 }
 
-func (s *streamer) writeHeader(resp *connector.Answer) {
+func (s *streamer) writeHeader(resp *connector.Response) {
 	if s.x.headerSent {
 		return
 	}
@@ -237,7 +237,7 @@
 }
 
 // finish ends a complete stream.
-func (s *streamer) finish(choice selector.Choice, resp *connector.Answer, rest []byte, empty bool) (bool, *FailureError) {
+func (s *streamer) finish(choice selector.Choice, resp *connector.Response, rest []byte, empty bool) (bool, *FailureError) {
 	s.x.runs++
 	s.x.endCall(choice, ejector.Good, false)
 	s.x.recordContentServed()
--- a/guarder/certificate.go
+++ b/guarder/certificate.go
@@ -29,8 +29,8 @@
 type CertificateConfig struct {
 	CertFile string
 	KeyFile  string
-	// Changed is told of each reload: nil where it worked, else why the earlier certificate stays.
-	Changed func(err error)
+	// OnReload is told of each reload: nil where it worked, else why the earlier certificate stays.
+	OnReload func(err error)
 }
 
 // certificate is a certificate that follows its files.
@@ -77,8 +77,8 @@
 	if err == nil {
 		err = c.read()
 	}
-	if c.cfg.Changed != nil {
-		c.cfg.Changed(err)
+	if c.cfg.OnReload != nil {
+		c.cfg.OnReload(err)
 	}
 	return c.pair
 }
--- a/guarder/framing.go
+++ b/guarder/framing.go
@@ -27,7 +27,7 @@
 	ambiguous bool
 }
 
-// FramingListener wraps accepted connections so that Ambiguous can tell of their requests.
+// FramingListener wraps accepted connections so that HasAmbiguousLength can tell of their requests.
 func FramingListener(l net.Listener) net.Listener { return &framingListener{l} }
 
 type framingListener struct{ net.Listener }
@@ -87,8 +87,8 @@
 	f.mu.Unlock()
 }
 
-// Ambiguous tells whether the request's connection has carried a request whose length is in doubt.
-func Ambiguous(ctx context.Context) bool {
+// HasAmbiguousLength tells whether the request's connection has carried a request whose length is in doubt.
+func HasAmbiguousLength(ctx context.Context) bool {
 	f, ok := ctx.Value(framingKey{}).(*framing)
 	if !ok {
 		return false
--- a/guarder/framing_test.go
+++ b/guarder/framing_test.go
@@ -17,7 +17,7 @@
 		ConnContext: FramingContext,
 		ConnState:   FramingState,
 		Handler: http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-			if Ambiguous(r.Context()) {
+			if HasAmbiguousLength(r.Context()) {
 				w.Header().Set("Connection", "close")
 				w.WriteHeader(http.StatusBadRequest)
 			}
--- a/guarder/guard.go
+++ b/guarder/guard.go
@@ -34,7 +34,7 @@
 		throttled: cfg.Meter.Counter(meter.CredentialsThrottled, cfg.Socket),
 		tooLarge:  cfg.Meter.Counter(meter.BodiesTooLarge, cfg.Socket),
 		refused:   cfg.Meter.Counter(meter.BodiesRefused, cfg.Socket),
-		bodies:    newQuota(cfg.MaxBodiesBytes),
+		bodies:    newQuota(cfg.MaxTotalBodyBytes),
 	}
 }
 
@@ -100,10 +100,10 @@
 	taken   int64
 }
 
-// NoRoomError tells that the bodies in memory leave no room for more of this one.
-type NoRoomError struct{}
+// BodyQuotaError tells that the bodies in memory leave no room for more of this one.
+type BodyQuotaError struct{}
 
-func (e *NoRoomError) Error() string { return "too many request bodies are in memory" }
+func (e *BodyQuotaError) Error() string { return "too many request bodies are in memory" }
 
 func (b *body) Read(p []byte) (int, error) {
 	n, err := b.ReadCloser.Read(p)
@@ -112,7 +112,7 @@
 			b.guard.refused.Inc(1)
 			// Otherwise net/http would read the rest of the body before it sends the refusal.
 			b.header.Set("Connection", "close")
-			return 0, &NoRoomError{}
+			return 0, &BodyQuotaError{}
 		}
 		b.taken += int64(n)
 	}
@@ -169,7 +169,7 @@
 		return
 	}
 	w.guard.wrong.Inc(1)
-	if !w.guard.verifier.Wrong(parseAddress(w.remote).String(), w.guard.cfg.Now()) {
+	if !w.guard.verifier.RecordFailure(parseAddress(w.remote).String(), w.guard.cfg.Now()) {
 		w.ResponseWriter.WriteHeader(code)
 		return
 	}
--- a/guarder/guarder_test.go
+++ b/guarder/guarder_test.go
@@ -272,7 +272,7 @@
 	for _, s := range scenarios {
 		t.Run(s.testName, func(t *testing.T) {
 			m := meter.New()
-			server := open(t, Config{ListenConfig: ListenConfig{Meter: m}, MaxBodyBytes: 1024, MaxBodiesBytes: 4096})
+			server := open(t, Config{ListenConfig: ListenConfig{Meter: m}, MaxBodyBytes: 1024, MaxTotalBodyBytes: 4096})
 			bodies := server.http.Handler.(*guard).bodies
 			var held []net.Conn
 			for i := range s.wantHeld {
--- a/guarder/server.go
+++ b/guarder/server.go
@@ -22,8 +22,8 @@
 	defaultWriteTimeout  = 20 * time.Second
 	defaultIdleTimeout   = 60 * time.Second
 	defaultMaxBodyBytes  = 1 << 20
-	// defaultMaxBodiesBytes holds 64 bodies of the default bound, or thousands of ordinary ones.
-	defaultMaxBodiesBytes = 64 << 20
+	// defaultMaxTotalBodyBytes holds 64 bodies of the default bound, or thousands of ordinary ones.
+	defaultMaxTotalBodyBytes = 64 << 20
 )
 
 // maxHeaderBytes bounds a request's line and headers; net/http adds 4 KB of its own.
@@ -41,9 +41,9 @@
 	Handler http.Handler
 	// MaxBodyBytes bounds a request's body.
 	MaxBodyBytes int64
-	// MaxBodiesBytes bounds the sum of the bodies whose requests are not yet answered. It is raised to
+	// MaxTotalBodyBytes bounds the sum of the bodies whose requests are not yet answered. It is raised to
 	// four times MaxBodyBytes where it is less, so that one body always fits.
-	MaxBodiesBytes int64
+	MaxTotalBodyBytes int64
 	// Verifier counts wrong credentials by address. Sockets may share one.
 	Verifier *verifier.Verifier
 	// Log gets a line when the certificate changes.
@@ -67,7 +67,7 @@
 	c.WriteTimeout = orDefault(c.WriteTimeout, defaultWriteTimeout)
 	c.IdleTimeout = orDefault(c.IdleTimeout, defaultIdleTimeout)
 	c.MaxBodyBytes = orDefault(c.MaxBodyBytes, defaultMaxBodyBytes)
-	c.MaxBodiesBytes = max(orDefault(c.MaxBodiesBytes, defaultMaxBodiesBytes), 4*c.MaxBodyBytes)
+	c.MaxTotalBodyBytes = max(orDefault(c.MaxTotalBodyBytes, defaultMaxTotalBodyBytes), 4*c.MaxBodyBytes)
 	if c.Now == nil {
 		c.Now = time.Now
 	}
@@ -111,7 +111,7 @@
 		ErrorLog: log.New(io.Discard, "", 0),
 	}
 	if cfg.Certificate.CertFile != "" {
-		cfg.Certificate.Changed = logChange(cfg)
+		cfg.Certificate.OnReload = logChange(cfg)
 		cert, err := newCertificate(cfg.Certificate, cfg.Now())
 		if err != nil {
 			return nil, err
--- a/launcher/check.go
+++ b/launcher/check.go
@@ -134,7 +134,7 @@
 	switch {
 	case err != nil:
 		err = &loader.UnreadableError{File: file, Err: err}
-	case loader.HoldsObjects(src):
+	case loader.IsObjectFile(src):
 		result.objects, err = checkedObjects(src)
 		result.Holds = fmt.Sprintf("%d configuration objects", len(result.objects))
 	default:
--- a/launcher/examples_test.go
+++ b/launcher/examples_test.go
@@ -19,7 +19,7 @@
 		t.Run(filepath.Base(file), func(t *testing.T) {
 			src, err := os.ReadFile(file)
 			require.NoError(t, err)
-			if loader.HoldsObjects(src) {
+			if loader.IsObjectFile(src) {
 				_, err = checkedObjects(src)
 			} else {
 				_, err = loader.Parse(src)
--- a/launcher/publish.go
+++ b/launcher/publish.go
@@ -60,7 +60,7 @@
 
 func changeOf(ctx context.Context, c *connection, o loader.Object) (*operatorserver.ConfigChange, error) {
 	version := o.BaseVersion
-	if !o.HasVersion {
+	if !o.HasBaseVersion {
 		inForce, err := objectInForce(ctx, c, o.Kind, o.Name)
 		if err != nil {
 			return nil, err
--- a/loader/load_test.go
+++ b/loader/load_test.go
@@ -78,7 +78,7 @@
 	require.Equal(t, Millis(100), got.HeartbeatMillis)
 	require.Equal(t, Traces{Kept: 5, QueueSize: Defaults().Traces.QueueSize}, got.Traces)
 	require.Equal(t, Defaults().MaxBodyBytes, got.MaxBodyBytes)
-	require.Equal(t, "127.0.0.1:8003", got.PeerAddressForOthers())
+	require.Equal(t, "127.0.0.1:8003", got.PeerAdvertiseAddress())
 	require.Len(t, got.Key(), 32)
 }
 
--- a/loader/objects.go
+++ b/loader/objects.go
@@ -18,8 +18,8 @@
 	Kind string
 	Name string
 	// BaseVersion is the version that the change is based on, where the file gives it.
-	BaseVersion int64
-	HasVersion  bool
+	BaseVersion    int64
+	HasBaseVersion bool
 	// Body is the object's body as JSON without comments.
 	Body json.RawMessage
 
@@ -69,8 +69,8 @@
 	return objects, nil
 }
 
-// HoldsObjects tells whether the text looks like a file of configuration objects rather than settings.
-func HoldsObjects(src []byte) bool {
+// IsObjectFile tells whether the text looks like a file of configuration objects rather than settings.
+func IsObjectFile(src []byte) bool {
 	tree, err := hujson.Parse(src)
 	if err != nil {
 		return false
@@ -125,7 +125,7 @@
 	_, hasVersion := d.positions[join(path, "baseVersion")]
 	return Object{
 		Kind: head.Kind, Name: head.Name,
-		BaseVersion: head.BaseVersion, HasVersion: hasVersion,
+		BaseVersion: head.BaseVersion, HasBaseVersion: hasVersion,
 		Body: standard(*body), path: path, in: d,
 	}
 }
--- a/loader/objects_test.go
+++ b/loader/objects_test.go
@@ -22,13 +22,13 @@
 	require.NoError(t, err)
 	require.Len(t, objects, 2)
 	require.JSONEq(t, `{"kind": "engine", "slotsPerEndpoint": 8}`, string(objects[0].Body))
-	require.False(t, objects[0].HasVersion)
+	require.False(t, objects[0].HasBaseVersion)
 	require.Equal(t, int64(3), objects[1].BaseVersion)
 	require.Equal(t, "7:32: [1].body.limits[0].rate: must be a number", objects[1].Fault("limits[0].rate", "must be a number").String())
 	require.Equal(t, "7:23: [1].body.limits[0].burst: is missing", objects[1].Fault("limits[0].burst", "is missing").String())
 	require.Equal(t, "7:11: [1].body: is wrong", objects[1].Fault("", "is wrong").String())
-	require.True(t, HoldsObjects([]byte(twoObjects)))
-	require.False(t, HoldsObjects([]byte(whole)))
+	require.True(t, IsObjectFile([]byte(twoObjects)))
+	require.False(t, IsObjectFile([]byte(whole)))
 }
 
 func TestParseObjectsTellsAllFaults(t *testing.T) {
--- a/loader/settings.go
+++ b/loader/settings.go
@@ -172,16 +172,16 @@
 	}
 }
 
-// CallerAddressForOthers returns the address that callers are told.
-func (s Settings) CallerAddressForOthers() string {
+// CallerAdvertiseAddress returns the address that callers are told.
+func (s Settings) CallerAdvertiseAddress() string {
 	if s.AdvertisedCallerAddress != "" {
 		return s.AdvertisedCallerAddress
 	}
 	return s.CallerAddress
 }
 
-// PeerAddressForOthers returns the address that peers are told.
-func (s Settings) PeerAddressForOthers() string {
+// PeerAdvertiseAddress returns the address that peers are told.
+func (s Settings) PeerAdvertiseAddress() string {
 	if s.AdvertisedPeerAddress != "" {
 		return s.AdvertisedPeerAddress
 	}
--- a/splitter/splitter.go
+++ b/splitter/splitter.go
@@ -56,8 +56,8 @@
 	return events, nil
 }
 
-// Rest is what has come of an event that is not whole.
-func (s *Splitter) Rest() []byte { return s.rest }
+// Remainder is what has come of an event that is not whole.
+func (s *Splitter) Remainder() []byte { return s.rest }
 
 // eventLength gives the length of the first whole event, its blank line included, or 0.
 func eventLength(data []byte) int {
--- a/splitter/splitter_test.go
+++ b/splitter/splitter_test.go
@@ -24,7 +24,7 @@
 		require.Equal(t, Event{Data: []byte("id: 1\ndata: a\n\n"), ID: 1, HasID: true}, events[0])
 		require.Equal(t, int64(2), events[1].ID)
 		require.False(t, events[2].HasID)
-		require.Equal(t, "id: 4\ndata: ha", string(s.Rest()))
+		require.Equal(t, "id: 4\ndata: ha", string(s.Remainder()))
 	}
 }
 
@@ -51,6 +51,6 @@
 			}
 			rest = rest[n:]
 		}
-		require.True(t, bytes.Equal(data, append(whole, s.Rest()...)))
+		require.True(t, bytes.Equal(data, append(whole, s.Remainder()...)))
 	})
 }
--- a/verifier/throttle.go
+++ b/verifier/throttle.go
@@ -57,13 +57,13 @@
 	}
 }
 
-// Wrong counts one wrong credential from the address (an IP without a port) and tells whether the
-// address has now sent more than it may, so that the caller of Wrong should close the connection.
+// RecordFailure counts one wrong credential from the address (an IP without a port) and tells whether the
+// address has now sent more than it may, so that the caller of RecordFailure should close the connection.
 //
 // Only wrong credentials are throttled. A right one passes even from a throttled address: clerks behind
 // one NAT address would otherwise be locked out by one broken client, and tokens of 256 bits can't be
 // found by trying, so the throttle guards the processor and the connections, not the tokens.
-func (v *Verifier) Wrong(address string, now time.Time) (throttled bool) {
+func (v *Verifier) RecordFailure(address string, now time.Time) (throttled bool) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	a := v.allowanceOf(address, now)
--- a/verifier/verifier_test.go
+++ b/verifier/verifier_test.go
@@ -41,19 +41,19 @@
 	v := New(Config{Burst: 3, PerMinute: 2, MaxAddresses: 10})
 	now := time.Unix(1000, 0)
 	for range 3 {
-		require.False(t, v.Wrong("10.0.0.1", now))
+		require.False(t, v.RecordFailure("10.0.0.1", now))
 	}
-	require.True(t, v.Wrong("10.0.0.1", now))
-	require.False(t, v.Wrong("10.0.0.2", now))
+	require.True(t, v.RecordFailure("10.0.0.1", now))
+	require.False(t, v.RecordFailure("10.0.0.2", now))
 
-	require.False(t, v.Wrong("10.0.0.1", now.Add(30*time.Second)))
-	require.True(t, v.Wrong("10.0.0.1", now.Add(30*time.Second)))
-	require.True(t, v.Wrong("10.0.0.1", now), "a clock that goes back gives nothing")
+	require.False(t, v.RecordFailure("10.0.0.1", now.Add(30*time.Second)))
+	require.True(t, v.RecordFailure("10.0.0.1", now.Add(30*time.Second)))
+	require.True(t, v.RecordFailure("10.0.0.1", now), "a clock that goes back gives nothing")
 
 	for i := range 1000 {
-		v.Wrong(fmt.Sprintf("10.1.0.%d", i), now)
-		v.Wrong("10.0.0.1", now)
+		v.RecordFailure(fmt.Sprintf("10.1.0.%d", i), now)
+		v.RecordFailure("10.0.0.1", now)
 	}
 	require.Equal(t, 10, v.Addresses())
-	require.True(t, v.Wrong("10.0.0.1", now), "the busy address was not forgotten")
+	require.True(t, v.RecordFailure("10.0.0.1", now), "the busy address was not forgotten")
 }
