--- a/guarder/certificate.go
+++ b/guarder/certificate.go
@@ -8,10 +8,10 @@
 	"time"
 )
 
-// checkInterval is the least time between two looks at the files of a certificate.
+// checkInterval is the minimum time between two checks of a certificate's files for changes.
 const checkInterval = 10 * time.Second
 
-// CertificateError tells that a certificate's files can't be used.
+// CertificateError reports certificate files that can't be read or don't form a valid pair.
 type CertificateError struct {
 	CertFile string
 	KeyFile  string
@@ -25,51 +25,52 @@
 // Unwrap returns the cause.
 func (e *CertificateError) Unwrap() error { return e.Err }
 
-// CertificateConfig names the files of a certificate.
+// CertificateConfig names the PEM files of a certificate and its private key.
 type CertificateConfig struct {
 	CertFile string
 	KeyFile  string
-	// OnReload is told of each reload: nil where it worked, else why the earlier certificate stays.
+	// OnReload is called after each reload attempt: with nil if it succeeded, otherwise with the error because
+	// of which the previous certificate stays in use.
 	OnReload func(err error)
 }
 
-// certificate is a certificate that follows its files.
+// certificate is a key pair that is reloaded when its files change.
 type certificate struct {
 	cfg CertificateConfig
 
-	mu      sync.Mutex
-	pair    *tls.Certificate
-	stamp   fileStamp
-	checked time.Time
+	mu        sync.Mutex
+	pair      *tls.Certificate
+	stamp     fileStamp
+	lastCheck time.Time
 }
 
-// fileStamp tells whether either file has changed since it was read.
+// fileStamp holds the modification times and sizes of both files, to detect changes since they were read.
 type fileStamp struct {
 	certTime, keyTime time.Time
 	certSize, keySize int64
 }
 
-// newCertificate reads the files, and fails with a *CertificateError where they are no pair.
+// newCertificate reads the files. It returns a *CertificateError if they are not a valid pair.
 func newCertificate(cfg CertificateConfig, now time.Time) (*certificate, error) {
-	c := &certificate{cfg: cfg, checked: now}
+	c := &certificate{cfg: cfg, lastCheck: now}
 	if err := c.read(); err != nil {
 		return nil, err
 	}
 	return c, nil
 }
 
-// at returns the certificate to use now.
+// current returns the certificate to use at the given time, reloading it if its files have changed.
 //
-// A renewal writes two files, one after the other. A handshake between the two would read a
-// certificate and a key that don't match. Then the earlier pair stays in use and the files are looked at
-// again after checkInterval, so callers see no failed handshake.
-func (c *certificate) at(now time.Time) *tls.Certificate {
+// A renewal writes two files, one after the other. A handshake between the two writes would read a
+// certificate and a key that don't match. In that case the previous pair stays in use and the files are
+// checked again after checkInterval, so callers see no failed handshake.
+func (c *certificate) current(now time.Time) *tls.Certificate {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if now.Sub(c.checked) < checkInterval {
+	if now.Sub(c.lastCheck) < checkInterval {
 		return c.pair
 	}
-	c.checked = now
+	c.lastCheck = now
 	stamp, err := c.stat()
 	if err == nil && stamp == c.stamp {
 		return c.pair
@@ -86,18 +87,18 @@
 func (c *certificate) read() error {
 	stamp, err := c.stat()
 	if err != nil {
-		return c.failure(err)
+		return c.wrapError(err)
 	}
 	pair, err := tls.LoadX509KeyPair(c.cfg.CertFile, c.cfg.KeyFile)
 	if err != nil {
-		return c.failure(err)
+		return c.wrapError(err)
 	}
 	c.pair = &pair
 	c.stamp = stamp
 	return nil
 }
 
-func (c *certificate) failure(err error) error {
+func (c *certificate) wrapError(err error) error {
 	return &CertificateError{CertFile: c.cfg.CertFile, KeyFile: c.cfg.KeyFile, Err: err}
 }
 
@@ -118,12 +119,12 @@
 	}, nil
 }
 
-// tlsConfig serves whatever certificate is in use at each handshake.
+// tlsConfig returns a configuration that selects the current certificate at each handshake.
 func (c *certificate) tlsConfig(now func() time.Time) *tls.Config {
 	return &tls.Config{
 		MinVersion: tls.VersionTLS12,
 		GetCertificate: func(*tls.ClientHelloInfo) (*tls.Certificate, error) {
-			return c.at(now()), nil
+			return c.current(now()), nil
 		},
 	}
 }
--- a/guarder/certificate_test.go
+++ b/guarder/certificate_test.go
@@ -20,7 +20,7 @@
 	"go.uber.org/zap/zaptest/observer"
 )
 
-// writePair writes a new self-signed certificate with the serial number, and its key.
+// writePair writes a new self-signed certificate with the given serial number and its private key.
 func writePair(t *testing.T, certFile, keyFile string, serial int64) {
 	t.Helper()
 	key, err := ecdsa.GenerateKey(elliptic.P256(), rand.Reader)
@@ -37,10 +37,10 @@
 	require.NoError(t, os.WriteFile(keyFile, pem.EncodeToMemory(&pem.Block{Type: "PRIVATE KEY", Bytes: keyDER}), 0o600))
 }
 
-// A certificate is renewed under a running entry, and once its new files are broken. Callers' handshakes
-// never fail: a good new pair is used after the check interval, a broken one leaves the earlier pair in
-// use, with one line in the log for each change.
-func TestCertificateFollowsItsFiles(t *testing.T) {
+// A certificate is renewed while the entry runs, once with an invalid key file. Handshakes must never fail: a
+// valid new pair is used after the check interval, an invalid one leaves the previous pair in use, and each
+// change logs one line.
+func TestCertificateReloadsChangedFiles(t *testing.T) {
 	dir := t.TempDir()
 	certFile, keyFile := filepath.Join(dir, "cert.pem"), filepath.Join(dir, "key.pem")
 	core, logs := observer.New(zap.DebugLevel)
@@ -59,7 +59,7 @@
 	require.Equal(t, int64(1), serial(t, server))
 
 	writePair(t, certFile, keyFile, 2)
-	require.Equal(t, int64(1), serial(t, server), "not looked at before the interval")
+	require.Equal(t, int64(1), serial(t, server), "files checked before the interval")
 	clock.Add(10)
 	require.Equal(t, int64(2), serial(t, server))
 
@@ -77,17 +77,17 @@
 	require.Equal(t, 1, logs.FilterMessageSnippet("not reloaded").Len())
 }
 
-// serial asks over TLS and returns the serial number of the certificate that it met.
+// serial sends a request over TLS and returns the serial number of the server's certificate.
 func serial(t *testing.T, server *Server) int64 {
 	t.Helper()
 	transport := &http.Transport{
-		TLSClientConfig:   &tls.Config{InsecureSkipVerify: true}, // self-signed, made by this test
+		TLSClientConfig:   &tls.Config{InsecureSkipVerify: true}, // self-signed by this test
 		ForceAttemptHTTP2: true,
 	}
 	defer transport.CloseIdleConnections()
-	answer, err := (&http.Client{Transport: transport}).Get("https://" + server.Address() + "/")
+	resp, err := (&http.Client{Transport: transport}).Get("https://" + server.Address() + "/")
 	require.NoError(t, err)
-	require.NoError(t, answer.Body.Close())
-	require.Equal(t, 2, answer.ProtoMajor)
-	return answer.TLS.PeerCertificates[0].SerialNumber.Int64()
+	require.NoError(t, resp.Body.Close())
+	require.Equal(t, 2, resp.ProtoMajor)
+	return resp.TLS.PeerCertificates[0].SerialNumber.Int64()
 }
--- a/guarder/framing.go
+++ b/guarder/framing.go
@@ -8,17 +8,18 @@
 	"sync"
 )
 
-// framingKey finds a connection's framing in a request's context.
+// framingKey is the context key for the connection of a request.
 type framingKey struct{}
 
-// maxScanned bounds the bytes of one header that are looked through.
-const maxScanned = 32 << 10
+// maxScannedBytes bounds the bytes of one request header that are scanned.
+const maxScannedBytes = 32 << 10
 
-// framing watches a connection for requests that tell their body's length in two ways.
+// framing is a connection that detects requests with both Transfer-Encoding and Content-Length headers.
 //
-// net/http takes the chunks and drops the Content-Length, as the standard allows. A sender that goes by the length
-// would have its next request begin elsewhere, and what one side takes for a body is a hidden request to the other.
-// Such a request is refused and its connection closed, so that nothing after it is read as a request.
+// net/http uses the chunked encoding and ignores Content-Length, as the standard allows. A sender that uses
+// Content-Length disagrees about where the next request starts, so one side may parse as a request what the other
+// sent as a body (request smuggling). Such a request is refused and its connection closed, so that nothing after it
+// is parsed as a request.
 type framing struct {
 	net.Conn
 	mu        sync.Mutex
@@ -27,7 +28,7 @@
 	ambiguous bool
 }
 
-// FramingListener wraps accepted connections so that HasAmbiguousLength can tell of their requests.
+// FramingListener wraps the accepted connections so that HasAmbiguousLength can inspect their requests.
 func FramingListener(l net.Listener) net.Listener { return &framingListener{l} }
 
 type framingListener struct{ net.Listener }
@@ -55,28 +56,29 @@
 func (f *framing) scan(data []byte) {
 	f.header = append(f.header, data...)
 	end := bytes.Index(f.header, []byte("\r\n\r\n"))
-	if end < 0 && len(f.header) < maxScanned {
+	if end < 0 && len(f.header) < maxScannedBytes {
 		return
 	}
 	if end < 0 {
 		end = len(f.header)
 	}
-	f.ambiguous = f.ambiguous || twoLengths(f.header[:end])
+	f.ambiguous = f.ambiguous || hasBothLengths(f.header[:end])
 	f.scanning = false
 	f.header = nil
 }
 
-func twoLengths(header []byte) bool {
+func hasBothLengths(header []byte) bool {
 	lower := bytes.ToLower(header)
 	return bytes.Contains(lower, []byte("\ntransfer-encoding")) && bytes.Contains(lower, []byte("\ncontent-length"))
 }
 
-// FramingContext is for http.Server.ConnContext.
+// FramingContext stores the connection in the context of its requests. Use it as http.Server.ConnContext.
 func FramingContext(ctx context.Context, c net.Conn) context.Context {
 	return context.WithValue(ctx, framingKey{}, c)
 }
 
-// FramingState is for http.Server.ConnState: the next request's header is looked at.
+// FramingState starts the scan of the next request's header when the connection becomes idle. Use it as
+// http.Server.ConnState.
 func FramingState(c net.Conn, state http.ConnState) {
 	f, ok := c.(*framing)
 	if !ok || state != http.StateIdle {
@@ -87,7 +89,8 @@
 	f.mu.Unlock()
 }
 
-// HasAmbiguousLength tells whether the request's connection has carried a request whose length is in doubt.
+// HasAmbiguousLength reports whether any request on this request's connection had both Transfer-Encoding and
+// Content-Length headers.
 func HasAmbiguousLength(ctx context.Context) bool {
 	f, ok := ctx.Value(framingKey{}).(*framing)
 	if !ok {
--- a/guarder/framing_test.go
+++ b/guarder/framing_test.go
@@ -35,12 +35,12 @@
 	return l.Addr().String()
 }
 
-// A caller sends a request with a length and chunks. Behind its last chunk stands another request, which by the length
-// is still a part of the body. The first must be refused, and nothing after it read as a request.
-func TestARequestWithTwoLengthsIsRefused(t *testing.T) {
+// A caller sends a chunked request that also has a Content-Length, followed by another request that counts as body by
+// that length. The first request must be refused, and nothing after it parsed as a request.
+func TestRequestWithBothLengthsIsRefused(t *testing.T) {
 	for _, tc := range []struct{ name, before string }{
 		{"first request", ""},
-		{"after a good one", "GET / HTTP/1.1\r\nHost: a\r\n\r\n"},
+		{"after a valid request", "GET / HTTP/1.1\r\nHost: a\r\n\r\n"},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			conn, err := net.Dial("tcp", serveFraming(t))
@@ -57,7 +57,7 @@
 			require.NoError(t, err)
 			require.Equal(t, http.StatusBadRequest, readStatus(t, br))
 			_, err = br.ReadByte()
-			require.Error(t, err, "the connection has ended")
+			require.Error(t, err, "connection still open")
 		})
 	}
 }
--- a/guarder/guard.go
+++ b/guarder/guard.go
@@ -13,73 +13,73 @@
 	"geraniumline/verifier"
 )
 
-// guard is the handler around a socket's own handler.
+// guard wraps a socket's handler and enforces the limits on bodies, writes and wrong credentials.
 type guard struct {
-	cfg       Config
-	next      http.Handler
-	verifier  *verifier.Verifier
-	wrong     metrics.Counter
-	throttled metrics.Counter
-	tooLarge  metrics.Counter
-	refused   metrics.Counter
-	bodies    *quota
+	cfg                  Config
+	next                 http.Handler
+	verifier             *verifier.Verifier
+	credentialsWrong     metrics.Counter
+	credentialsThrottled metrics.Counter
+	bodiesTooLarge       metrics.Counter
+	bodiesRefused        metrics.Counter
+	bodyQuota            *quota
 }
 
 func newGuard(cfg Config) *guard {
 	return &guard{
-		cfg:       cfg,
-		next:      cfg.Handler,
-		verifier:  cfg.Verifier,
-		wrong:     cfg.Meter.Counter(meter.CredentialsWrong, cfg.Socket),
-		throttled: cfg.Meter.Counter(meter.CredentialsThrottled, cfg.Socket),
-		tooLarge:  cfg.Meter.Counter(meter.BodiesTooLarge, cfg.Socket),
-		refused:   cfg.Meter.Counter(meter.BodiesRefused, cfg.Socket),
-		bodies:    newQuota(cfg.MaxTotalBodyBytes),
+		cfg:                  cfg,
+		next:                 cfg.Handler,
+		verifier:             cfg.Verifier,
+		credentialsWrong:     cfg.Meter.Counter(meter.CredentialsWrong, cfg.Socket),
+		credentialsThrottled: cfg.Meter.Counter(meter.CredentialsThrottled, cfg.Socket),
+		bodiesTooLarge:       cfg.Meter.Counter(meter.BodiesTooLarge, cfg.Socket),
+		bodiesRefused:        cfg.Meter.Counter(meter.BodiesRefused, cfg.Socket),
+		bodyQuota:            newQuota(cfg.MaxTotalBodyBytes),
 	}
 }
 
-// ServeHTTP answers a body of too great a declared length at once, and bounds the reading of any other.
+// ServeHTTP rejects a body whose declared length exceeds the limit, and bounds the reading of any other.
 func (g *guard) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	writer := &writer{ResponseWriter: w, guard: g, remote: r.RemoteAddr, control: http.NewResponseController(w)}
-	// What the handler leaves in net/http's buffer is written after it returns.
-	defer writer.limit()
+	// net/http writes what remains in its buffer after the handler returns.
+	defer writer.setWriteDeadline()
 	if r.ContentLength > g.cfg.MaxBodyBytes {
-		g.tooLarge.Inc(1)
+		g.bodiesTooLarge.Inc(1)
 		refuse(w, http.StatusRequestEntityTooLarge, bodyTooLarge)
 		return
 	}
 	g.serve(writer, r)
 }
 
-// serve hands the request on once there is room for its body.
+// serve calls the next handler if the quota has room for the request's body.
 //
-// The bound on each body does not bound their sum: thousands of connections, each within it, could fill
-// the memory before a credential is looked at. A body of declared length takes its room before it is
-// read, a chunked one as it is read; the room is given back when the handler returns.
+// The limit on each body does not limit their sum: thousands of connections, each within the limit, could
+// fill the memory before any credential is checked. A body of declared length reserves its quota before it
+// is read, a chunked body as it is read; the quota is released when the handler returns.
 func (g *guard) serve(w *writer, r *http.Request) {
 	address := parseAddress(r.RemoteAddr)
 	declared := max(r.ContentLength, 0)
-	if !g.bodies.take(address, declared) {
-		g.refused.Inc(1)
+	if !g.bodyQuota.acquire(address, declared) {
+		g.bodiesRefused.Inc(1)
 		w.Header().Set("Retry-After", bodyRetrySeconds)
 		refuse(w.ResponseWriter, http.StatusServiceUnavailable, tooManyBodies)
 		return
 	}
 	bounded := g.boundBody(w, r)
-	defer func() { g.bodies.give(address, declared+bounded.taken) }()
+	defer func() { g.bodyQuota.release(address, declared+bounded.acquired) }()
 	g.next.ServeHTTP(w, r)
 }
 
-// boundBody bounds the body's length, and the time until its end.
+// boundBody limits the length of the body and the time until it has been read.
 //
-// http.Server's ReadTimeout would do the second too, but it goes on running while the answer is
-// streamed, and then cancels the request in the middle of its answer. This deadline ends with the body.
+// http.Server's ReadTimeout would also limit the time, but it keeps running while the response is streamed and
+// then cancels the request in the middle of its response. This deadline is cleared when the body ends.
 func (g *guard) boundBody(w *writer, r *http.Request) *body {
 	bounded := &body{guard: g, control: w.control}
 	if r.Body == nil || r.Body == http.NoBody {
 		return bounded
 	}
-	// An error means that the connection has gone; the reading will say so.
+	// An error means that the connection is closed, which the next read reports.
 	_ = w.control.SetReadDeadline(time.Now().Add(g.cfg.BodyTimeout))
 	bounded.ReadCloser = http.MaxBytesReader(w.ResponseWriter, r.Body, g.cfg.MaxBodyBytes)
 	bounded.header = w.Header()
@@ -89,7 +89,7 @@
 	return bounded
 }
 
-// body lifts the read deadline when the last byte has been read, and takes room for a chunked body.
+// body clears the read deadline after the last byte has been read, and acquires quota for a chunked body.
 type body struct {
 	io.ReadCloser
 	guard   *guard
@@ -97,10 +97,11 @@
 	header  http.Header
 	address netip.Addr
 	chunked bool
-	taken   int64
+	// acquired is the quota held for a chunked body, in bytes.
+	acquired int64
 }
 
-// BodyQuotaError tells that the bodies in memory leave no room for more of this one.
+// BodyQuotaError reports that the bodies in memory leave no quota for the rest of this one.
 type BodyQuotaError struct{}
 
 func (e *BodyQuotaError) Error() string { return "too many request bodies are in memory" }
@@ -108,104 +109,105 @@
 func (b *body) Read(p []byte) (int, error) {
 	n, err := b.ReadCloser.Read(p)
 	if b.chunked && n > 0 {
-		if !b.guard.bodies.take(b.address, int64(n)) {
-			b.guard.refused.Inc(1)
-			// Otherwise net/http would read the rest of the body before it sends the refusal.
+		if !b.guard.bodyQuota.acquire(b.address, int64(n)) {
+			b.guard.bodiesRefused.Inc(1)
+			// Without this, net/http reads the rest of the body before it sends the error response.
 			b.header.Set("Connection", "close")
 			return 0, &BodyQuotaError{}
 		}
-		b.taken += int64(n)
+		b.acquired += int64(n)
 	}
 	var tooLarge *http.MaxBytesError
 	switch {
 	case errors.Is(err, io.EOF):
 		_ = b.control.SetReadDeadline(time.Time{})
 	case errors.As(err, &tooLarge):
-		b.guard.tooLarge.Inc(1)
+		b.guard.bodiesTooLarge.Inc(1)
 	}
 	return n, err
 }
 
-// writer bounds each writing, and turns the answer to a throttled address's wrong credential into 429.
+// writer sets a deadline on each write, and replaces a 401 response to a throttled address with 429.
 type writer struct {
 	http.ResponseWriter
 	guard   *guard
 	remote  string
 	control *http.ResponseController
-	replace bool // the handler's body is dropped: another answer was given in its place
+	// replaced is set once a 429 response was sent in place of the handler's; the handler's body is then discarded.
+	replaced bool
 }
 
-// The whole answers that the guard gives itself, in the form that callers and operators get from the
-// handlers behind it.
+// Response bodies that the guard sends itself, in the same form as the error responses of the wrapped handlers.
 const (
 	bodyTooLarge  = `{"code":"bodyTooLarge","message":"the request's body is too large","outcome":"notRun"}` + "\n"
 	tooManyWrong  = `{"code":"tooManyWrongCredentials","message":"too many wrong credentials from this address","outcome":"notRun"}` + "\n"
 	tooManyBodies = `{"code":"tooManyBodies","message":"too many request bodies are being read","outcome":"notRun"}` + "\n"
 )
 
-// refuse answers and closes the connection.
-func refuse(w http.ResponseWriter, code int, answer string) {
+// refuse sends an error response and closes the connection.
+func refuse(w http.ResponseWriter, code int, responseBody string) {
 	header := w.Header()
 	header.Del("Content-Length")
 	header.Set("Content-Type", "application/json")
 	header.Set("Connection", "close")
 	w.WriteHeader(code)
-	_, _ = io.WriteString(w, answer) // an error means that the caller has gone
+	_, _ = io.WriteString(w, responseBody) // an error means that the caller has disconnected
 }
 
-// retryAfterSeconds is when a throttled address has some of its allowance back.
-const retryAfterSeconds = "60"
+// credentialRetrySeconds is the Retry-After value for a throttled address. By then part of its allowance is
+// refilled.
+const credentialRetrySeconds = "60"
 
-// bodyRetrySeconds is when some of the bodies in memory will have gone.
+// bodyRetrySeconds is the Retry-After value when the body quota is exhausted. By then some bodies are released.
 const bodyRetrySeconds = "1"
 
-// Unwrap lets http.ResponseController reach net/http.
+// Unwrap returns the underlying writer for http.ResponseController.
 func (w *writer) Unwrap() http.ResponseWriter { return w.ResponseWriter }
 
-// WriteHeader counts a wrong credential and closes the connection of a throttled address.
+// WriteHeader counts a 401 as a wrong credential and closes the connection of a throttled address.
 func (w *writer) WriteHeader(code int) {
 	if code != http.StatusUnauthorized {
 		w.ResponseWriter.WriteHeader(code)
 		return
 	}
-	w.guard.wrong.Inc(1)
+	w.guard.credentialsWrong.Inc(1)
 	if !w.guard.verifier.RecordFailure(parseAddress(w.remote).String(), w.guard.cfg.Now()) {
 		w.ResponseWriter.WriteHeader(code)
 		return
 	}
-	w.guard.throttled.Inc(1)
-	w.replace = true
-	w.Header().Set("Retry-After", retryAfterSeconds)
+	w.guard.credentialsThrottled.Inc(1)
+	w.replaced = true
+	w.Header().Set("Retry-After", credentialRetrySeconds)
 	refuse(w.ResponseWriter, http.StatusTooManyRequests, tooManyWrong)
 }
 
-// Write writes within WriteTimeout.
+// Write writes p with a deadline of WriteTimeout.
 func (w *writer) Write(p []byte) (int, error) {
-	if w.replace {
+	if w.replaced {
 		return len(p), nil
 	}
-	w.limit()
-	defer w.unlimit()
+	w.setWriteDeadline()
+	defer w.clearWriteDeadline()
 	return w.ResponseWriter.Write(p)
 }
 
-// Flush sends what net/http holds in its buffer.
+// Flush sends the data in net/http's buffer with a deadline of WriteTimeout.
 func (w *writer) Flush() {
-	w.limit()
-	defer w.unlimit()
-	_ = w.control.Flush() // an error shows at the next Write
+	w.setWriteDeadline()
+	defer w.clearWriteDeadline()
+	_ = w.control.Flush() // the next Write returns the error
 }
 
-// limit gives the caller WriteTimeout from now to read.
+// setWriteDeadline makes writes fail after WriteTimeout from now.
 //
-// A caller that never reads its streamed answer would hold its connection and its buffers for ever; the
-// write fails instead, and the handler sees that the caller has gone.
-func (w *writer) limit() {
+// A caller that never reads its streamed response would otherwise hold its connection and its buffers forever.
+// With the deadline the write fails, and the handler treats the caller as disconnected.
+func (w *writer) setWriteDeadline() {
 	_ = w.control.SetWriteDeadline(time.Now().Add(w.guard.cfg.WriteTimeout))
 }
 
-// unlimit lets the handler think for as long as it needs: on HTTP/2 a deadline that passes between two
-// writes would reset the stream.
-func (w *writer) unlimit() {
+// clearWriteDeadline removes the deadline between writes, so that the handler may take any time to produce the
+// next part. On HTTP/2 a deadline that passes between two writes resets the stream.
+func (w *writer) clearWriteDeadline() {
 	_ = w.control.SetWriteDeadline(time.Time{})
 }
--- a/guarder/listener.go
+++ b/guarder/listener.go
@@ -1,5 +1,5 @@
-// Package guarder opens the listening sockets: it bounds their connections, headers, bodies and waiting
-// times, serves TLS with certificates that may change, and throttles wrong credentials.
+// Package guarder opens the listening sockets. It limits their connections, header and body sizes and idle
+// times, serves TLS with certificates that are reloaded when they change, and throttles wrong credentials.
 package guarder
 
 import (
@@ -15,9 +15,9 @@
 	"geraniumline/meter"
 )
 
-// ListenError tells that an address from the settings can't be listened on.
+// ListenError reports an address in the settings that can't be listened on.
 type ListenError struct {
-	// Field names the setting, such as callerAddress.
+	// Field is the name of the setting, such as callerAddress.
 	Field   string
 	Address string
 	Err     error
@@ -36,29 +36,29 @@
 // Unwrap returns the cause.
 func (e *ListenError) Unwrap() error { return e.Err }
 
-// ListenConfig says what to listen on and how many connections to hold.
+// ListenConfig configures a listening socket.
 type ListenConfig struct {
-	// Field names the setting that gave the address, for errors.
+	// Field is the name of the setting that holds the address, for errors.
 	Field string
-	// Socket labels the metrics: caller, operator or peer.
+	// Socket is the label of the metrics: caller, operator or peer.
 	Socket string
 	// Address is an IP and a port.
 	Address string
-	// MaxConnections bounds the open connections; 0 takes defaultMaxConnections.
+	// MaxConnections limits the open connections; 0 means defaultMaxConnections.
 	MaxConnections int
-	// Meter counts open and refused connections.
+	// Meter receives the counts of open and refused connections.
 	Meter *meter.Meter
 }
 
-// defaultMaxConnections bounds a socket whose settings give no bound.
+// defaultMaxConnections is the connection limit of a socket that has none configured.
 const defaultMaxConnections = 4096
 
-// Listen opens a TCP socket that holds at most MaxConnections connections, and of those at most half
-// from one remote address.
+// Listen opens a TCP socket that allows at most MaxConnections open connections, at most half of them from one
+// remote address. Errors are *ListenError.
 //
-// Past the bound a connection is accepted and closed at once. Left in the kernel's queue instead, it
-// would look to the caller like an entry that hangs; closed, the caller tries its next address. The
-// bound by address keeps one host's flood from shutting out all others.
+// A connection over the limit is accepted and closed at once. Left in the kernel's queue, it would look to the
+// caller like an entry that hangs; after a close, the caller tries its next address. The limit per address keeps
+// a flood from one host from locking out all others.
 func Listen(cfg ListenConfig) (net.Listener, error) {
 	if cfg.MaxConnections <= 0 {
 		cfg.MaxConnections = defaultMaxConnections
@@ -80,7 +80,7 @@
 	}, nil
 }
 
-// boundedListener counts the connections that it has given out.
+// boundedListener limits the number of open connections, in total and per remote address.
 type boundedListener struct {
 	*net.TCPListener
 	quota   *quota
@@ -88,7 +88,7 @@
 	refused metrics.Counter
 }
 
-// Accept waits for the next connection within the bounds.
+// Accept returns the next connection within the limits and closes those over them.
 func (l *boundedListener) Accept() (net.Conn, error) {
 	for {
 		conn, err := l.AcceptTCP()
@@ -96,32 +96,32 @@
 			return nil, err
 		}
 		address := remoteAddress(conn)
-		if l.take(address) {
+		if l.acquire(address) {
 			return &countedConn{TCPConn: conn, release: func() { l.release(address) }}, nil
 		}
 		l.refused.Inc(1)
-		_ = conn.Close() // nothing was said on it
+		_ = conn.Close() // nothing was sent or received on it
 	}
 }
 
-func (l *boundedListener) take(address netip.Addr) bool {
-	if !l.quota.take(address, 1) {
+func (l *boundedListener) acquire(address netip.Addr) bool {
+	if !l.quota.acquire(address, 1) {
 		return false
 	}
-	l.open.Update(l.quota.taken())
+	l.open.Update(l.quota.inUse())
 	return true
 }
 
 func (l *boundedListener) release(address netip.Addr) {
-	l.quota.give(address, 1)
-	l.open.Update(l.quota.taken())
+	l.quota.release(address, 1)
+	l.open.Update(l.quota.inUse())
 }
 
-// countedConn gives its place back when it is closed.
+// countedConn releases its connection quota when it is closed.
 //
-// It embeds a TCP connection rather than a net.Conn for its CloseWrite: without that, net/http closes
-// at once after an early refusal, the kernel resets the connection because of what was not read, and
-// the caller sees a reset in place of the answer.
+// It embeds a TCP connection rather than a net.Conn because net/http needs CloseWrite. Without it, net/http closes
+// the connection immediately after an early error response, the kernel resets it because of the unread data, and the
+// caller sees a reset instead of the response.
 type countedConn struct {
 	*net.TCPConn
 	once    sync.Once
@@ -137,7 +137,7 @@
 	return parseAddress(conn.RemoteAddr().String())
 }
 
-// parseAddress takes the IP out of an IP and port. A text of another form gives the zero Addr.
+// parseAddress returns the IP of an IP and port, or the zero Addr if the text has another form.
 func parseAddress(text string) netip.Addr {
 	address, err := netip.ParseAddrPort(text)
 	if err != nil {
--- a/guarder/quota.go
+++ b/guarder/quota.go
@@ -5,30 +5,31 @@
 	"sync"
 )
 
-// quota shares out a bounded amount, of which one remote address gets at most half: one host's flood
-// can't take what all others need.
+// quota limits the amount in use, in total and per remote address. One address gets at most half of the total, so
+// that a flood from one host can't exhaust it for all others.
 type quota struct {
-	max        int64
-	perAddress int64
+	limit           int64
+	limitPerAddress int64
 
 	mu        sync.Mutex
 	total     int64
 	addresses map[netip.Addr]int64
 }
 
-func newQuota(most int64) *quota {
+// newQuota returns a quota with the total limit.
+func newQuota(limit int64) *quota {
 	return &quota{
-		max:        most,
-		perAddress: max(most/2, 1),
-		addresses:  make(map[netip.Addr]int64),
+		limit:           limit,
+		limitPerAddress: max(limit/2, 1),
+		addresses:       make(map[netip.Addr]int64),
 	}
 }
 
-// take takes n for the address, all of it or nothing, and tells whether it did.
-func (q *quota) take(address netip.Addr, n int64) bool {
+// acquire adds n to the amount in use by the address if it fits within the limits, and reports whether it did.
+func (q *quota) acquire(address netip.Addr, n int64) bool {
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	if q.total+n > q.max || q.addresses[address]+n > q.perAddress {
+	if q.total+n > q.limit || q.addresses[address]+n > q.limitPerAddress {
 		return false
 	}
 	q.total += n
@@ -36,8 +37,8 @@
 	return true
 }
 
-// give returns n that the address took.
-func (q *quota) give(address netip.Addr, n int64) {
+// release subtracts n from the amount in use by the address.
+func (q *quota) release(address netip.Addr, n int64) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	q.total -= n
@@ -47,8 +48,8 @@
 	}
 }
 
-// taken returns how much is out.
-func (q *quota) taken() int64 {
+// inUse returns the total amount in use.
+func (q *quota) inUse() int64 {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	return q.total
--- a/guarder/server.go
+++ b/guarder/server.go
@@ -15,49 +15,49 @@
 	"geraniumline/verifier"
 )
 
-// The bounds of a socket that Config leaves at zero.
+// Defaults for the limits that Config leaves at zero.
 const (
 	defaultHeaderTimeout = 5 * time.Second
 	defaultBodyTimeout   = 20 * time.Second
 	defaultWriteTimeout  = 20 * time.Second
 	defaultIdleTimeout   = 60 * time.Second
 	defaultMaxBodyBytes  = 1 << 20
-	// defaultMaxTotalBodyBytes holds 64 bodies of the default bound, or thousands of ordinary ones.
+	// defaultMaxTotalBodyBytes allows 64 bodies of the default limit, or thousands of typical size.
 	defaultMaxTotalBodyBytes = 64 << 20
 )
 
-// maxHeaderBytes bounds a request's line and headers; net/http adds 4 KB of its own.
+// maxHeaderBytes limits the request line and headers; net/http allows 4 KB more.
 const maxHeaderBytes = 16 << 10
 
-// maxStreams bounds the requests at a time on one HTTP/2 connection.
+// maxStreams limits the concurrent requests on one HTTP/2 connection.
 const maxStreams = 64
 
-// Config says how one HTTP socket is opened.
+// Config configures one HTTP socket. Limits and timeouts of zero take the defaults above.
 type Config struct {
 	ListenConfig
-	// Certificate serves TLS where its files are named.
+	// Certificate enables TLS if its files are named.
 	Certificate CertificateConfig
-	// Handler answers the requests. One that it answers with 401 counts as a wrong credential.
+	// Handler serves the requests. A response with status 401 counts as a wrong credential.
 	Handler http.Handler
-	// MaxBodyBytes bounds a request's body.
+	// MaxBodyBytes limits the body of one request.
 	MaxBodyBytes int64
-	// MaxTotalBodyBytes bounds the sum of the bodies whose requests are not yet answered. It is raised to
-	// four times MaxBodyBytes where it is less, so that one body always fits.
+	// MaxTotalBodyBytes limits the sum of the bodies of all requests in flight. It is raised to at least
+	// four times MaxBodyBytes, so that one body always fits.
 	MaxTotalBodyBytes int64
-	// Verifier counts wrong credentials by address. Sockets may share one.
+	// Verifier counts wrong credentials per address. Sockets may share one.
 	Verifier *verifier.Verifier
-	// Log gets a line when the certificate changes.
+	// Log receives a line for each reload of the certificate.
 	Log *zap.Logger
-	// Now is the clock for certificates and wrong credentials; nil takes the system's.
+	// Now is the clock for certificates and wrong credentials; nil means the system clock.
 	Now func() time.Time
 
-	// HeaderTimeout bounds the reading of a request's headers.
+	// HeaderTimeout limits the time to read the headers of a request.
 	HeaderTimeout time.Duration
-	// BodyTimeout bounds the reading of a request's body.
+	// BodyTimeout limits the time to read the body of a request.
 	BodyTimeout time.Duration
-	// WriteTimeout bounds each writing to a caller that reads slowly or not at all.
+	// WriteTimeout limits each write to a caller that reads slowly or not at all.
 	WriteTimeout time.Duration
-	// IdleTimeout bounds the wait for the next request on a connection.
+	// IdleTimeout limits the wait for the next request on a connection.
 	IdleTimeout time.Duration
 }
 
@@ -90,14 +90,14 @@
 	return value
 }
 
-// Server is one guarded HTTP socket.
+// Server is an HTTP server on one socket with the limits of its Config.
 type Server struct {
 	listener net.Listener
 	http     *http.Server
 }
 
-// Open listens, so that an address in use is known at once, but answers nothing until Serve.
-// It fails with a *ListenError or a *CertificateError.
+// Open starts listening, so that an address in use is reported at once, but serves no request until Serve.
+// Errors are *ListenError or *CertificateError.
 func Open(cfg Config) (*Server, error) {
 	cfg = cfg.withDefaults()
 	server := &http.Server{
@@ -106,12 +106,12 @@
 		IdleTimeout:       cfg.IdleTimeout,
 		MaxHeaderBytes:    maxHeaderBytes,
 		HTTP2:             &http.HTTP2Config{MaxConcurrentStreams: maxStreams},
-		// net/http writes a line for each failed handshake and each panic. A port scan would fill the
-		// log with what the sender chose; the connections are counted instead.
+		// net/http logs a line for each failed handshake and each panic. A port scan would fill the log
+		// with data chosen by the sender; connections are counted instead.
 		ErrorLog: log.New(io.Discard, "", 0),
 	}
 	if cfg.Certificate.CertFile != "" {
-		cfg.Certificate.OnReload = logChange(cfg)
+		cfg.Certificate.OnReload = reloadLogger(cfg)
 		cert, err := newCertificate(cfg.Certificate, cfg.Now())
 		if err != nil {
 			return nil, err
@@ -125,11 +125,12 @@
 	return &Server{listener: listener, http: server}, nil
 }
 
-func logChange(cfg Config) func(error) {
+// reloadLogger returns an OnReload function that logs each reload.
+func reloadLogger(cfg Config) func(error) {
 	log := cfg.Log.With(zap.String("socket", cfg.Socket), zap.String("certFile", cfg.Certificate.CertFile))
 	return func(err error) {
 		if err != nil {
-			log.Warn("certificate not reloaded, the earlier one stays", zap.Error(err))
+			log.Warn("certificate not reloaded, previous one stays in use", zap.Error(err))
 			return
 		}
 		log.Info("certificate reloaded")
@@ -139,7 +140,7 @@
 // Address returns the IP and port listened on.
 func (s *Server) Address() string { return s.listener.Addr().String() }
 
-// Serve answers requests until Shutdown or Close. It returns nil after either.
+// Serve serves requests until Shutdown or Close, and returns nil after either.
 func (s *Server) Serve() error {
 	var err error
 	if s.http.TLSConfig != nil {
@@ -153,16 +154,16 @@
 	return err
 }
 
-// Shutdown stops listening, closes idle connections and waits for the requests in flight until ctx ends.
+// Shutdown stops listening, closes idle connections and waits for the requests in flight until ctx is done.
 func (s *Server) Shutdown(ctx context.Context) error {
-	_ = s.listener.Close() // net/http knows of the listener only once Serve has run
+	_ = s.listener.Close() // net/http closes the listener only if Serve has been called
 	if err := s.http.Shutdown(ctx); !errors.Is(err, net.ErrClosed) {
 		return err
 	}
 	return nil
 }
 
-// Close cuts all connections.
+// Close stops listening and closes all connections immediately.
 func (s *Server) Close() error {
 	_ = s.listener.Close()
 	if err := s.http.Close(); !errors.Is(err, net.ErrClosed) {
