--- a/connector/conn.go
+++ b/connector/conn.go
@@ -13,59 +13,59 @@
 	"time"
 )
 
-// maxForeign bounds the answers of other exchanges that are passed over before one's own.
-const maxForeign = 2
+// maxUnmatchedResponses limits the responses of other exchanges that are skipped before the expected one.
+const maxUnmatchedResponses = 2
 
 // conn is one connection to an endpoint.
 type conn struct {
 	client  *Client
 	address string
-	nc      net.Conn
+	netConn net.Conn
 	br      *bufio.Reader
-	// idle is set while the connection waits for its next exchange; the client's lock guards it.
+	// idle is set between exchanges, while the connection is in the client's idle list. Client.mu guards it.
 	idle        bool
 	usableUntil time.Time
-	// first tells when the first byte after an idle time can be read; nil on a new connection.
-	first chan error
-	// written tells how the writing of the request ended.
+	// firstRead receives the result of the first read after an idle period; nil on a new connection.
+	firstRead chan error
+	// written receives the result of writing the request.
 	written chan error
 }
 
-// abort closes the connection; whoever reads or writes it fails.
-func (cn *conn) abort() { _ = cn.nc.Close() }
+// abort closes the connection. Pending reads and writes fail.
+func (cn *conn) abort() { _ = cn.netConn.Close() }
 
-// watch reads ahead while the connection is idle. An endpoint's close, and bytes that no request has asked for, end
-// it at once: the next request would be lost on it, or take an answer that is not its own.
-func (cn *conn) watch() {
+// watchIdle reads ahead while the connection is idle, and closes it if the endpoint closes it or sends bytes that belong
+// to no request. Otherwise the next request would be lost or would receive the response of another exchange.
+func (cn *conn) watchIdle() {
 	_, err := cn.br.Peek(1)
-	if cn.client.drop(cn) {
+	if cn.client.removeIdle(cn) {
 		cn.abort()
 		return
 	}
-	cn.first <- err
+	cn.firstRead <- err
 }
 
-// send writes the request, long bodies beside the reading of the answer.
+// send writes the request. Long bodies are written concurrently with reading the response.
 func (cn *conn) send(call *Call) {
 	cn.written = make(chan error, 1)
 	data := encode(call)
-	if len(call.Body) < asideBytes {
-		_, err := cn.nc.Write(data)
+	if len(call.Body) < concurrentWriteBytes {
+		_, err := cn.netConn.Write(data)
 		cn.written <- err
 		return
 	}
 	go func() {
-		_, err := cn.nc.Write(data)
+		_, err := cn.netConn.Write(data)
 		cn.written <- err
 	}()
 }
 
-// encode gives the whole request, so that one write sends it.
+// encode returns the encoded request including its body, so that a single write sends it.
 func encode(call *Call) []byte {
 	var b bytes.Buffer
 	b.Grow(len(call.Body) + 1<<10)
 	fmt.Fprintf(&b, "%s %s HTTP/1.1\r\nHost: %s\r\n", call.Method, call.Target, call.Host)
-	_ = call.Header.Write(&b) // a bytes.Buffer takes all
+	_ = call.Header.Write(&b) // a bytes.Buffer never returns an error
 	if len(call.Body) > 0 || call.Method != http.MethodGet && call.Method != http.MethodHead {
 		fmt.Fprintf(&b, "Content-Length: %d\r\n", len(call.Body))
 	}
@@ -74,27 +74,27 @@
 	return b.Bytes()
 }
 
-// UnmatchedResponseError tells of answers on a connection that belong to no exchange on it.
+// UnmatchedResponseError reports that a connection carried responses that don't match the current request.
 type UnmatchedResponseError struct{}
 
 func (*UnmatchedResponseError) Error() string {
-	return "the connection carries answers of other exchanges"
+	return "responses on the connection belong to other exchanges"
 }
 
-// receive reads the header of the answer to the call. Answers of earlier exchanges that come late are passed over.
+// receive reads the header of the response to the call. It skips late responses of earlier exchanges.
 func (cn *conn) receive(call *Call) (*http.Response, error) {
-	if cn.first != nil {
-		if err := <-cn.first; err != nil {
+	if cn.firstRead != nil {
+		if err := <-cn.firstRead; err != nil {
 			return nil, err
 		}
 	}
 	req := &http.Request{Method: call.Method}
-	for range maxForeign + 1 {
+	for range maxUnmatchedResponses + 1 {
 		resp, err := readResponse(cn.br, req)
 		if err != nil {
 			return nil, err
 		}
-		if call.owns(resp) {
+		if call.matches(resp) {
 			return resp, nil
 		}
 		if resp.Close {
@@ -108,7 +108,7 @@
 	return nil, &UnmatchedResponseError{}
 }
 
-// readResponse passes over informational answers.
+// readResponse reads the next response and skips informational (1xx) ones other than 101.
 func readResponse(br *bufio.Reader, req *http.Request) (*http.Response, error) {
 	for {
 		resp, err := http.ReadResponse(br, req)
@@ -121,8 +121,8 @@
 	}
 }
 
-// owns tells whether the answer may be the one to the call.
-func (c *Call) owns(resp *http.Response) bool {
+// matches reports whether the response may belong to the call.
+func (c *Call) matches(resp *http.Response) bool {
 	if c.EchoHeader == "" {
 		return true
 	}
@@ -130,40 +130,41 @@
 	return echoed == "" || echoed == c.Header.Get(c.EchoHeader)
 }
 
-// release keeps the connection after a whole answer, if more may be sent on it.
+// release returns the connection to the idle ones after a complete response, or closes it if it can't be reused.
 func (cn *conn) release(resp *http.Response, now time.Time) {
-	var wrote bool
+	var fullySent bool
 	select {
 	case err := <-cn.written:
-		wrote = err == nil
+		fullySent = err == nil
 	default:
-		// The endpoint answered before it had the whole request. What is still to be written would be read as
-		// the rest of this body or as the next request, so the connection can't be used again.
+		// The endpoint responded before it received the whole request. It would read the remaining bytes as the
+		// rest of this body or as the next request, so the connection can't be reused.
 	}
-	if !wrote || resp.Close || cn.br.Buffered() > 0 {
+	if !fullySent || resp.Close || cn.br.Buffered() > 0 {
 		cn.abort()
 		return
 	}
-	cn.usableUntil = now.Add(cn.client.cfg.Idle)
-	if named, ok := keepAlive(resp.Header.Get("Keep-Alive")); ok {
-		cn.usableUntil = now.Add(named - idleMargin)
+	cn.usableUntil = now.Add(cn.client.cfg.IdleTimeout)
+	if timeout, ok := keepAliveTimeout(resp.Header.Get("Keep-Alive")); ok {
+		cn.usableUntil = now.Add(timeout - idleMargin)
 	}
 	if !now.Before(cn.usableUntil) {
 		cn.abort()
 		return
 	}
-	cn.client.keep(cn)
+	cn.client.addIdle(cn)
 }
 
-// keepAlive reads the time for which an endpoint keeps idle connections.
-func keepAlive(header string) (time.Duration, bool) {
+// keepAliveTimeout returns the timeout parameter of a Keep-Alive header, the time for which the endpoint keeps idle
+// connections open, and whether there is a valid one.
+func keepAliveTimeout(header string) (time.Duration, bool) {
 	for part := range strings.SplitSeq(header, ",") {
 		name, value, found := strings.Cut(strings.TrimSpace(part), "=")
 		if !found || !strings.EqualFold(name, "timeout") {
 			continue
 		}
-		n, err := strconv.Atoi(value)
-		return time.Duration(n) * time.Second, err == nil
+		seconds, err := strconv.Atoi(value)
+		return time.Duration(seconds) * time.Second, err == nil
 	}
 	return 0, false
 }
--- a/connector/connector.go
+++ b/connector/connector.go
@@ -1,6 +1,6 @@
-// Package connector exchanges requests and answers with endpoints over HTTP/1.1 connections that are kept between
-// exchanges. Unlike net/http's client it never sends a request twice on its own, tells whether anything was sent when
-// an exchange fails, and takes no bytes that belong to another exchange.
+// Package connector sends requests to endpoints over persistent HTTP/1.1 connections. Unlike net/http's client, it never
+// retries a request on its own, reports whether anything was sent when an exchange fails, and never accepts bytes that
+// belong to another exchange.
 package connector
 
 import (
@@ -18,31 +18,31 @@
 )
 
 const (
-	// DefaultDialTimeout is a hundred times the way between availability zones and back. Nothing has been sent
-	// when it ends, so another endpoint can be tried inside the objective of a short call.
+	// DefaultDialTimeout is a hundred times the round trip between availability zones. Nothing has been sent when it
+	// expires, so another endpoint can be tried within the objective of a short call.
 	DefaultDialTimeout = 250 * time.Millisecond
-	// DefaultAckTimeout ends a connection whose sent bytes are not acknowledged. It allows for two resends over a link
-	// that loses packets.
+	// DefaultAckTimeout closes a connection whose sent bytes are not acknowledged. It allows two retransmissions on a
+	// link that loses packets.
 	DefaultAckTimeout = 1500 * time.Millisecond
-	// DefaultIdle is how long an idle connection is used again where the endpoint names no time. Endpoints close
-	// idle connections after seconds; a request that meets the close may have run or not.
-	DefaultIdle = 2 * time.Second
-	// idleMargin is subtracted from the time that an endpoint names: its close is on the way before that.
+	// DefaultIdleTimeout is how long an idle connection may be reused if the endpoint sends no Keep-Alive timeout.
+	// Endpoints close idle connections after seconds, and a request sent during the close may or may not have run.
+	DefaultIdleTimeout = 2 * time.Second
+	// idleMargin is subtracted from the Keep-Alive timeout of an endpoint, whose close may already be in transit.
 	idleMargin = 300 * time.Millisecond
-	// DefaultMaxIdle bounds the idle connections to one endpoint.
+	// DefaultMaxIdle limits the idle connections to one endpoint.
 	DefaultMaxIdle = 8
-	// bufferSize of a connection's reader.
-	bufferSize = 4 << 10
-	// asideBytes is the body size from which the body is written beside the reading of the answer: an endpoint may
-	// answer before it has read a long body, and both would wait for each other.
-	asideBytes = 4 << 10
+	// readBufferSize is the buffer size of a connection's reader, in bytes.
+	readBufferSize = 4 << 10
+	// concurrentWriteBytes is the minimum size of a body that is written concurrently with reading the response. An
+	// endpoint may respond before it has read a long body, and both sides would then block on writing.
+	concurrentWriteBytes = 4 << 10
 )
 
-// Config sets a Client up. Zero fields take the defaults above.
+// Config configures a Client. Zero fields take the defaults above.
 type Config struct {
 	DialTimeout time.Duration
 	AckTimeout  time.Duration
-	Idle        time.Duration
+	IdleTimeout time.Duration
 	MaxIdle     int
 }
 
@@ -50,17 +50,17 @@
 type Call struct {
 	Address string
 	Method  string
-	// Target is the request's target as the caller sent it, path and query.
+	// Target is the path and query as the caller sent them.
 	Target string
 	Host   string
 	Header http.Header
 	Body   []byte
-	// EchoHeader names a header that the endpoint sends back as it came. An answer with another value belongs to
-	// another exchange and is passed over.
+	// EchoHeader names a request header that the endpoint echoes unchanged. A response with another value belongs to
+	// another exchange and is skipped.
 	EchoHeader string
 }
 
-// UnsentError tells that an exchange failed before anything was sent: the request has not run.
+// UnsentError reports that an exchange failed before anything was sent, so the request has not run.
 type UnsentError struct {
 	Address string
 	Err     error
@@ -68,14 +68,14 @@
 
 func (e *UnsentError) Error() string { return fmt.Sprintf("connect to %s: %v", e.Address, e.Err) }
 
-// Unwrap gives the cause.
+// Unwrap returns the cause.
 func (e *UnsentError) Unwrap() error { return e.Err }
 
-// Refused tells that the address refused the connection: no process listens there. A connection that does not come to
-// stand may as well be this VM's own loss of its network.
+// Refused reports whether the connection was refused, which means that no process listens on the address. Other failures
+// to connect may as well be caused by a network outage of this VM.
 func (e *UnsentError) Refused() bool { return errors.Is(e.Err, syscall.ECONNREFUSED) }
 
-// ExchangeError tells that an exchange failed after something was sent: the request may have run.
+// ExchangeError reports that an exchange failed after something was sent, so the request may have run.
 type ExchangeError struct {
 	Address string
 	Err     error
@@ -83,10 +83,10 @@
 
 func (e *ExchangeError) Error() string { return fmt.Sprintf("exchange with %s: %v", e.Address, e.Err) }
 
-// Unwrap gives the cause.
+// Unwrap returns the cause.
 func (e *ExchangeError) Unwrap() error { return e.Err }
 
-// Client keeps the connections to endpoints. It is safe for concurrent use.
+// Client sends requests to endpoints and pools their connections. It is safe for concurrent use.
 type Client struct {
 	cfg    Config
 	dialer *net.Dialer
@@ -95,7 +95,7 @@
 	idle map[string][]*conn
 }
 
-// New makes a client without connections.
+// New returns a Client without connections.
 func New(cfg Config) *Client {
 	if cfg.DialTimeout == 0 {
 		cfg.DialTimeout = DefaultDialTimeout
@@ -103,8 +103,8 @@
 	if cfg.AckTimeout == 0 {
 		cfg.AckTimeout = DefaultAckTimeout
 	}
-	if cfg.Idle == 0 {
-		cfg.Idle = DefaultIdle
+	if cfg.IdleTimeout == 0 {
+		cfg.IdleTimeout = DefaultIdleTimeout
 	}
 	if cfg.MaxIdle == 0 {
 		cfg.MaxIdle = DefaultMaxIdle
@@ -116,17 +116,17 @@
 	}
 }
 
-// Do makes one exchange up to the answer's header. The context ends the whole exchange, the reading of the answer's
-// body too, by closing the connection, which also ends the endpoint's work on it. The answer must be closed.
-// Errors are *UnsentError or *ExchangeError.
+// Do sends the request and reads the response up to the end of its header. Cancelling the context ends the whole
+// exchange, including reading the body, by closing the connection, which also ends the endpoint's work on the request.
+// The caller must close the Response. Errors are *UnsentError or *ExchangeError.
 func (c *Client) Do(ctx context.Context, call *Call) (*Response, error) {
-	cn, err := c.take(ctx, call.Address)
+	cn, err := c.acquire(ctx, call.Address)
 	if err != nil {
 		return nil, &UnsentError{Address: call.Address, Err: err}
 	}
 	stop := context.AfterFunc(ctx, cn.abort)
 	cn.send(call)
-	resp, err := cn.receive(call) //nolint:bodyclose // the Response reads it to its end or closes its connection
+	resp, err := cn.receive(call) //nolint:bodyclose // the Response reads it to its end or closes the connection
 	if err != nil {
 		stop()
 		cn.abort()
@@ -138,27 +138,27 @@
 	return newResponse(c, cn, resp, stop), nil
 }
 
-// take gives an idle connection or a new one.
-func (c *Client) take(ctx context.Context, address string) (*conn, error) {
+// acquire returns an idle connection or opens a new one.
+func (c *Client) acquire(ctx context.Context, address string) (*conn, error) {
 	if cn := c.takeIdle(address, time.Now()); cn != nil {
 		return cn, nil
 	}
-	nc, err := c.dialer.DialContext(ctx, "tcp", address)
+	netConn, err := c.dialer.DialContext(ctx, "tcp", address)
 	if err != nil {
 		return nil, err
 	}
-	cn := &conn{client: c, address: address, nc: nc, br: bufio.NewReaderSize(nc, bufferSize)}
+	cn := &conn{client: c, address: address, netConn: netConn, br: bufio.NewReaderSize(netConn, readBufferSize)}
 	return cn, nil
 }
 
 func (c *Client) takeIdle(address string, now time.Time) *conn {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	list := c.idle[address]
-	for len(list) > 0 {
-		cn := list[len(list)-1]
-		list = list[:len(list)-1]
-		c.setIdle(address, list)
+	conns := c.idle[address]
+	for len(conns) > 0 {
+		cn := conns[len(conns)-1]
+		conns = conns[:len(conns)-1]
+		c.setIdle(address, conns)
 		cn.idle = false
 		if now.Before(cn.usableUntil) {
 			return cn
@@ -168,65 +168,65 @@
 	return nil
 }
 
-func (c *Client) setIdle(address string, list []*conn) {
-	if len(list) == 0 {
+func (c *Client) setIdle(address string, conns []*conn) {
+	if len(conns) == 0 {
 		delete(c.idle, address)
 		return
 	}
-	c.idle[address] = list
+	c.idle[address] = conns
 }
 
-// keep puts a connection back whose exchange is over.
-func (c *Client) keep(cn *conn) {
+// addIdle makes a connection available for reuse, or closes it if the endpoint has MaxIdle idle connections.
+func (c *Client) addIdle(cn *conn) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	list := c.idle[cn.address]
-	if len(list) >= c.cfg.MaxIdle {
+	conns := c.idle[cn.address]
+	if len(conns) >= c.cfg.MaxIdle {
 		cn.abort()
 		return
 	}
 	cn.idle = true
-	cn.first = make(chan error, 1)
-	c.idle[cn.address] = append(list, cn)
-	go cn.watch()
+	cn.firstRead = make(chan error, 1)
+	c.idle[cn.address] = append(conns, cn)
+	go cn.watchIdle()
 }
 
-// drop takes a connection out of the idle ones, and tells whether it was among them.
-func (c *Client) drop(cn *conn) bool {
+// removeIdle removes a connection from the idle ones, and reports whether it was idle.
+func (c *Client) removeIdle(cn *conn) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if !cn.idle {
 		return false
 	}
 	cn.idle = false
-	list := c.idle[cn.address]
-	for i, other := range list {
+	conns := c.idle[cn.address]
+	for i, other := range conns {
 		if other == cn {
-			c.setIdle(cn.address, append(list[:i:i], list[i+1:]...))
+			c.setIdle(cn.address, append(conns[:i:i], conns[i+1:]...))
 			break
 		}
 	}
 	return true
 }
 
-// CloseExpired closes the idle connections that are past their time.
+// CloseExpired closes the idle connections that have passed their idle timeout.
 func (c *Client) CloseExpired(now time.Time) {
 	c.mu.Lock()
-	var old []*conn
-	for address, list := range c.idle {
-		kept := list[:0]
-		for _, cn := range list {
+	var expired []*conn
+	for address, conns := range c.idle {
+		kept := conns[:0]
+		for _, cn := range conns {
 			if now.Before(cn.usableUntil) {
 				kept = append(kept, cn)
 				continue
 			}
 			cn.idle = false
-			old = append(old, cn)
+			expired = append(expired, cn)
 		}
 		c.setIdle(address, kept)
 	}
 	c.mu.Unlock()
-	for _, cn := range old {
+	for _, cn := range expired {
 		cn.abort()
 	}
 }
--- a/connector/connector_test.go
+++ b/connector/connector_test.go
@@ -18,7 +18,7 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-// peer is an endpoint that a test writes by hand: serve gets each accepted connection.
+// peer is a fake endpoint on a raw TCP listener. It calls a test's serve function for each accepted connection.
 type peer struct {
 	address string
 	dials   atomic.Int32
@@ -72,8 +72,8 @@
 	}
 }
 
-func reply(c net.Conn, id, more, body string) {
-	_, _ = fmt.Fprintf(c, "HTTP/1.1 200 OK\r\n%s: %s\r\n%sContent-Length: %d\r\n\r\n%s", idHeader, id, more, len(body), body)
+func reply(c net.Conn, id, extraHeader, body string) {
+	_, _ = fmt.Fprintf(c, "HTTP/1.1 200 OK\r\n%s: %s\r\n%sContent-Length: %d\r\n\r\n%s", idHeader, id, extraHeader, len(body), body)
 }
 
 func readRequest(br *bufio.Reader) (*http.Request, string, error) {
@@ -85,7 +85,7 @@
 	return r, string(body), err
 }
 
-// echo answers each request with its own id.
+// echo responds to each request with the request's id.
 func echo(c net.Conn, br *bufio.Reader) {
 	for {
 		r, _, err := readRequest(br)
@@ -98,15 +98,15 @@
 
 func do(t *testing.T, c *Client, address, id string) (string, error) {
 	t.Helper()
-	answer, err := c.Do(t.Context(), call(address, id))
+	resp, err := c.Do(t.Context(), call(address, id))
 	if err != nil {
 		return "", err
 	}
-	body, err := answer.ReadAll(1 << 10)
+	body, err := resp.ReadAll(1 << 10)
 	return string(body), err
 }
 
-func TestARequestArrivesAsItIs(t *testing.T) {
+func TestRequestIsSentUnchanged(t *testing.T) {
 	got := make(chan string, 1)
 	p := newPeer(t, func(c net.Conn, br *bufio.Reader) {
 		r, body, err := readRequest(br)
@@ -121,7 +121,7 @@
 	require.Equal(t, "POST /a//b%2Fc?q=1 a.example body of 1", <-got)
 }
 
-func TestConnectionsAreUsedAgain(t *testing.T) {
+func TestConnectionsAreReused(t *testing.T) {
 	p := newPeer(t, echo)
 	c := newClient(t)
 	for i := range 5 {
@@ -132,10 +132,10 @@
 	require.Equal(t, int32(1), p.dials.Load())
 }
 
-func TestConnectionsThatMayNotBeUsedAgain(t *testing.T) {
-	for _, tc := range []struct{ name, more string }{
-		{"the endpoint says close", "Connection: close\r\n"},
-		{"its idle time is as good as over", "Keep-Alive: timeout=0\r\n"},
+func TestConnectionsThatMustNotBeReused(t *testing.T) {
+	for _, tc := range []struct{ name, extraHeader string }{
+		{"Connection: close header", "Connection: close\r\n"},
+		{"idle timeout below the margin", "Keep-Alive: timeout=0\r\n"},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			p := newPeer(t, func(c net.Conn, br *bufio.Reader) {
@@ -144,7 +144,7 @@
 					if err != nil {
 						return
 					}
-					reply(c, r.Header.Get(idHeader), tc.more, "x")
+					reply(c, r.Header.Get(idHeader), tc.extraHeader, "x")
 				}
 			})
 			c := newClient(t)
@@ -157,9 +157,9 @@
 	}
 }
 
-// An endpoint sends its answer twice. The second one stands where the next request's answer is due, and that caller
-// must not get it.
-func TestASecondAnswerIsNobodys(t *testing.T) {
+// An endpoint sends its response twice. The duplicate precedes the response to the next request on the connection, and
+// must not be returned for it.
+func TestDuplicateResponseIsDiscarded(t *testing.T) {
 	p := newPeer(t, func(c net.Conn, br *bufio.Reader) {
 		for {
 			r, _, err := readRequest(br)
@@ -179,8 +179,8 @@
 	}
 }
 
-// The second answer comes only after the next request was sent on the connection.
-func TestALateAnswerIsPassedOver(t *testing.T) {
+// The duplicate response arrives only after the next request was sent on the connection.
+func TestLateDuplicateResponseIsSkipped(t *testing.T) {
 	p := newPeer(t, func(c net.Conn, br *bufio.Reader) {
 		last := ""
 		for {
@@ -203,12 +203,12 @@
 	}
 }
 
-func TestBrokenAnswers(t *testing.T) {
+func TestBrokenResponses(t *testing.T) {
 	for _, tc := range []struct{ name, text string }{
 		{"cut body", "HTTP/1.1 200 OK\r\nContent-Length: 10\r\n\r\nabc"},
 		{"cut chunks", "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n5\r\nabcde\r\n"},
-		{"no answer", ""},
-		{"no HTTP", "garbage\r\n\r\n"},
+		{"no response", ""},
+		{"not HTTP", "garbage\r\n\r\n"},
 		{"too long", "HTTP/1.1 200 OK\r\nContent-Length: 5000\r\n\r\n" + strings.Repeat("x", 5000)},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
@@ -218,13 +218,13 @@
 				}
 			})
 			_, err := do(t, newClient(t), p.address, "1")
-			var broken *ExchangeError
-			require.ErrorAs(t, err, &broken)
+			var exchange *ExchangeError
+			require.ErrorAs(t, err, &exchange)
 		})
 	}
 }
 
-func TestAnAnswerMayEndWithItsConnection(t *testing.T) {
+func TestResponseMayEndWithConnection(t *testing.T) {
 	p := newPeer(t, func(c net.Conn, br *bufio.Reader) {
 		if _, _, err := readRequest(br); err == nil {
 			_, _ = io.WriteString(c, "HTTP/1.1 200 OK\r\n\r\nall of it")
@@ -235,9 +235,9 @@
 	require.Equal(t, "all of it", body)
 }
 
-// An endpoint answers a long request before it has read it. The rest of the body must not be read as a next request,
-// nor a next request as the rest of the body.
-func TestAnEarlyAnswerEndsTheConnection(t *testing.T) {
+// An endpoint responds to a long request before it has read it. The rest of the body must not be parsed as the next
+// request, nor the next request as the rest of the body.
+func TestEarlyResponseClosesConnection(t *testing.T) {
 	p := newPeer(t, func(c net.Conn, br *bufio.Reader) {
 		r, err := http.ReadRequest(br)
 		if err != nil {
@@ -250,9 +250,9 @@
 	for i := range 2 {
 		long := call(p.address, fmt.Sprint(i))
 		long.Body = make([]byte, 16<<20)
-		answer, err := c.Do(t.Context(), long)
+		resp, err := c.Do(t.Context(), long)
 		require.NoError(t, err)
-		body, err := answer.ReadAll(1 << 10)
+		body, err := resp.ReadAll(1 << 10)
 		require.NoError(t, err)
 		require.Equal(t, "early", string(body))
 	}
@@ -271,8 +271,8 @@
 	require.False(t, (&UnsentError{Err: context.DeadlineExceeded}).Refused())
 }
 
-// The endpoint closes an idle connection: the next request goes out on a new one and is not lost.
-func TestAClosedIdleConnectionIsNotUsed(t *testing.T) {
+// The endpoint closes an idle connection. The next request must be sent on a new connection, so that it is not lost.
+func TestClosedIdleConnectionIsNotReused(t *testing.T) {
 	closed := make(chan struct{}, 1)
 	p := newPeer(t, func(c net.Conn, br *bufio.Reader) {
 		r, _, err := readRequest(br)
@@ -296,23 +296,23 @@
 	}
 }
 
-func TestACancelledExchangeClosesItsConnection(t *testing.T) {
-	gone := make(chan struct{})
+func TestCancelledExchangeClosesConnection(t *testing.T) {
+	closed := make(chan struct{})
 	p := newPeer(t, func(_ net.Conn, br *bufio.Reader) {
 		_, _, _ = readRequest(br)
 		_, _ = br.ReadByte()
-		close(gone)
+		close(closed)
 	})
 	ctx, cancel := context.WithCancel(t.Context())
 	time.AfterFunc(20*time.Millisecond, cancel)
 	_, err := newClient(t).Do(ctx, call(p.address, "1"))
-	var broken *ExchangeError
-	require.ErrorAs(t, err, &broken)
+	var exchange *ExchangeError
+	require.ErrorAs(t, err, &exchange)
 	require.ErrorIs(t, err, context.Canceled)
-	<-gone
+	<-closed
 }
 
-func TestKeepAlive(t *testing.T) {
+func TestKeepAliveTimeout(t *testing.T) {
 	for _, tc := range []struct {
 		header string
 		want   time.Duration
@@ -323,7 +323,7 @@
 		{"timeout=x", 0, false},
 		{"", 0, false},
 	} {
-		got, ok := keepAlive(tc.header)
+		got, ok := keepAliveTimeout(tc.header)
 		require.Equal(t, tc.ok, ok, tc.header)
 		if ok {
 			require.Equal(t, tc.want, got)
