--- a/loader/check.go
+++ b/loader/check.go
@@ -11,12 +11,12 @@
 	"strings"
 )
 
-// minKeyBytes is the least length of the peers' shared key, the output size of SHA-256.
+// minKeyBytes is the minimum length of the peers' shared key, the output size of SHA-256.
 const minKeyBytes = 32
 
 var labelPattern = regexp.MustCompile(`^[A-Za-z0-9][A-Za-z0-9._-]{0,63}$`)
 
-// checks are the rules that the check tags of Settings name. Each returns what is wrong, or nothing.
+// checks maps the rules named in check tags to their functions, which return a fault message, or "" for a valid text.
 var checks = map[string]func(text string) string{
 	"label":    checkLabel,
 	"address":  checkAddress,
@@ -26,10 +26,10 @@
 	"logLevel": checkLogLevel,
 }
 
-// check applies the tags of every field below the target, then the rules between fields.
+// check applies the tags of all fields of the settings, then the rules that involve several fields.
 func (d *decoder) check(settings *Settings) {
 	d.checkStruct("", reflect.ValueOf(*settings))
-	d.checkTogether(settings)
+	d.checkRelations(settings)
 }
 
 func (d *decoder) checkStruct(path string, target reflect.Value) {
@@ -62,7 +62,7 @@
 	d.checkText(path, value.String(), tag.Get("check"))
 }
 
-// checkText applies a check tag: a rule's name, "optional", or both with a comma between.
+// checkText applies a check tag: the name of a rule, "optional", or both separated by a comma.
 func (d *decoder) checkText(path, text, tag string) {
 	rule, optional := strings.CutSuffix(tag, ",optional")
 	optional = optional || rule == "optional"
@@ -72,12 +72,12 @@
 		}
 		return
 	}
-	apply, ok := checks[rule]
+	checkRule, ok := checks[rule]
 	if !ok {
 		return
 	}
-	if wrong := apply(text); wrong != "" {
-		d.faultAt(path, "%s", wrong)
+	if message := checkRule(text); message != "" {
+		d.faultAt(path, "%s", message)
 	}
 }
 
@@ -89,25 +89,26 @@
 	}
 }
 
-// faultAt blames the value at the path, or what encloses it where the file lacks it. A value that
-// already has a fault gets no second one, nor does what an ill-formed object should have held.
+// faultAt adds a fault at the position of the value at path, or of the closest enclosing value if the file
+// doesn't contain it. It adds none if the path already has a fault.
 func (d *decoder) faultAt(path, format string, args ...any) {
 	for _, f := range d.faults {
 		if f.Path == path {
 			return
 		}
 	}
-	offset, given := d.positions[path]
-	for place := path; !given && place != ""; {
-		place = parentOf(place)
-		offset, given = d.positions[place]
+	offset, present := d.positions[path]
+	for ancestor := path; !present && ancestor != ""; {
+		ancestor = parentOf(ancestor)
+		offset, present = d.positions[ancestor]
 	}
 	d.fault(path, offset, format, args...)
 }
 
-// missing tells of a value that the file lacks or leaves empty.
+// missing adds a fault for a required value that is missing or empty. A missing value is not reported if its parent
+// already has a fault.
 func (d *decoder) missing(path string) {
-	if _, given := d.positions[path]; given {
+	if _, present := d.positions[path]; present {
 		d.faultAt(path, "must not be empty")
 		return
 	}
@@ -119,19 +120,19 @@
 	d.faultAt(path, "missing")
 }
 
-// parentOf returns the path of the object that holds the field.
+// parentOf returns the path of the object that contains the field.
 func parentOf(path string) string {
 	return path[:max(strings.LastIndexByte(path, '.'), 0)]
 }
 
-// checkTogether holds the rules between fields.
-func (d *decoder) checkTogether(s *Settings) {
-	d.checkDistinct([]named{
+// checkRelations applies the rules that involve several fields.
+func (d *decoder) checkRelations(s *Settings) {
+	d.checkDistinct([]pathValue{
 		{"callerAddress", s.CallerAddress},
 		{"operatorAddress", s.OperatorAddress},
 		{"peerAddress", s.PeerAddress},
 	}, "callers, operators and peers need separate addresses")
-	d.checkOrder(s)
+	d.checkTimeouts(s)
 	d.checkDrain(s)
 	d.checkCertificate("tls.caller", s.TLS.Caller)
 	d.checkCertificate("tls.operator", s.TLS.Operator)
@@ -141,9 +142,9 @@
 	if s.SharedKey == "" && s.SharedKeyFile == "" {
 		d.missing("sharedKey")
 	}
-	operators := make([]named, len(s.Operators))
+	operators := make([]pathValue, len(s.Operators))
 	for i, o := range s.Operators {
-		operators[i] = named{fmt.Sprintf("operators[%d].name", i), o.Name}
+		operators[i] = pathValue{fmt.Sprintf("operators[%d].name", i), o.Name}
 	}
 	d.checkDistinct(operators, "each operator needs a name of its own")
 	if len(s.Operators) == 0 {
@@ -151,28 +152,29 @@
 	}
 }
 
-func (d *decoder) checkOrder(s *Settings) {
+// checkTimeouts checks the order of heartbeatMillis, suspectMillis and deadMillis.
+func (d *decoder) checkTimeouts(s *Settings) {
 	if s.SuspectMillis < 2*s.HeartbeatMillis {
-		d.faultAt(d.given("suspectMillis", "heartbeatMillis"),
+		d.faultAt(d.firstPresent("suspectMillis", "heartbeatMillis"),
 			"suspectMillis (%d) must be at least twice heartbeatMillis (%d)", s.SuspectMillis, s.HeartbeatMillis)
 	}
 	if s.DeadMillis <= s.SuspectMillis {
-		d.faultAt(d.given("deadMillis", "suspectMillis"),
+		d.faultAt(d.firstPresent("deadMillis", "suspectMillis"),
 			"deadMillis (%d) must be more than suspectMillis (%d)", s.DeadMillis, s.SuspectMillis)
 	}
 }
 
-// checkDrain holds a planned stop to serving until no peer can still be giving the address out. With less,
-// a caller that was sent here would find the socket closed.
+// checkDrain requires that a planned stop lasts until no peer can still return this entry's address to callers. With a
+// shorter time, a caller could be sent to a closed socket.
 func (d *decoder) checkDrain(s *Settings) {
 	if s.DrainMillis < s.SuspectMillis {
-		d.faultAt(d.given("drainMillis", "suspectMillis"),
+		d.faultAt(d.firstPresent("drainMillis", "suspectMillis"),
 			"drainMillis (%d) must be at least suspectMillis (%d)", s.DrainMillis, s.SuspectMillis)
 	}
 }
 
-// given returns the path that the file gives, the first where it gives both.
-func (d *decoder) given(path, other string) string {
+// firstPresent returns path if the file contains it, otherwise other.
+func (d *decoder) firstPresent(path, other string) string {
 	if _, ok := d.positions[path]; ok {
 		return path
 	}
@@ -188,23 +190,23 @@
 	}
 }
 
-// named is a value under its path.
-type named struct {
+// pathValue is a value with its path.
+type pathValue struct {
 	path  string
 	value string
 }
 
-func (d *decoder) checkDistinct(values []named, why string) {
-	first := map[string]string{}
+func (d *decoder) checkDistinct(values []pathValue, rule string) {
+	firstPaths := map[string]string{}
 	for _, v := range values {
 		if v.value == "" {
 			continue
 		}
-		if other, taken := first[v.value]; taken {
-			d.faultAt(v.path, "same as %s; %s", other, why)
+		if other, found := firstPaths[v.value]; found {
+			d.faultAt(v.path, "same as %s; %s", other, rule)
 			continue
 		}
-		first[v.value] = v.path
+		firstPaths[v.value] = v.path
 	}
 }
 
--- a/loader/decode.go
+++ b/loader/decode.go
@@ -10,13 +10,14 @@
 	"github.com/tailscale/hujson"
 )
 
-// decoder fills a Settings from a syntax tree. It goes on after a fault, so that one run finds them all.
+// decoder decodes a syntax tree into Go values. It continues after a fault, so that one run reports all of them.
 type decoder struct {
 	src       []byte
 	faults    []Fault
-	positions map[string]int // byte offset of each value by its path
+	positions map[string]int // byte offset of each value by path
 }
 
+// fault adds a fault at the byte offset.
 func (d *decoder) fault(path string, offset int, format string, args ...any) {
 	line, column := position(d.src, offset)
 	d.faults = append(d.faults, Fault{
@@ -40,7 +41,7 @@
 	case reflect.Int64:
 		d.integer(path, v, target)
 	default:
-		panic("loader: no decoding for a field of type " + target.Type().String())
+		panic("loader: unsupported field type " + target.Type().String())
 	}
 }
 
@@ -61,10 +62,10 @@
 	memberPath := join(path, name)
 	i := indexOf(fields, name)
 	if i < 0 {
-		d.fault(memberPath, m.Name.StartOffset, "unknown field%s", hint(name, fields))
+		d.fault(memberPath, m.Name.StartOffset, "unknown field%s", suggestField(name, fields))
 		return
 	}
-	if _, twice := d.positions[memberPath]; twice {
+	if _, duplicate := d.positions[memberPath]; duplicate {
 		d.fault(memberPath, m.Name.StartOffset, "field given twice")
 		return
 	}
@@ -103,7 +104,8 @@
 	target.SetInt(n)
 }
 
-// kindOf names what was found. It never shows the value, which may be a secret in the wrong place.
+// kindOf returns the kind of a value for fault messages. It never includes the value itself, which may be a secret in the
+// wrong field.
 func kindOf(v hujson.Value) string {
 	switch value := v.Value.(type) {
 	case *hujson.Object:
@@ -128,7 +130,7 @@
 	return "true or false"
 }
 
-// unitOf returns the unit that a number's name ends in.
+// unitOf returns the unit of a number by the suffix of its name, as a phrase for fault messages.
 func unitOf(path string) string {
 	switch {
 	case strings.HasSuffix(path, "Millis"):
@@ -139,7 +141,7 @@
 	return ""
 }
 
-// field is one field of a settings struct under its JSON name.
+// field is the JSON name and index of a struct field.
 type field struct {
 	name  string
 	index int
@@ -162,11 +164,11 @@
 	return -1
 }
 
-// units are what people write at the end of a name in place of the unit that settings use.
-var units = []string{"Milliseconds", "Seconds", "Minutes", "Hours", "Millis", "Secs", "Sec", "Ms", "S"}
+// unitSuffixes are name endings that users may write instead of the unit suffix that settings use.
+var unitSuffixes = []string{"Milliseconds", "Seconds", "Minutes", "Hours", "Millis", "Secs", "Sec", "Ms", "S"}
 
-// hint names the field that an unknown name may have been meant for.
-func hint(name string, fields []field) string {
+// suggestField returns a suggestion of the field that an unknown name probably stands for, or "".
+func suggestField(name string, fields []field) string {
 	for _, f := range fields {
 		if strings.EqualFold(f.name, name) {
 			return "; did you mean " + f.name + "?"
@@ -174,15 +176,16 @@
 	}
 	for _, f := range fields {
 		stem, isTime := strings.CutSuffix(f.name, "Millis")
-		if isTime && (name == stem || isOtherUnit(name, stem)) {
+		if isTime && (name == stem || hasUnitSuffix(name, stem)) {
 			return "; it is given in milliseconds, as " + f.name
 		}
 	}
 	return ""
 }
 
-func isOtherUnit(name, stem string) bool {
-	for _, unit := range units {
+// hasUnitSuffix reports whether the name is the stem followed by one of unitSuffixes.
+func hasUnitSuffix(name, stem string) bool {
+	for _, unit := range unitSuffixes {
 		if name == stem+unit {
 			return true
 		}
@@ -197,10 +200,10 @@
 	return path + "." + name
 }
 
-// maxNameBytes bounds how much of a field's name is shown.
+// maxNameBytes limits how much of a field name appears in faults.
 const maxNameBytes = 64
 
-// printable keeps a field's name from breaking the lines or the terminal that it is shown on.
+// printable truncates and quotes a field name, so that it can't break lines or send terminal escape sequences.
 func printable(name string) string {
 	if len(name) > maxNameBytes {
 		name = name[:maxNameBytes]
@@ -211,8 +214,8 @@
 	return strconv.Quote(name)
 }
 
-// syntaxFault turns the parser's error into a fault. The parser's own words are left out where they
-// quote the file, since what they quote may be a secret.
+// syntaxFault converts the parser's error into a fault. It omits the part of the error that quotes the file, since that
+// may be a secret.
 func syntaxFault(err error) Fault {
 	var line, column int
 	_, rest, _ := strings.Cut(err.Error(), "line ")
@@ -220,9 +223,9 @@
 	line, _ = strconv.Atoi(number)
 	number, rest, _ = strings.Cut(rest, ": ")
 	column, _ = strconv.Atoi(number)
-	what, _, _ := strings.Cut(rest, "literal")
-	if what != rest {
-		what += "literal (text needs quotes)"
+	message, _, _ := strings.Cut(rest, "literal")
+	if message != rest {
+		message += "literal (text needs quotes)"
 	}
-	return Fault{Line: line, Column: column, Message: "not JSON with comments: " + what}
+	return Fault{Line: line, Column: column, Message: "not JSON with comments: " + message}
 }
--- a/loader/fault.go
+++ b/loader/fault.go
@@ -6,18 +6,19 @@
 	"strings"
 )
 
-// Fault is one thing wrong in a file.
+// Fault is one error in a file.
 type Fault struct {
-	// Path names the field, as in operators[1].name; it is empty for a fault of syntax.
+	// Path is the path of the field, such as operators[1].name. It is empty for a syntax error.
 	Path string `json:"path"`
-	// Line and Column count from 1; both are 0 where the fault is of the whole file. A field that the
-	// file lacks is blamed on what should hold it.
+	// Line and Column count from 1. Both are 0 if the fault concerns the whole file. For a missing field they
+	// are the position of the value that should contain it.
 	Line   int `json:"line"`
 	Column int `json:"column"`
-	// Message says what is wrong and what is wanted. It never holds a secret.
+	// Message describes the error and the expected value. It never contains a secret.
 	Message string `json:"message"`
 }
 
+// String returns the fault as line:column: path: message, without the parts that are not set.
 func (f Fault) String() string {
 	var b strings.Builder
 	if f.Line > 0 {
@@ -31,7 +32,7 @@
 	return b.String()
 }
 
-// FaultsError tells of all faults of a file at once.
+// FaultsError reports all faults of a file.
 type FaultsError struct {
 	Faults []Fault
 }
@@ -44,7 +45,7 @@
 	return strings.Join(lines, "\n")
 }
 
-// position converts a byte offset into a line and a column, both from 1. Columns count bytes.
+// position converts a byte offset into a line and a column in bytes, both counted from 1.
 func position(src []byte, offset int) (line, column int) {
 	offset = min(max(offset, 0), len(src))
 	before := src[:offset]
--- a/loader/load.go
+++ b/loader/load.go
@@ -10,10 +10,10 @@
 	"github.com/tailscale/hujson"
 )
 
-// maxFileBytes bounds a settings file; the parser's depth and memory follow from it.
+// maxFileBytes limits the size of a settings file, and thereby the depth and memory of the parser.
 const maxFileBytes = 256 << 10
 
-// UnreadableError tells that a file could not be read.
+// UnreadableError reports a file that could not be read.
 type UnreadableError struct {
 	File string
 	Err  error
@@ -26,8 +26,8 @@
 // Unwrap returns the cause.
 func (e *UnreadableError) Unwrap() error { return e.Err }
 
-// Load reads and checks a settings file, and the file that sharedKeyFile names.
-// It returns a *FaultsError for faults in the file and an *UnreadableError for a file that can't be read.
+// Load reads and checks a settings file and the key file named in sharedKeyFile. It returns a *FaultsError for faults
+// in the settings, including an unusable key file, and an *UnreadableError if the settings file can't be read.
 func Load(path string) (Settings, error) {
 	src, err := os.ReadFile(path)
 	if err != nil {
@@ -36,8 +36,8 @@
 	return parse(src, os.ReadFile)
 }
 
-// Parse checks the text of a settings file. It reads no other file: where sharedKeyFile is given,
-// SharedKey stays empty. Faults come as one *FaultsError.
+// Parse decodes and checks the text of a settings file. It reads no other file: if sharedKeyFile is set, SharedKey
+// stays empty. All faults are returned in one *FaultsError.
 func Parse(src []byte) (Settings, error) {
 	return parse(src, nil)
 }
@@ -61,8 +61,9 @@
 	return settings, nil
 }
 
-// Decode reads JSON with comments into the target, a pointer to a struct of texts, int64s, lists and structs, and checks it
-// by its tags as settings are. Fields that the text does not give stay as they are. Faults come as one *FaultsError.
+// Decode decodes JSON with comments into target, a pointer to a struct of strings, int64s, slices and structs, and checks
+// it by the same tags as settings. Fields that src doesn't contain keep their values. All faults are returned in one
+// *FaultsError.
 func Decode(src []byte, target any) error {
 	tree, err := parseTree(src, maxFileBytes)
 	if err != nil {
@@ -79,7 +80,7 @@
 	return nil
 }
 
-// parseTree fails with a *FaultsError for a text that is too long or no JSON with comments.
+// parseTree parses JSON with comments. It returns a *FaultsError if src is too long or has a syntax error.
 func parseTree(src []byte, maxBytes int) (hujson.Value, error) {
 	if len(src) > maxBytes {
 		message := fmt.Sprintf("want at most %d bytes, got %d", maxBytes, len(src))
@@ -92,7 +93,7 @@
 	return tree, nil
 }
 
-// readKey takes the shared key from its file.
+// readKey reads the shared key from the file named in sharedKeyFile.
 func (d *decoder) readKey(s *Settings, readFile func(string) ([]byte, error)) {
 	text, err := readFile(s.SharedKeyFile)
 	if err != nil {
@@ -100,14 +101,14 @@
 		return
 	}
 	key := string(bytes.TrimSpace(text))
-	if wrong := checkKey(key); wrong != "" {
-		d.faultAt("sharedKeyFile", "in the file it names: %s", wrong)
+	if message := checkKey(key); message != "" {
+		d.faultAt("sharedKeyFile", "in the file it names: %s", message)
 		return
 	}
 	s.SharedKey = Secret(key)
 }
 
-// sortFaults orders faults as a reader of the file meets them, those without a place last.
+// sortFaults sorts faults by their position in the file, those without a position last.
 func sortFaults(faults []Fault) {
 	sort.SliceStable(faults, func(i, j int) bool {
 		a, b := faults[i], faults[j]
--- a/loader/load_test.go
+++ b/loader/load_test.go
@@ -16,8 +16,8 @@
 	testHash = "ffeeddccbbaa99887766554433221100ffeeddccbbaa99887766554433221100"
 )
 
-// whole is a settings file with every field that must be given.
-const whole = `{
+// requiredSettings is a settings file with all required fields.
+const requiredSettings = `{
 	// One of seven.
 	"name": "entry-1",
 	"zone": "zone-a",
@@ -39,8 +39,8 @@
 		new      string
 	}{
 		{"not JSON", `"zone-a"`, `zone-a`},
-		{"not an object", whole, `[]`},
-		{"empty object", whole, `{}`},
+		{"not an object", requiredSettings, `[]`},
+		{"empty object", requiredSettings, `{}`},
 		{"unknown field", `"region"`, `"colour": "red", "Zone": "x", "region"`},
 		{"field given twice", `"region"`, `"zone": "zone-b", "region"`},
 		{"wrong units", `"region"`, `"heartbeatSeconds": 1, "deadMs": 2, "drain": 3, "heartbeatMillis": "5s", "suspectMillis": 1.5, "deadMillis": 1e12, "region"`},
@@ -61,8 +61,8 @@
 	var got strings.Builder
 	for _, s := range scenarios {
 		t.Run(s.testName, func(t *testing.T) {
-			require.Contains(t, whole, s.old)
-			_, err := Parse([]byte(strings.Replace(whole, s.old, s.new, 1)))
+			require.Contains(t, requiredSettings, s.old)
+			_, err := Parse([]byte(strings.Replace(requiredSettings, s.old, s.new, 1)))
 			var faults *FaultsError
 			require.ErrorAs(t, err, &faults)
 			fmt.Fprintf(&got, "# %s\n%s\n\n", s.testName, err)
@@ -71,8 +71,8 @@
 	goldie.New(t).Assert(t, "faults", []byte(got.String()))
 }
 
-func TestParseTakesDefaultsAndKeepsWhatIsGiven(t *testing.T) {
-	text := strings.Replace(whole, `"region"`, `"heartbeatMillis": 100, "traces": {"kept": 5}, "region"`, 1)
+func TestParseAppliesDefaultsToMissingFields(t *testing.T) {
+	text := strings.Replace(requiredSettings, `"region"`, `"heartbeatMillis": 100, "traces": {"kept": 5}, "region"`, 1)
 	got, err := Parse([]byte(text))
 	require.NoError(t, err)
 	require.Equal(t, Millis(100), got.HeartbeatMillis)
@@ -82,12 +82,12 @@
 	require.Len(t, got.Key(), 32)
 }
 
-func TestLoadReadsTheKeyFile(t *testing.T) {
+func TestLoadReadsKeyFile(t *testing.T) {
 	dir := t.TempDir()
 	keyFile := filepath.Join(dir, "key")
 	require.NoError(t, os.WriteFile(keyFile, []byte(testKey+"\n"), 0o600))
 	settingsFile := filepath.Join(dir, "settings.json")
-	text := strings.Replace(whole, `"sharedKey": "`+testKey+`"`, fmt.Sprintf(`"sharedKeyFile": %q`, keyFile), 1)
+	text := strings.Replace(requiredSettings, `"sharedKey": "`+testKey+`"`, fmt.Sprintf(`"sharedKeyFile": %q`, keyFile), 1)
 	require.NoError(t, os.WriteFile(settingsFile, []byte(text), 0o600))
 
 	got, err := Load(settingsFile)
@@ -105,9 +105,8 @@
 	require.ErrorIs(t, err, os.ErrNotExist)
 }
 
-// An operator pastes a key into the wrong field, or forgets its quotes. The fault is printed on a
-// terminal and may be pasted into a chat. So no message may quote text from the file that could be the
-// key, whichever field it stands in.
+// An operator pastes a key into the wrong field or forgets its quotes. Faults are printed on terminals and may be copied
+// elsewhere, so no message may quote text from the file that could be the key, whichever field contains it.
 func TestFaultsNeverShowSecrets(t *testing.T) {
 	const secret = "5ec2e75ec2e75ec2e75ec2e7"
 	for _, text := range []string{
@@ -127,7 +126,7 @@
 		require.NotContains(t, err.Error(), "5ec2e7", text)
 		require.NotContains(t, err.Error(), "527527", text)
 	}
-	settings, err := Parse([]byte(whole))
+	settings, err := Parse([]byte(requiredSettings))
 	require.NoError(t, err)
 	for _, verb := range []string{"%v", "%+v", "%#v", "%s"} {
 		require.NotContains(t, fmt.Sprintf(verb, settings), testKey, verb+" of the shared key")
@@ -135,7 +134,7 @@
 }
 
 func FuzzParse(f *testing.F) {
-	f.Add([]byte(whole))
+	f.Add([]byte(requiredSettings))
 	f.Add([]byte(`{"operators": [{}], "traces": {"kept": -1}, "tls": {"caller": null}}`))
 	f.Add([]byte("{\"name\": \"\x1b\", // x\n/* y */ \"seedPeers\": [[[1e999]]]}"))
 	f.Add([]byte(`{"heartbeatMillis": 99999999999999999999}`))
--- a/loader/objects.go
+++ b/loader/objects.go
@@ -9,36 +9,36 @@
 	"github.com/tailscale/hujson"
 )
 
-// maxObjectsBytes bounds a file of configuration objects.
+// maxObjectsBytes limits the size of a file of configuration objects.
 const maxObjectsBytes = 4 << 20
 
 // Object is a configuration object from a file: a pool, a pipeline, a contract or a placement.
 type Object struct {
-	// Kind is pool, pipeline, contract or placement. It is not checked here, nor is the body.
+	// Kind is pool, pipeline, contract or placement. This package checks neither the kind nor the body.
 	Kind string
 	Name string
-	// BaseVersion is the version that the change is based on, where the file gives it.
+	// BaseVersion is the version that the change is based on. It is set only if HasBaseVersion is true.
 	BaseVersion    int64
 	HasBaseVersion bool
-	// Body is the object's body as JSON without comments.
+	// Body is the body of the object as JSON without comments.
 	Body json.RawMessage
 
-	path string
-	in   *decoder
+	path    string
+	decoder *decoder
 }
 
-// objectHead is what a file says about an object beside its body.
+// objectHead holds the fields of an object in a file other than its body.
 type objectHead struct {
 	Kind        string `json:"kind" check:"label"`
 	Name        string `json:"name" check:"label"`
 	BaseVersion int64  `json:"baseVersion" min:"0" max:"9223372036854775807"`
 }
 
-// bodyField is the member that holds an object's body, which the package publisher checks.
+// bodyField is the name of the member with the body of an object, which package publisher checks.
 const bodyField = "body"
 
 // LoadObjects reads a file with one configuration object or a list of them, as JSON with comments.
-// It fails with a *FaultsError or an *UnreadableError.
+// Errors are *FaultsError or *UnreadableError.
 func LoadObjects(path string) ([]Object, error) {
 	src, err := os.ReadFile(path)
 	if err != nil {
@@ -47,7 +47,7 @@
 	return ParseObjects(src)
 }
 
-// ParseObjects reads the text of a file as LoadObjects does.
+// ParseObjects parses the text of a file of configuration objects. Its errors are *FaultsError.
 func ParseObjects(src []byte) ([]Object, error) {
 	tree, err := parseTree(src, maxObjectsBytes)
 	if err != nil {
@@ -69,7 +69,7 @@
 	return objects, nil
 }
 
-// IsObjectFile tells whether the text looks like a file of configuration objects rather than settings.
+// IsObjectFile reports whether the text looks like a file of configuration objects rather than settings.
 func IsObjectFile(src []byte) bool {
 	tree, err := hujson.Parse(src)
 	if err != nil {
@@ -88,17 +88,18 @@
 	return false
 }
 
-// Fault places a fault of the object, whose path begins at its body, in the file.
+// Fault returns a fault with its position in the file. The path is relative to the object's body.
 func (o Object) Fault(path, message string) Fault {
-	place := join(o.path, bodyField)
+	filePath := join(o.path, bodyField)
 	if path != "" {
-		place += "." + path
+		filePath += "." + path
 	}
-	d := &decoder{src: o.in.src, positions: o.in.positions}
-	d.faultAt(place, "%s", message)
+	d := &decoder{src: o.decoder.src, positions: o.decoder.positions}
+	d.faultAt(filePath, "%s", message)
 	return d.faults[0]
 }
 
+// configObject decodes one configuration object.
 func (d *decoder) configObject(path string, v hujson.Value) Object {
 	d.positions[path] = v.StartOffset
 	object, ok := v.Value.(*hujson.Object)
@@ -112,7 +113,7 @@
 	for _, m := range object.Members {
 		if m.Name.Value.(hujson.Literal).String() == bodyField && body == nil {
 			body = &m.Value
-			d.place(join(path, bodyField), m.Value)
+			d.recordPositions(join(path, bodyField), m.Value)
 			continue
 		}
 		d.member(path, m, target, fieldsOf(target.Type()))
@@ -126,31 +127,32 @@
 	return Object{
 		Kind: head.Kind, Name: head.Name,
 		BaseVersion: head.BaseVersion, HasBaseVersion: hasVersion,
-		Body: standard(*body), path: path, in: d,
+		Body: standardJSON(*body), path: path, decoder: d,
 	}
 }
 
-// place records where each value below v begins.
-func (d *decoder) place(path string, v hujson.Value) {
+// recordPositions records the byte offset of v and of each value within it.
+func (d *decoder) recordPositions(path string, v hujson.Value) {
 	d.positions[path] = v.StartOffset
 	switch value := v.Value.(type) {
 	case *hujson.Object:
 		for _, m := range value.Members {
 			name := m.Name.Value.(hujson.Literal).String()
 			memberPath := path + "." + name
-			if _, twice := d.positions[memberPath]; twice {
+			if _, duplicate := d.positions[memberPath]; duplicate {
 				d.fault(path+"."+printable(name), m.Name.StartOffset, "field given twice")
 			}
-			d.place(memberPath, m.Value)
+			d.recordPositions(memberPath, m.Value)
 		}
 	case *hujson.Array:
 		for i, element := range value.Elements {
-			d.place(fmt.Sprintf("%s[%d]", path, i), element)
+			d.recordPositions(fmt.Sprintf("%s[%d]", path, i), element)
 		}
 	}
 }
 
-func standard(v hujson.Value) json.RawMessage {
+// standardJSON returns v as JSON without comments and trailing commas.
+func standardJSON(v hujson.Value) json.RawMessage {
 	v = v.Clone()
 	v.BeforeExtra, v.AfterExtra = nil, nil
 	v.Minimize()
--- a/loader/objects_test.go
+++ b/loader/objects_test.go
@@ -28,10 +28,10 @@
 	require.Equal(t, "7:23: [1].body.limits[0].burst: is missing", objects[1].Fault("limits[0].burst", "is missing").String())
 	require.Equal(t, "7:11: [1].body: is wrong", objects[1].Fault("", "is wrong").String())
 	require.True(t, IsObjectFile([]byte(twoObjects)))
-	require.False(t, IsObjectFile([]byte(whole)))
+	require.False(t, IsObjectFile([]byte(requiredSettings)))
 }
 
-func TestParseObjectsTellsAllFaults(t *testing.T) {
+func TestParseObjectsReportsAllFaults(t *testing.T) {
 	_, err := ParseObjects([]byte(`[
 		{"kind": "pool", "name": "a b", "body": {"x": 1, "x": 2}},
 		{"kind": "pool", "nam": "engine"},
--- a/loader/source.go
+++ b/loader/source.go
@@ -1,8 +1,8 @@
 package loader
 
-import _ "embed" // for the settings' comments
+import _ "embed" // for Source
 
-// Source is the file that defines Settings. Its comments become docs/Config.md.
+// Source is the source code of settings.go. Package documenter makes docs/Config.md from its comments.
 //
 //go:embed settings.go
 var Source string
