--- a/splitter/splitter.go
+++ b/splitter/splitter.go
@@ -1,5 +1,5 @@
-// Package splitter cuts a stream of server-sent events into whole events. Only whole events are passed on, so that an
-// endpoint which breaks off within one leaves nothing behind that another endpoint's continuation would follow.
+// Package splitter splits a stream of server-sent events into complete events. Only complete events are forwarded, so
+// that a stream that breaks off within an event can be continued by another endpoint without a partial event before it.
 package splitter
 
 import (
@@ -8,78 +8,80 @@
 	"strconv"
 )
 
-// DefaultMaxEvent bounds one event's bytes.
+// DefaultMaxEvent is the default limit on the size of an event, in bytes.
 const DefaultMaxEvent = 1 << 20
 
-// SizeError tells of an event over the limit.
+// SizeError reports an event of more than Limit bytes.
 type SizeError struct{ Limit int }
 
-func (e *SizeError) Error() string { return fmt.Sprintf("event of over %d bytes", e.Limit) }
+func (e *SizeError) Error() string { return fmt.Sprintf("event exceeds %d bytes", e.Limit) }
 
-// Event is one whole event with the blank line that ends it.
+// Event is a complete event, including the blank line that ends it.
 type Event struct {
 	Data []byte
-	// ID is the event's number where HasID is set.
+	// ID is the numeric id of the event. It is valid only if HasID is true.
 	ID    int64
 	HasID bool
 }
 
-// Splitter holds what came of an event that is not whole yet.
+// Splitter buffers the bytes of an incomplete event. It is not safe for concurrent use.
 type Splitter struct {
-	max  int
-	rest []byte
+	maxEvent int
+	buf      []byte
 }
 
-// New makes a splitter for events of at most maxEvent bytes; 0 takes DefaultMaxEvent.
+// New returns a Splitter for events of at most maxEvent bytes; 0 means DefaultMaxEvent.
 func New(maxEvent int) *Splitter {
 	if maxEvent <= 0 {
 		maxEvent = DefaultMaxEvent
 	}
-	return &Splitter{max: maxEvent}
+	return &Splitter{maxEvent: maxEvent}
 }
 
-// Feed takes the next bytes and gives the events that they complete. It fails with a *SizeError.
+// Feed appends data and returns the events that it completes. It returns a *SizeError, together with these events, if
+// the incomplete event exceeds the limit.
 func (s *Splitter) Feed(data []byte) ([]Event, error) {
-	s.rest = append(s.rest, data...)
+	s.buf = append(s.buf, data...)
 	var events []Event
 	for {
-		n := eventLength(s.rest)
+		n := eventLength(s.buf)
 		if n == 0 {
 			break
 		}
-		events = append(events, parse(bytes.Clone(s.rest[:n])))
-		s.rest = s.rest[n:]
+		events = append(events, parse(bytes.Clone(s.buf[:n])))
+		s.buf = s.buf[n:]
 	}
-	if len(s.rest) > s.max {
-		return events, &SizeError{Limit: s.max}
+	if len(s.buf) > s.maxEvent {
+		return events, &SizeError{Limit: s.maxEvent}
 	}
 	return events, nil
 }
 
-// Remainder is what has come of an event that is not whole.
-func (s *Splitter) Remainder() []byte { return s.rest }
+// Remainder returns the bytes received of an incomplete event.
+func (s *Splitter) Remainder() []byte { return s.buf }
 
-// eventLength gives the length of the first whole event, its blank line included, or 0.
+// eventLength returns the length of the first complete event, including its blank line, or 0 if there is none.
 func eventLength(data []byte) int {
-	for at := 0; ; {
-		end := bytes.IndexByte(data[at:], '\n')
+	for start := 0; ; {
+		end := bytes.IndexByte(data[start:], '\n')
 		if end < 0 {
 			return 0
 		}
-		line := bytes.TrimSuffix(data[at:at+end], []byte("\r"))
-		at += end + 1
+		line := bytes.TrimSuffix(data[start:start+end], []byte("\r"))
+		start += end + 1
 		if len(line) == 0 {
-			return at
+			return start
 		}
 	}
 }
 
-var idField = []byte("id:")
+var idPrefix = []byte("id:")
 
+// parse returns the event with its id. An id that is not a number is ignored.
 func parse(data []byte) Event {
 	event := Event{Data: data}
 	for line := range bytes.SplitSeq(data, []byte("\n")) {
-		value, found := bytes.CutPrefix(line, idField)
+		value, found := bytes.CutPrefix(line, idPrefix)
 		if !found {
 			continue
 		}
--- a/splitter/splitter_test.go
+++ b/splitter/splitter_test.go
@@ -8,7 +8,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-func TestEventsAreCutWhereverTheBytesAre(t *testing.T) {
+func TestEventsAreSplitAtAnyChunkSize(t *testing.T) {
 	text := "id: 1\ndata: a\n\nweight: 3\nid: 2\r\ndata: b\r\n\r\ndata: no id\n\nid: 4\ndata: ha"
 	for size := 1; size < len(text); size++ {
 		s := New(0)
@@ -28,12 +28,12 @@
 	}
 }
 
-func TestAnEndlessEventIsRefused(t *testing.T) {
+func TestOversizedEventIsRejected(t *testing.T) {
 	s := New(100)
 	_, err := s.Feed([]byte(strings.Repeat("x", 101)))
-	var size *SizeError
-	require.ErrorAs(t, err, &size)
-	require.Equal(t, 100, size.Limit)
+	var sizeErr *SizeError
+	require.ErrorAs(t, err, &sizeErr)
+	require.Equal(t, 100, sizeErr.Limit)
 }
 
 func FuzzNoByteIsLost(f *testing.F) {
@@ -41,16 +41,16 @@
 	f.Add([]byte("\n\n\r\n\r\ndata"), 1)
 	f.Fuzz(func(t *testing.T, data []byte, size int) {
 		s := New(1 << 20)
-		var whole []byte
+		var split []byte
 		for rest := data; len(rest) > 0; {
 			n := min(max(size, 1), len(rest))
 			events, err := s.Feed(rest[:n])
 			require.NoError(t, err)
 			for _, e := range events {
-				whole = append(whole, e.Data...)
+				split = append(split, e.Data...)
 			}
 			rest = rest[n:]
 		}
-		require.True(t, bytes.Equal(data, append(whole, s.Remainder()...)))
+		require.True(t, bytes.Equal(data, append(split, s.Remainder()...)))
 	})
 }
--- a/verifier/credential.go
+++ b/verifier/credential.go
@@ -1,9 +1,9 @@
-// Package verifier makes and checks the credentials of callers and operators, and counts the wrong
-// ones that each address sends.
+// Package verifier generates and verifies the credentials of callers and operators, and throttles wrong credentials per
+// address.
 //
-// Credentials are generated tokens of 256 random bits, never passwords that a person has chosen. So a
-// plain SHA-256 is enough to store them by: guessing a token from its hash is as hard as guessing the
-// token, and a slow password hash would only let a flood of wrong credentials eat the processor.
+// Credentials are generated tokens of 256 random bits, never passwords chosen by a person. A plain SHA-256 is therefore
+// enough to store them: finding a token from its hash is as hard as guessing the token, and a slow password hash would
+// only let a flood of wrong credentials exhaust the CPU.
 package verifier
 
 import (
@@ -14,7 +14,7 @@
 	"encoding/hex"
 )
 
-// credentialBytes is the entropy of a generated credential.
+// credentialBytes is the number of random bytes in a generated credential or key.
 const credentialBytes = 32
 
 // GenerateCredential returns a new credential: 256 random bits as unpadded base64url.
@@ -24,22 +24,22 @@
 	return base64.RawURLEncoding.EncodeToString(token)
 }
 
-// GenerateKey returns a new shared key for peers: 256 random bits as hex.
+// GenerateKey returns a new shared key for peers: 256 random bits in lower-case hex.
 func GenerateKey() string {
 	key := make([]byte, credentialBytes)
 	_, _ = rand.Read(key)
 	return hex.EncodeToString(key)
 }
 
-// HashCredential returns the SHA-256 of a generated credential in lower-case hex, the form that
-// settings and contracts hold.
+// HashCredential returns the SHA-256 of a generated credential in lower-case hex, the form stored in settings and
+// contracts.
 func HashCredential(credential string) string {
 	sum := sha256.Sum256([]byte(credential))
 	return hex.EncodeToString(sum[:])
 }
 
-// Matches tells whether the credential has the hash (64 hex digits of either case). It takes the same
-// time wherever they differ. An empty credential and a malformed hash match nothing.
+// Matches reports whether the credential has the hash, given as 64 hex digits of either case. The hashes are compared in
+// constant time. An empty credential and a malformed hash never match.
 func Matches(credential, hash string) bool {
 	want, err := hex.DecodeString(hash)
 	if err != nil || len(want) != sha256.Size || credential == "" {
--- a/verifier/throttle.go
+++ b/verifier/throttle.go
@@ -6,40 +6,40 @@
 	"time"
 )
 
-// The throttle's defaults.
+// Defaults for zero fields of Config.
 const (
 	defaultBurst        = 20
 	defaultPerMinute    = 60
 	defaultMaxAddresses = 4096
 )
 
-// Config says how many wrong credentials an address may send. Zero fields take the defaults.
+// Config limits the wrong credentials of an address. Zero fields take the defaults.
 type Config struct {
-	// Burst is how many wrong credentials an address may send at once.
+	// Burst is the number of wrong credentials that an address may send at once.
 	Burst int
-	// PerMinute is how many more it may send each minute after that.
+	// PerMinute is the number of further wrong credentials allowed per minute.
 	PerMinute int
-	// MaxAddresses is how many addresses are remembered; past it the one quiet for longest is forgotten.
+	// MaxAddresses is the maximum number of addresses that are tracked. Beyond it, the least recently used is dropped.
 	MaxAddresses int
 }
 
-// Verifier counts wrong credentials by the address that sent them. It is safe for concurrent use.
+// Verifier throttles wrong credentials per address. It is safe for concurrent use.
 type Verifier struct {
 	cfg Config
 
 	mu        sync.Mutex
 	addresses map[string]*list.Element
-	recent    *list.List // of *allowance, the most recent in front
+	recent    *list.List // of *allowance, most recently used first
 }
 
-// allowance is a token bucket: one token pays for one wrong credential.
+// allowance is the token bucket of an address. Each wrong credential consumes one token.
 type allowance struct {
-	address string
-	tokens  float64
-	at      time.Time
+	address    string
+	tokens     float64
+	refilledAt time.Time
 }
 
-// New returns a Verifier that has seen no wrong credential yet.
+// New returns a Verifier that tracks no addresses yet.
 func New(cfg Config) *Verifier {
 	if cfg.Burst <= 0 {
 		cfg.Burst = defaultBurst
@@ -57,12 +57,12 @@
 	}
 }
 
-// RecordFailure counts one wrong credential from the address (an IP without a port) and tells whether the
-// address has now sent more than it may, so that the caller of RecordFailure should close the connection.
+// RecordFailure records a wrong credential from the address, an IP without a port. It reports whether the address has
+// exceeded its limit, in which case the connection should be closed.
 //
-// Only wrong credentials are throttled. A right one passes even from a throttled address: clerks behind
-// one NAT address would otherwise be locked out by one broken client, and tokens of 256 bits can't be
-// found by trying, so the throttle guards the processor and the connections, not the tokens.
+// Only wrong credentials are throttled. A right one is accepted even from a throttled address, since otherwise one broken
+// client would lock out everyone behind the same NAT address. Tokens of 256 bits can't be found by brute force, so the
+// throttle protects the CPU and the connections, not the tokens.
 func (v *Verifier) RecordFailure(address string, now time.Time) (throttled bool) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
@@ -75,33 +75,35 @@
 	return false
 }
 
-// Addresses returns how many addresses are remembered.
+// Addresses returns the number of tracked addresses.
 func (v *Verifier) Addresses() int {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	return len(v.addresses)
 }
 
+// allowanceOf returns the allowance of the address, adding a full one if the address is not tracked.
 func (v *Verifier) allowanceOf(address string, now time.Time) *allowance {
 	if e, ok := v.addresses[address]; ok {
 		v.recent.MoveToFront(e)
 		return e.Value.(*allowance)
 	}
 	if len(v.addresses) >= v.cfg.MaxAddresses {
-		oldest := v.recent.Back()
-		delete(v.addresses, oldest.Value.(*allowance).address)
-		v.recent.Remove(oldest)
+		leastRecent := v.recent.Back()
+		delete(v.addresses, leastRecent.Value.(*allowance).address)
+		v.recent.Remove(leastRecent)
 	}
-	a := &allowance{address: address, tokens: float64(v.cfg.Burst), at: now}
+	a := &allowance{address: address, tokens: float64(v.cfg.Burst), refilledAt: now}
 	v.addresses[address] = v.recent.PushFront(a)
 	return a
 }
 
+// refill adds the tokens for the time since the last refill, up to Burst.
 func (a *allowance) refill(cfg Config, now time.Time) {
-	minutes := now.Sub(a.at).Minutes()
+	minutes := now.Sub(a.refilledAt).Minutes()
 	if minutes <= 0 {
 		return
 	}
 	a.tokens = min(a.tokens+minutes*float64(cfg.PerMinute), float64(cfg.Burst))
-	a.at = now
+	a.refilledAt = now
 }
--- a/verifier/verifier_test.go
+++ b/verifier/verifier_test.go
@@ -23,7 +23,7 @@
 		{"hash in upper case", credential, strings.ToUpper(hash), true},
 		{"wrong", credential + "x", hash, false},
 		{"empty credential", "", HashCredential(""), false},
-		{"hash cut short", credential, hash[:62], false},
+		{"truncated hash", credential, hash[:62], false},
 		{"hash not hex", credential, strings.Repeat("z", 64), false},
 		{"empty hash", credential, "", false},
 	}
@@ -34,10 +34,10 @@
 	}
 }
 
-// A broken client sends a wrong credential in a loop, from more and more addresses. It is throttled at
-// its address after the burst, gets a little back each minute, and another address is not affected.
-// The memory of addresses stays bounded: the address quiet for longest is forgotten first.
-func TestWrongIsThrottledByAddressInBoundedMemory(t *testing.T) {
+// A broken client sends wrong credentials in a loop, from more and more addresses. Its address is throttled after the
+// burst and regains allowance each minute; other addresses are not affected. The number of tracked addresses stays
+// bounded by dropping the least recently used.
+func TestRecordFailureThrottlesEachAddressInBoundedMemory(t *testing.T) {
 	v := New(Config{Burst: 3, PerMinute: 2, MaxAddresses: 10})
 	now := time.Unix(1000, 0)
 	for range 3 {
@@ -48,12 +48,12 @@
 
 	require.False(t, v.RecordFailure("10.0.0.1", now.Add(30*time.Second)))
 	require.True(t, v.RecordFailure("10.0.0.1", now.Add(30*time.Second)))
-	require.True(t, v.RecordFailure("10.0.0.1", now), "a clock that goes back gives nothing")
+	require.True(t, v.RecordFailure("10.0.0.1", now), "a clock set back refills nothing")
 
 	for i := range 1000 {
 		v.RecordFailure(fmt.Sprintf("10.1.0.%d", i), now)
 		v.RecordFailure("10.0.0.1", now)
 	}
 	require.Equal(t, 10, v.Addresses())
-	require.True(t, v.RecordFailure("10.0.0.1", now), "the busy address was not forgotten")
+	require.True(t, v.RecordFailure("10.0.0.1", now), "an address in use was dropped")
 }
