--- a/connector/conn.go
+++ b/connector/conn.go
@@ -77,9 +77,7 @@
 // UnmatchedResponseError reports that a connection carried responses that don't match the current request.
 type UnmatchedResponseError struct{}
 
-func (*UnmatchedResponseError) Error() string {
-	return "responses on the connection belong to other exchanges"
-}
+func (*UnmatchedResponseError) Error() string { return "response belongs to another exchange" }
 
 // receive reads the header of the response to the call. It skips late responses of earlier exchanges.
 func (cn *conn) receive(call *Call) (*http.Response, error) {
--- a/connector/connector_test.go
+++ b/connector/connector_test.go
@@ -92,7 +92,7 @@
 		if err != nil {
 			return
 		}
-		reply(c, r.Header.Get(idHeader), "", "answer to "+r.Header.Get(idHeader))
+		reply(c, r.Header.Get(idHeader), "", "response to "+r.Header.Get(idHeader))
 	}
 }
 
@@ -127,7 +127,7 @@
 	for i := range 5 {
 		body, err := do(t, c, p.address, fmt.Sprint(i))
 		require.NoError(t, err)
-		require.Equal(t, fmt.Sprintf("answer to %d", i), body)
+		require.Equal(t, fmt.Sprintf("response to %d", i), body)
 	}
 	require.Equal(t, int32(1), p.dials.Load())
 }
@@ -167,15 +167,15 @@
 				return
 			}
 			id := r.Header.Get(idHeader)
-			reply(c, id, "", "answer to "+id)
-			reply(c, id, "", "answer to "+id)
+			reply(c, id, "", "response to "+id)
+			reply(c, id, "", "response to "+id)
 		}
 	})
 	c := newClient(t)
 	for i := range 10 {
 		body, err := do(t, c, p.address, fmt.Sprint(i))
 		require.NoError(t, err)
-		require.Equal(t, fmt.Sprintf("answer to %d", i), body)
+		require.Equal(t, fmt.Sprintf("response to %d", i), body)
 	}
 }
 
@@ -189,17 +189,17 @@
 				return
 			}
 			if last != "" {
-				reply(c, last, "", "answer to "+last)
+				reply(c, last, "", "response to "+last)
 			}
 			last = r.Header.Get(idHeader)
-			reply(c, last, "", "answer to "+last)
+			reply(c, last, "", "response to "+last)
 		}
 	})
 	c := newClient(t)
 	for i := range 4 {
 		body, err := do(t, c, p.address, fmt.Sprint(i))
 		require.NoError(t, err)
-		require.Equal(t, fmt.Sprintf("answer to %d", i), body)
+		require.Equal(t, fmt.Sprintf("response to %d", i), body)
 	}
 }
 
--- a/loader/load_test.go
+++ b/loader/load_test.go
@@ -52,11 +52,11 @@
 		{"key too short", testKey + `",`, `0011",`},
 		{"key missing", `"sharedKey": "` + testKey + `",`, ``},
 		{"two keys", `"region"`, `"sharedKeyFile": "key", "region"`},
-		{"operators of one name", `"operators": [`, `"operators": [{"name": "asha", "credentialSha256": "12"}, {"nam": "x"}, `},
-		{"silence shorter than heartbeats", `"region"`, `"heartbeatMillis": 800, "deadMillis": 900, "region"`},
-		{"stop shorter than peers may go on", `"region"`, `"drainMillis": 999, "region"`},
+		{"duplicate operator name", `"operators": [`, `"operators": [{"name": "asha", "credentialSha256": "12"}, {"nam": "x"}, `},
+		{"timeouts out of order", `"region"`, `"heartbeatMillis": 800, "deadMillis": 900, "region"`},
+		{"drain shorter than suspect time", `"region"`, `"drainMillis": 999, "region"`},
 		{"certificate without its key", `"region"`, `"tls": {"caller": {"certFile": "c.pem"}}, "region"`},
-		{"name that breaks a terminal", `"region"`, `"\u001b[31m` + strings.Repeat("x", 99) + `": 1, "region"`},
+		{"field name with terminal escape", `"region"`, `"\u001b[31m` + strings.Repeat("x", 99) + `": 1, "region"`},
 	}
 	var got strings.Builder
 	for _, s := range scenarios {
