--- a/cmd/experiment/main.go
+++ b/cmd/experiment/main.go
@@ -41,7 +41,7 @@
 		usage     *UsageError
 		faults    *loader.FaultsError
 		reference *experimenter.ReferenceError
-		scenario  *experimenter.NoScenarioError
+		scenario  *experimenter.UnknownScenarioError
 		mechanism *switcher.UnknownMechanismError
 	)
 	if errors.As(err, &usage) || errors.As(err, &faults) || errors.As(err, &reference) ||
--- a/cmd/experiment/tool.go
+++ b/cmd/experiment/tool.go
@@ -32,8 +32,8 @@
 }
 
 func (t *tool) list(_ context.Context, _ *cli.Command) error {
-	for _, name := range experimenter.Shipped() {
-		s, err := experimenter.Named(name)
+	for _, name := range experimenter.ScenarioNames() {
+		s, err := experimenter.LoadScenario(name)
 		if err != nil {
 			return err
 		}
@@ -53,12 +53,12 @@
 func scenario(name string, changes []string) (experimenter.Scenario, error) {
 	src, err := os.ReadFile(name)
 	if errors.Is(err, os.ErrNotExist) {
-		src, err = experimenter.Source(name)
+		src, err = experimenter.ScenarioSource(name)
 	}
 	if err != nil {
 		return experimenter.Scenario{}, err
 	}
-	if src, err = experimenter.Change(src, changes); err != nil {
+	if src, err = experimenter.PatchScenario(src, changes); err != nil {
 		return experimenter.Scenario{}, &UsageError{Message: "--set: " + err.Error()}
 	}
 	return experimenter.ParseScenario(src)
@@ -75,7 +75,7 @@
 // series plays a scenario and tells how far it is.
 func (t *tool) series(s experimenter.Scenario, n int, off switcher.Disabled) []*experimenter.Result {
 	var done atomic.Int64
-	results := experimenter.Series(s, n, off, func() {
+	results := experimenter.RunSeeds(s, n, off, func() {
 		t.tell("\r%s %s %d of %d ", s.Name, strings.Join(off.Names(), ","), done.Add(1), n)
 	})
 	t.tell("\n")
@@ -99,7 +99,7 @@
 		return err
 	}
 	report := &experimenter.Report{
-		Scenario: s.Name, Purpose: s.Purpose, Without: off.Names(), Bound: experimenter.Bound(s), Results: t.series(s, n, off),
+		Scenario: s.Name, Purpose: s.Purpose, Disabled: off.Names(), Bound: experimenter.UpperBound(s), Results: t.series(s, n, off),
 	}
 	if dir := cmd.String("out"); dir != "" {
 		if err := report.Save(dir); err != nil {
@@ -113,11 +113,11 @@
 	if cmd.Args().Len() != 2 {
 		return &UsageError{Message: "compare takes the data of two reports"}
 	}
-	a, err := experimenter.Read(cmd.Args().Get(0))
+	a, err := experimenter.ReadReport(cmd.Args().Get(0))
 	if err != nil {
 		return err
 	}
-	b, err := experimenter.Read(cmd.Args().Get(1))
+	b, err := experimenter.ReadReport(cmd.Args().Get(1))
 	if err != nil {
 		return err
 	}
@@ -187,5 +187,5 @@
 	if err != nil {
 		return err
 	}
-	return t.print("%s: the stages allow %.3f of the worth\n", s.Name, experimenter.Bound(s))
+	return t.print("%s: the stages allow %.3f of the worth\n", s.Name, experimenter.UpperBound(s))
 }
--- a/experimenter/compare.go
+++ b/experimenter/compare.go
@@ -24,8 +24,8 @@
 	}
 }
 
-// Series plays a scenario with the seeds 1 to n, on half of the processors. Done is called after each run.
-func Series(s Scenario, n int, off switcher.Disabled, done func()) []*Result {
+// RunSeeds plays a scenario with the seeds 1 to n, on half of the processors. Done is called after each run.
+func RunSeeds(s Scenario, n int, off switcher.Disabled, done func()) []*Result {
 	results := make([]*Result, n)
 	slots := make(chan struct{}, max(1, runtime.NumCPU()/2))
 	var group sync.WaitGroup
--- a/experimenter/endpoint.go
+++ b/experimenter/endpoint.go
@@ -112,7 +112,7 @@
 	for _, input := range p.Inputs {
 		in, known := m.w.results[input]
 		if !known || in.freed {
-			m.pool.result.InputsGone++
+			m.pool.result.InputsMissing++
 			return collector.PieceResult{Reason: collector.InputGone}
 		}
 		*fetched += in.bytes
@@ -120,7 +120,7 @@
 	}
 	cfg := &r.kind.Stages[p.Stage]
 	if m.used+cfg.ResultBytes > m.pool.stage.ResultSpaceBytes {
-		m.pool.result.NoRoom++
+		m.pool.result.NoSpace++
 		return collector.PieceResult{Reason: collector.NoSpace}
 	}
 	work := time.Duration(float64(m.pool.stage.PieceTime) * float64(cfg.WorkPercent) / 100)
@@ -175,7 +175,7 @@
 		if e.readFree.After(began) {
 			began = e.readFree
 		}
-		took := e.slowed(millis(read) / time.Duration(e.w.scenario.Model.TokensEachMilli))
+		took := e.slowed(millis(read) / time.Duration(e.w.scenario.Model.TokensPerMilli))
 		e.readFree = began.Add(took)
 		step := e.slowed(micros(e.w.scenario.Model.StepMicros))
 		e.w.after(e.readFree.Sub(e.w.now)+step, first)
@@ -209,7 +209,7 @@
 		kept = append(kept, part)
 		total += part.tokens
 	}
-	for len(kept) > 0 && total > e.w.scenario.Model.KeptTokens {
+	for len(kept) > 0 && total > e.w.scenario.Model.CacheTokens {
 		total -= kept[0].tokens
 		kept = kept[1:]
 	}
--- a/experimenter/experimenter_test.go
+++ b/experimenter/experimenter_test.go
@@ -10,9 +10,9 @@
 )
 
 func TestShippedScenariosAreSound(t *testing.T) {
-	require.GreaterOrEqual(t, len(Shipped()), 12)
-	for _, name := range Shipped() {
-		s, err := Named(name)
+	require.GreaterOrEqual(t, len(ScenarioNames()), 12)
+	for _, name := range ScenarioNames() {
+		s, err := LoadScenario(name)
 		require.NoError(t, err, name)
 		require.Equal(t, name, s.Name)
 		require.NotEmpty(t, s.Purpose)
@@ -22,7 +22,7 @@
 // A burst of requests with large results, whose space binds. Given back only with the first event they lie there while the whole
 // prompt is read, and the endpoints stand idle for want of space; given back once the engine has them more requests are on time.
 func TestSpaceIsGivenBackInABurst(t *testing.T) {
-	s, err := Named("spaceShort")
+	s, err := LoadScenario("spaceShort")
 	require.NoError(t, err)
 	earned := func(off switcher.Disabled) (sum float64) {
 		for seed := range uint64(6) {
@@ -42,7 +42,7 @@
 func BenchmarkEighty(b *testing.B) { benchmark(b, "eightyEntries") }
 
 func benchmark(b *testing.B, name string) {
-	s, err := Named(name)
+	s, err := LoadScenario(name)
 	require.NoError(b, err)
 	for b.Loop() {
 		Run(s, 1, switcher.Disabled{})
@@ -50,7 +50,7 @@
 }
 
 func TestOneSeedGivesTheSameRun(t *testing.T) {
-	s, err := Named("threeStagesLost")
+	s, err := LoadScenario("threeStagesLost")
 	require.NoError(t, err)
 	s.Seconds = 14
 	text := func(seed uint64) string {
--- a/experimenter/fluid.go
+++ b/experimenter/fluid.go
@@ -15,7 +15,7 @@
 			continue
 		}
 		struck := float64(f.SharePercent) / 100
-		if f.What == slow && f.FactorPercent > 0 {
+		if f.Effect == slow && f.FactorPercent > 0 {
 			struck *= 1 - 100/float64(f.FactorPercent)
 		}
 		share *= 1 - struck
@@ -25,7 +25,7 @@
 
 // rateAt is a kind's arrivals a second.
 func rateAt(s *Scenario, k *Kind, at float64) float64 {
-	rate := float64(k.EachMinute) / 60
+	rate := float64(k.PerMinute) / 60
 	for _, b := range s.Bursts {
 		since := at*1000 - float64(b.AtMillis)
 		if (b.Kind == "" || b.Kind == k.Name) && since >= 0 && since < float64(b.ForMillis) {
@@ -40,7 +40,7 @@
 	total := 0.0
 	for _, stage := range k.Stages {
 		if stage.Pool == p.Name {
-			piece := millis(p.CallMillis).Seconds()/float64(p.Batch) + micros(p.ItemMicros).Seconds()*float64(stage.WorkPercent)/100
+			piece := millis(p.CallOverheadMillis).Seconds()/float64(p.Batch) + micros(p.PieceMicros).Seconds()*float64(stage.WorkPercent)/100
 			total += float64(stage.Pieces) * float64(stage.SharePercent) / 100 * piece
 		}
 	}
@@ -83,10 +83,10 @@
 // boundStep is the step of Bound in seconds: a tenth of the shortest objectives.
 const boundStep = 0.1
 
-// Bound is the most worth that a scenario's stages allow, as a share of what all requests on time would be worth: full
+// UpperBound is the most worth that a scenario's stages allow, as a share of what all requests on time would be worth: full
 // calls, every endpoint busy, space without end, a fluid in place of requests, and perfect knowledge. What comes is served
 // out of the capacity of the same time or of its objective after it; kinds go by their worth for a pool's time.
-func Bound(s Scenario) float64 {
+func UpperBound(s Scenario) float64 {
 	order := byWorth(&s)
 	spare := make([]float64, len(s.Pools))
 	backlog := make([]float64, len(s.Kinds))
--- a/experimenter/report.go
+++ b/experimenter/report.go
@@ -18,7 +18,7 @@
 type Report struct {
 	Scenario string    `json:"scenario"`
 	Purpose  string    `json:"purpose"`
-	Without  []string  `json:"without"`
+	Disabled []string  `json:"without"`
 	Bound    float64   `json:"bound"`
 	Results  []*Result `json:"results"`
 }
@@ -27,8 +27,8 @@
 func (r *Report) WriteText(w io.Writer) error {
 	var b strings.Builder
 	fmt.Fprintf(&b, "# %s\n\n%s\n\n", r.Scenario, r.Purpose)
-	if len(r.Without) > 0 {
-		fmt.Fprintf(&b, "Without %s.\n\n", strings.Join(r.Without, ", "))
+	if len(r.Disabled) > 0 {
+		fmt.Fprintf(&b, "Without %s.\n\n", strings.Join(r.Disabled, ", "))
 	}
 	fmt.Fprintf(&b, "%d seeds; worth earned %.3f at the mean of what all on time would be worth; stages allow %.3f at most.\n\n",
 		len(r.Results), r.earned(), r.Bound)
@@ -56,10 +56,10 @@
 
 func (r *Report) kindRow(b *strings.Builder, i int, name string) {
 	share := func(of func(*KindResult) int) float64 {
-		return r.mean(func(x *Result) float64 { return float64(of(x.Kinds[i])) / float64(max(1, x.Kinds[i].Asked)) })
+		return r.mean(func(x *Result) float64 { return float64(of(x.Kinds[i])) / float64(max(1, x.Kinds[i].Requests)) })
 	}
 	fmt.Fprintf(b, "| %s | %.0f | %.3f | %.3f | %.3f | %.3f | %.0f | %.0f |\n", name,
-		r.mean(func(x *Result) float64 { return float64(x.Kinds[i].Asked) }),
+		r.mean(func(x *Result) float64 { return float64(x.Kinds[i].Requests) }),
 		share(func(k *KindResult) int { return k.OnTime }),
 		share(func(k *KindResult) int { return k.Late }),
 		share(func(k *KindResult) int { return k.Refused }),
@@ -74,8 +74,8 @@
 		r.mean(func(x *Result) float64 { return float64(x.Pools[i].Pieces) / float64(max(1, x.Pools[i].Calls)) }),
 		r.mean(func(x *Result) float64 { return x.Pools[i].BusySeconds }),
 		r.mean(func(x *Result) float64 { return float64(x.Pools[i].CallsRefused) }),
-		r.mean(func(x *Result) float64 { return float64(x.Pools[i].NoRoom) }),
-		r.mean(func(x *Result) float64 { return float64(x.Pools[i].InputsGone) }))
+		r.mean(func(x *Result) float64 { return float64(x.Pools[i].NoSpace) }),
+		r.mean(func(x *Result) float64 { return float64(x.Pools[i].InputsMissing) }))
 }
 
 // Save writes the report as Markdown, JSON and a picture of the times to the first event into a directory.
@@ -128,8 +128,8 @@
 	return line
 }
 
-// Read reads a report that Save has written.
-func Read(file string) (*Report, error) {
+// ReadReport reads a report that Save has written.
+func ReadReport(file string) (*Report, error) {
 	data, err := os.ReadFile(file)
 	if err != nil {
 		return nil, err
--- a/experimenter/result.go
+++ b/experimenter/result.go
@@ -10,11 +10,11 @@
 
 // KindResult is what became of a kind's requests.
 type KindResult struct {
-	Name    string `json:"name"`
-	Asked   int    `json:"asked"`
-	OnTime  int    `json:"onTime"`
-	Late    int    `json:"late"`
-	Refused int    `json:"refused"`
+	Name     string `json:"name"`
+	Requests int    `json:"asked"`
+	OnTime   int    `json:"onTime"`
+	Late     int    `json:"late"`
+	Refused  int    `json:"refused"`
 	// Failed found no model engine, or were lost with their entry.
 	Failed int `json:"failed"`
 	// P50Millis and P99Millis are the times to the first event.
@@ -38,20 +38,20 @@
 
 // PoolResult is what a pool of endpoints did.
 type PoolResult struct {
-	Name         string  `json:"name"`
-	Calls        int     `json:"calls"`
-	Pieces       int     `json:"pieces"`
-	CallsRefused int     `json:"callsRefused"`
-	NoRoom       int     `json:"noRoom"`
-	InputsGone   int     `json:"inputsGone"`
-	BusySeconds  float64 `json:"busySeconds"`
+	Name          string  `json:"name"`
+	Calls         int     `json:"calls"`
+	Pieces        int     `json:"pieces"`
+	CallsRefused  int     `json:"callsRefused"`
+	NoSpace       int     `json:"noRoom"`
+	InputsMissing int     `json:"inputsGone"`
+	BusySeconds   float64 `json:"busySeconds"`
 }
 
 // Result is what one run brought.
 type Result struct {
 	Scenario string        `json:"scenario"`
 	Seed     uint64        `json:"seed"`
-	Without  []string      `json:"without"`
+	Disabled []string      `json:"without"`
 	Kinds    []*KindResult `json:"kinds"`
 	Pools    []*PoolResult `json:"pools"`
 	// Earned is the worth earned of what all requests on time would be worth.
@@ -64,7 +64,7 @@
 }
 
 func newResult(s *Scenario, seed uint64, off switcher.Disabled) *Result {
-	r := &Result{Scenario: s.Name, Seed: seed, Without: off.Names()}
+	r := &Result{Scenario: s.Name, Seed: seed, Disabled: off.Names()}
 	for _, k := range s.Kinds {
 		r.Kinds = append(r.Kinds, &KindResult{Name: k.Name, times: hdrhistogram.New(leastTime, longestTime, figures)})
 	}
@@ -79,9 +79,9 @@
 	for i, k := range r.Kinds {
 		k.P50Millis = k.times.ValueAtQuantile(50)
 		k.P99Millis = k.times.ValueAtQuantile(99)
-		k.Failed += k.Asked - k.OnTime - k.Late - k.Refused - k.Failed
+		k.Failed += k.Requests - k.OnTime - k.Late - k.Refused - k.Failed
 		earned += float64(int64(k.OnTime)*s.Kinds[i].Worth + int64(k.Late)*s.Kinds[i].LateWorth)
-		owed += float64(int64(k.Asked) * s.Kinds[i].Worth)
+		owed += float64(int64(k.Requests) * s.Kinds[i].Worth)
 	}
 	if owed > 0 {
 		r.Earned = earned / owed
--- a/experimenter/scenario.go
+++ b/experimenter/scenario.go
@@ -47,11 +47,11 @@
 	Endpoints int64 `json:"endpoints" min:"1" max:"10000"`
 	// Slots is how many requests an engine runs at a time.
 	Slots int64 `json:"slots" min:"1" max:"1024"`
-	// TokensEachMilli is how fast an engine reads prompts, StepMicros how long an event takes while one request runs.
-	TokensEachMilli int64 `json:"tokensEachMilli" min:"1" max:"100000"`
-	StepMicros      int64 `json:"stepMicros" min:"1" max:"1000000"`
-	// KeptTokens is the memory for shared prompt parts.
-	KeptTokens int64 `json:"keptTokens" min:"0" max:"100000000"`
+	// TokensPerMilli is how fast an engine reads prompts, StepMicros how long an event takes while one request runs.
+	TokensPerMilli int64 `json:"tokensEachMilli" min:"1" max:"100000"`
+	StepMicros     int64 `json:"stepMicros" min:"1" max:"1000000"`
+	// CacheTokens is the memory for shared prompt parts.
+	CacheTokens int64 `json:"keptTokens" min:"0" max:"100000000"`
 }
 
 // Pool is a pool of endpoints that work on stages.
@@ -61,13 +61,13 @@
 	// Batch is the most pieces of a call, Queue how many calls may wait at an endpoint.
 	Batch int64 `json:"batch" min:"1" max:"4096"`
 	Queue int64 `json:"queue" min:"0" max:"1000"`
-	// CallMillis is what a call takes beside its pieces, ItemMicros what a piece adds.
-	CallMillis int64 `json:"callMillis" min:"1" max:"100000"`
-	ItemMicros int64 `json:"itemMicros" min:"0" max:"10000000"`
-	// RoomBytes is an endpoint's space for results, ResultMillis how long one is kept that is not freed.
-	RoomBytes    int64 `json:"roomBytes" min:"0" max:"1000000000000"`
-	ResultMillis int64 `json:"resultMillis" min:"1" max:"3600000"`
-	LinkMbps     int64 `json:"linkMbps" min:"0" max:"1000000"`
+	// CallOverheadMillis is what a call takes beside its pieces, PieceMicros what a piece adds.
+	CallOverheadMillis int64 `json:"callMillis" min:"1" max:"100000"`
+	PieceMicros        int64 `json:"itemMicros" min:"0" max:"10000000"`
+	// ResultSpaceBytes is an endpoint's space for results, ResultTTLMillis how long one is kept that is not freed.
+	ResultSpaceBytes int64 `json:"roomBytes" min:"0" max:"1000000000000"`
+	ResultTTLMillis  int64 `json:"resultMillis" min:"1" max:"3600000"`
+	LinkMbps         int64 `json:"linkMbps" min:"0" max:"1000000"`
 	// FailuresPerMille is how many of a thousand pieces fail.
 	FailuresPerMille int64 `json:"failuresPerMille" min:"0" max:"1000"`
 }
@@ -75,8 +75,8 @@
 // Kind is a kind of request.
 type Kind struct {
 	Name string `json:"name" check:"label"`
-	// EachMinute is how many arrive in a minute.
-	EachMinute int64 `json:"eachMinute" min:"0" max:"10000000"`
+	// PerMinute is how many arrive in a minute.
+	PerMinute int64 `json:"eachMinute" min:"0" max:"10000000"`
 	// ObjectiveMillis is when the first event is on time, PatienceMillis when the caller leaves without one.
 	ObjectiveMillis int64 `json:"objectiveMillis" min:"1" max:"600000"`
 	PatienceMillis  int64 `json:"patienceMillis" min:"1" max:"600000"`
@@ -97,8 +97,8 @@
 // Stage is one stage of a kind.
 type Stage struct {
 	Pool string `json:"pool" check:"label"`
-	// After are the stages whose results it takes.
-	After []int64 `json:"after"`
+	// DependsOn are the stages whose results it takes.
+	DependsOn []int64 `json:"after"`
 	// Pieces is the mean number of pieces, SpreadPercent how far it varies, SharePercent how many requests have it.
 	Pieces        int64 `json:"pieces" min:"1" max:"1000"`
 	SpreadPercent int64 `json:"spreadPercent" min:"0" max:"100"`
@@ -118,10 +118,10 @@
 
 // Fault is a fault for a while.
 type Fault struct {
-	// What is gone (endpoints of Pool refuse connections), slow (they take longer by FactorPercent), refusing (they turn all
+	// Effect is gone (endpoints of Pool refuse connections), slow (they take longer by FactorPercent), refusing (they turn all
 	// away), resting (they ask for rest besides), limited (they name a limit of FactorPercent hundredths of a call a second) or
 	// entry (entries are gone, with all that they had under way).
-	What string `json:"what" check:"label"`
+	Effect string `json:"what" check:"label"`
 	// Pool is that of the endpoints; "model" is the model engines'.
 	Pool          string `json:"pool" check:"label,optional"`
 	AtMillis      int64  `json:"atMillis" min:"0" max:"600000"`
@@ -166,7 +166,7 @@
 			if !pool(stage.Pool) {
 				return &ReferenceError{Field: fmt.Sprintf("kinds[%d].stages[%d].pool", i, j), Name: stage.Pool}
 			}
-			for _, after := range stage.After {
+			for _, after := range stage.DependsOn {
 				if after < 0 || after >= int64(j) {
 					return &ReferenceError{Field: fmt.Sprintf("kinds[%d].stages[%d].after", i, j), Name: fmt.Sprint(after)}
 				}
@@ -179,10 +179,10 @@
 		}
 	}
 	for i, f := range s.Faults {
-		if !slices.Contains([]string{gone, slow, refusing, resting, limited, entryGone}, f.What) {
-			return &ReferenceError{Field: fmt.Sprintf("faults[%d].what", i), Name: f.What}
+		if !slices.Contains([]string{gone, slow, refusing, resting, limited, entryGone}, f.Effect) {
+			return &ReferenceError{Field: fmt.Sprintf("faults[%d].what", i), Name: f.Effect}
 		}
-		if f.What != entryGone && f.Pool != modelPool && !pool(f.Pool) {
+		if f.Effect != entryGone && f.Pool != modelPool && !pool(f.Pool) {
 			return &ReferenceError{Field: fmt.Sprintf("faults[%d].pool", i), Name: f.Pool}
 		}
 	}
@@ -192,15 +192,15 @@
 //go:embed scenarios
 var shipped embed.FS
 
-// NoScenarioError tells of a name that is no shipped scenario's.
-type NoScenarioError struct{ Name string }
+// UnknownScenarioError tells of a name that is no shipped scenario's.
+type UnknownScenarioError struct{ Name string }
 
-func (e *NoScenarioError) Error() string {
-	return fmt.Sprintf("no scenario is named %q; there are %s", e.Name, strings.Join(Shipped(), ", "))
+func (e *UnknownScenarioError) Error() string {
+	return fmt.Sprintf("no scenario is named %q; there are %s", e.Name, strings.Join(ScenarioNames(), ", "))
 }
 
-// Shipped lists the names of the scenarios that come with the program.
-func Shipped() []string {
+// ScenarioNames lists the names of the scenarios that come with the program.
+func ScenarioNames() []string {
 	files, err := shipped.ReadDir("scenarios")
 	if err != nil {
 		panic(err) // embedded at the build
@@ -212,50 +212,50 @@
 	return names
 }
 
-// Source gives the text of a shipped scenario. It fails with a *NoScenarioError.
-func Source(name string) ([]byte, error) {
+// ScenarioSource gives the text of a shipped scenario. It fails with a *UnknownScenarioError.
+func ScenarioSource(name string) ([]byte, error) {
 	src, err := shipped.ReadFile(path.Join("scenarios", path.Base(name)+".json"))
 	if err != nil {
-		return nil, &NoScenarioError{Name: name}
+		return nil, &UnknownScenarioError{Name: name}
 	}
 	return src, nil
 }
 
-// Named gives a shipped scenario. It fails with a *NoScenarioError.
-func Named(name string) (Scenario, error) {
-	src, err := Source(name)
+// LoadScenario gives a shipped scenario. It fails with a *UnknownScenarioError.
+func LoadScenario(name string) (Scenario, error) {
+	src, err := ScenarioSource(name)
 	if err != nil {
 		return Scenario{}, err
 	}
 	return ParseScenario(src)
 }
 
-// ChangeError tells of a change that can't be made.
-type ChangeError struct{ Change, Reason string }
+// PatchError tells of a change that can't be made.
+type PatchError struct{ Change, Reason string }
 
-func (e *ChangeError) Error() string { return fmt.Sprintf("%q: %s", e.Change, e.Reason) }
+func (e *PatchError) Error() string { return fmt.Sprintf("%q: %s", e.Change, e.Reason) }
 
-// Change sets whole numbers in the text of a scenario, each as in /pools/0/endpoints=7. It fails with a *ChangeError.
-func Change(src []byte, changes []string) ([]byte, error) {
+// PatchScenario sets whole numbers in the text of a scenario, each as in /pools/0/endpoints=7. It fails with a *PatchError.
+func PatchScenario(src []byte, changes []string) ([]byte, error) {
 	if len(changes) == 0 {
 		return src, nil
 	}
 	tree, err := hujson.Parse(src)
 	if err != nil {
-		return nil, &ChangeError{Change: changes[0], Reason: "the scenario is no JSON with comments: " + err.Error()}
+		return nil, &PatchError{Change: changes[0], Reason: "the scenario is no JSON with comments: " + err.Error()}
 	}
 	for _, change := range changes {
 		key, text, found := strings.Cut(change, "=")
 		value, err := strconv.ParseInt(text, 10, 64)
 		if !found || err != nil {
-			return nil, &ChangeError{Change: change, Reason: "want KEY=WHOLE NUMBER"}
+			return nil, &PatchError{Change: change, Reason: "want KEY=WHOLE NUMBER"}
 		}
 		if !strings.HasPrefix(key, "/") {
 			key = "/" + key
 		}
 		patch := fmt.Sprintf(`[{"op":"replace","path":%q,"value":%d}]`, key, value)
 		if err := tree.Patch([]byte(patch)); err != nil {
-			return nil, &ChangeError{Change: change, Reason: "the scenario has no such field"}
+			return nil, &PatchError{Change: change, Reason: "the scenario has no such field"}
 		}
 	}
 	return tree.Pack(), nil
@@ -274,10 +274,10 @@
 		Slots:              1,
 		Queue:              int(p.Queue),
 		Batch:              int(p.Batch),
-		CallOverhead:       millis(p.CallMillis),
-		PieceTime:          micros(p.ItemMicros),
-		ResultSpaceBytes:   p.RoomBytes,
-		ResultTTL:          millis(p.ResultMillis),
+		CallOverhead:       millis(p.CallOverheadMillis),
+		PieceTime:          micros(p.PieceMicros),
+		ResultSpaceBytes:   p.ResultSpaceBytes,
+		ResultTTL:          millis(p.ResultTTLMillis),
 		LinkBytesPerSecond: p.LinkMbps * bytesPerMbit,
 	}
 }
@@ -287,7 +287,7 @@
 	stages := make([]cataloger.Stage, len(k.Stages))
 	for i, s := range k.Stages {
 		stages[i] = cataloger.Stage{Service: s.Pool, ResultBytes: s.ResultBytes}
-		for _, after := range s.After {
+		for _, after := range s.DependsOn {
 			stages[i].DependsOn = append(stages[i].DependsOn, int(after))
 		}
 	}
--- a/experimenter/world.go
+++ b/experimenter/world.go
@@ -149,7 +149,7 @@
 
 // arrive begins a request of a kind and plans the next one.
 func (w *world) arrive(k *Kind, stats *KindResult) {
-	rate := float64(k.EachMinute) / 60
+	rate := float64(k.PerMinute) / 60
 	for _, b := range w.scenario.Bursts {
 		since := w.now.Sub(origin) - millis(b.AtMillis)
 		if (b.Kind == "" || b.Kind == k.Name) && since >= 0 && since < millis(b.ForMillis) {
@@ -171,7 +171,7 @@
 	for _, stage := range k.Stages {
 		r.counts = append(r.counts, w.pieces(&stage))
 	}
-	stats.Asked++
+	stats.Requests++
 	r.attempt()
 	w.after(time.Duration(w.random.ExpFloat64()/rate*float64(time.Second)), func() { w.arrive(k, stats) })
 }
@@ -230,7 +230,7 @@
 func (w *world) strike(f *Fault) {
 	var struck []*condition
 	switch {
-	case f.What == entryGone:
+	case f.Effect == entryGone:
 		w.strikeEntries(f)
 		return
 	case f.Pool == modelPool:
@@ -284,7 +284,7 @@
 
 // strike has a fault begin.
 func (c *condition) strike(f *Fault) {
-	switch f.What {
+	switch f.Effect {
 	case gone:
 		c.gone = true
 	case slow:
