--- a/experimenter/clock.go
+++ b/experimenter/clock.go
@@ -5,53 +5,54 @@
 	"time"
 )
 
-// origin is when each run begins in model time.
+// origin is the virtual time at which each run starts.
 var origin = time.Unix(0, 0).UTC()
 
-// clock runs what is planned in the order of its times, and of planning where those are equal.
+// clock is a virtual clock. It runs events in the order of their times, and events of the same time in the order in which they
+// were scheduled.
 type clock struct {
-	now  time.Time
-	todo agenda
-	n    int
+	now       time.Time
+	events    eventHeap
+	scheduled int
 }
 
-type planned struct {
-	at    time.Time
-	order int
-	do    func()
+type event struct {
+	at     time.Time
+	order  int
+	action func()
 }
 
-type agenda []planned
+type eventHeap []event
 
-func (a agenda) Len() int { return len(a) }
-func (a agenda) Less(i, j int) bool {
+func (a eventHeap) Len() int { return len(a) }
+func (a eventHeap) Less(i, j int) bool {
 	if a[i].at.Equal(a[j].at) {
 		return a[i].order < a[j].order
 	}
 	return a[i].at.Before(a[j].at)
 }
-func (a agenda) Swap(i, j int) { a[i], a[j] = a[j], a[i] }
-func (a *agenda) Push(x any)   { *a = append(*a, x.(planned)) }
-func (a *agenda) Pop() any {
+func (a eventHeap) Swap(i, j int) { a[i], a[j] = a[j], a[i] }
+func (a *eventHeap) Push(x any)   { *a = append(*a, x.(event)) }
+func (a *eventHeap) Pop() any {
 	old := *a
 	last := old[len(old)-1]
-	old[len(old)-1].do = nil
+	old[len(old)-1].action = nil
 	*a = old[:len(old)-1]
 	return last
 }
 
-// after plans something.
-func (c *clock) after(d time.Duration, do func()) {
-	c.n++
-	heap.Push(&c.todo, planned{at: c.now.Add(max(d, 0)), order: c.n, do: do})
+// schedule runs action after d; a negative d counts as 0.
+func (c *clock) schedule(d time.Duration, action func()) {
+	c.scheduled++
+	heap.Push(&c.events, event{at: c.now.Add(max(d, 0)), order: c.scheduled, action: action})
 }
 
-// run carries out what is planned up to a time.
-func (c *clock) run(until time.Time) {
-	for len(c.todo) > 0 && !c.todo[0].at.After(until) {
-		next := heap.Pop(&c.todo).(planned)
+// runUntil runs the events up to and including end, and sets the clock to end.
+func (c *clock) runUntil(end time.Time) {
+	for len(c.events) > 0 && !c.events[0].at.After(end) {
+		next := heap.Pop(&c.events).(event)
 		c.now = next.at
-		next.do()
+		next.action()
 	}
-	c.now = until
+	c.now = end
 }
--- a/experimenter/compare.go
+++ b/experimenter/compare.go
@@ -10,11 +10,11 @@
 	"geraniumline/switcher"
 )
 
-// confidence is the factor of the standard error for a 95% interval.
-const confidence = 1.96
+// confidenceFactor is the multiple of the standard error that gives a 95% confidence interval.
+const confidenceFactor = 1.96
 
-// Modelled tells whether the model has what a mechanism works on. Entries of the model know of each other at once, engines
-// and endpoints never hang, and there are no plain calls.
+// Modelled reports whether the simulation covers what a mechanism acts on. Simulated entries learn of each other immediately,
+// engines and endpoints never hang, and there are no plain calls.
 func Modelled(m switcher.Mechanism) bool {
 	switch m {
 	case switcher.OneCollector, switcher.SettledDuty, switcher.DutyFollowed, switcher.Hedging, switcher.Ejection:
@@ -24,7 +24,8 @@
 	}
 }
 
-// RunSeeds plays a scenario with the seeds 1 to n, on half of the processors. Done is called after each run.
+// RunSeeds runs a scenario with the seeds 1 to n, using half of the processors. It calls done after each run, from several
+// goroutines.
 func RunSeeds(s Scenario, n int, off switcher.Disabled, done func()) []*Result {
 	results := make([]*Result, n)
 	slots := make(chan struct{}, max(1, runtime.NumCPU()/2))
@@ -41,33 +42,33 @@
 	return results
 }
 
-// Comparison is how two series differ that were played with the same seeds.
+// Comparison is the difference between two series of runs, A and B, with the same seeds.
 type Comparison struct {
 	N          int     `json:"n"`
 	MeanA      float64 `json:"meanA"`
 	MeanB      float64 `json:"meanB"`
 	Difference float64 `json:"difference"`
-	// Interval is half of the width of the difference's 95% interval.
+	// Interval is half of the width of the 95% confidence interval of Difference.
 	Interval float64 `json:"interval"`
-	// Won is how many seeds earned more in B.
+	// Won is the number of seeds for which B earned more than A.
 	Won int `json:"won"`
 }
 
-// Compare pairs two series by their seeds.
+// Compare compares the worth earned in two series, paired by seed. Seeds that only one of them has are ignored.
 func Compare(a, b []*Result) Comparison {
-	bySeed := make(map[uint64]*Result, len(a))
+	resultsA := make(map[uint64]*Result, len(a))
 	for _, r := range a {
-		bySeed[r.Seed] = r
+		resultsA[r.Seed] = r
 	}
 	var c Comparison
-	var first, second, differences []float64
+	var earnedA, earnedB, differences []float64
 	for _, r := range b {
-		other, paired := bySeed[r.Seed]
+		other, paired := resultsA[r.Seed]
 		if !paired {
 			continue
 		}
-		first = append(first, other.Earned)
-		second = append(second, r.Earned)
+		earnedA = append(earnedA, other.Earned)
+		earnedB = append(earnedB, r.Earned)
 		differences = append(differences, r.Earned-other.Earned)
 		if r.Earned > other.Earned {
 			c.Won++
@@ -77,10 +78,10 @@
 	if c.N == 0 {
 		return c
 	}
-	c.MeanA, c.MeanB = stat.Mean(first, nil), stat.Mean(second, nil)
+	c.MeanA, c.MeanB = stat.Mean(earnedA, nil), stat.Mean(earnedB, nil)
 	c.Difference = stat.Mean(differences, nil)
 	if c.N > 1 {
-		c.Interval = confidence * stat.StdDev(differences, nil) / math.Sqrt(float64(c.N))
+		c.Interval = confidenceFactor * stat.StdDev(differences, nil) / math.Sqrt(float64(c.N))
 	}
 	return c
 }
--- a/experimenter/endpoint.go
+++ b/experimenter/endpoint.go
@@ -9,45 +9,45 @@
 	"geraniumline/regulator"
 )
 
-// condition is what faults do to an endpoint.
-type condition struct {
-	gone bool
-	// refuses is set where it turns all away, notice is what it says in its answers.
+// faultState is the state that faults cause at an endpoint. The zero value means no fault.
+type faultState struct {
+	down bool
+	// refuses is set if the endpoint rejects all calls. notice is attached to its answers.
 	refuses bool
 	notice  regulator.Notice
-	// factor is by how much its work takes longer; 0 counts as 1.
-	factor float64
+	// slowFactor multiplies the duration of work; 0 counts as 1.
+	slowFactor float64
 }
 
-func (c *condition) slowed(d time.Duration) time.Duration {
-	if c.factor <= 0 {
+func (c *faultState) slowed(d time.Duration) time.Duration {
+	if c.slowFactor <= 0 {
 		return d
 	}
-	return time.Duration(c.factor * float64(d))
+	return time.Duration(c.slowFactor * float64(d))
 }
 
-// stored is a result at its maker.
-type stored struct {
-	maker *maker
-	bytes int64
-	freed bool
+// storedResult is a result that is stored at the endpoint that computed it.
+type storedResult struct {
+	endpoint *stageEndpoint
+	bytes    int64
+	freed    bool
 }
 
-// maker is an endpoint that works on stages: one call at a time, and a queue.
-type maker struct {
-	condition
-	w       *world
-	pool    *poolModel
-	id      string
-	zone    string
-	waiting []func()
-	working bool
-	used    int64
+// stageEndpoint is an endpoint that processes stages. It runs one call at a time and queues others.
+type stageEndpoint struct {
+	faultState
+	sim       *simulation
+	pool      *poolModel
+	id        string
+	zone      string
+	queue     []func()
+	busy      bool
+	usedBytes int64
 }
 
-// call takes a call; answer is called with its end.
-func (m *maker) call(e collector.SendCall, answer func(collector.CallOutcome, []collector.PieceResult)) {
-	if m.gone {
+// call queues a call or refuses it. answer is called with the outcome.
+func (m *stageEndpoint) call(call collector.SendCall, answer func(collector.CallOutcome, []collector.PieceResult)) {
+	if m.down {
 		answer(collector.Unreachable, nil)
 		return
 	}
@@ -56,132 +56,132 @@
 		answer(collector.Refused, nil)
 		return
 	}
-	if len(m.waiting) > m.pool.stage.Queue {
+	if len(m.queue) > m.pool.stage.Queue {
 		m.pool.result.CallsRefused++
 		answer(collector.Refused, nil)
 		return
 	}
-	m.waiting = append(m.waiting, func() { m.work(e, answer) })
-	m.next()
+	m.queue = append(m.queue, func() { m.process(call, answer) })
+	m.startNext()
 }
 
-func (m *maker) next() {
-	if m.working || len(m.waiting) == 0 {
+func (m *stageEndpoint) startNext() {
+	if m.busy || len(m.queue) == 0 {
 		return
 	}
-	begin := m.waiting[0]
-	m.waiting = m.waiting[1:]
-	m.working = true
-	begin()
+	start := m.queue[0]
+	m.queue = m.queue[1:]
+	m.busy = true
+	start()
 }
 
-// work fetches inputs, works, and answers.
-func (m *maker) work(e collector.SendCall, answer func(collector.CallOutcome, []collector.PieceResult)) {
-	results := make([]collector.PieceResult, len(e.Pieces))
-	took := m.pool.stage.CallOverhead
-	fetched := int64(0)
-	for i := range e.Pieces {
-		results[i] = m.piece(&e.Pieces[i], &took, &fetched)
+// process fetches the inputs of a call, computes the results and answers.
+func (m *stageEndpoint) process(call collector.SendCall, answer func(collector.CallOutcome, []collector.PieceResult)) {
+	results := make([]collector.PieceResult, len(call.Pieces))
+	duration := m.pool.stage.CallOverhead
+	fetchedBytes := int64(0)
+	for i := range call.Pieces {
+		results[i] = m.processPiece(&call.Pieces[i], &duration, &fetchedBytes)
 	}
-	took = m.slowed(took) + m.pool.stage.FetchTime(fetched)
+	duration = m.slowed(duration) + m.pool.stage.FetchTime(fetchedBytes)
 	m.pool.result.Calls++
-	m.pool.result.Pieces += len(e.Pieces)
-	m.pool.result.BusySeconds += took.Seconds()
-	m.w.after(took, func() {
-		m.working = false
-		if m.gone {
+	m.pool.result.Pieces += len(call.Pieces)
+	m.pool.result.BusySeconds += duration.Seconds()
+	m.sim.schedule(duration, func() {
+		m.busy = false
+		if m.down {
 			answer(collector.Broken, nil)
 			return
 		}
 		for _, r := range results {
 			if r.Handle != "" {
-				m.w.after(m.pool.stage.ResultTTL, func() { m.w.free(r.Handle) })
+				m.sim.schedule(m.pool.stage.ResultTTL, func() { m.sim.freeResult(r.Handle) })
 			}
 		}
 		answer(collector.Answered, results)
-		m.next()
+		m.startNext()
 	})
 }
 
-// piece decides one piece at the turn of its call, adds to the call's time and to what is fetched.
-func (m *maker) piece(p *collector.Piece, took *time.Duration, fetched *int64) collector.PieceResult {
-	r := m.w.requests[p.Request]
-	if m.w.now.After(p.Deadline) || r == nil {
+// processPiece computes one piece when its call starts, and adds its time to duration and its input bytes to fetchedBytes.
+func (m *stageEndpoint) processPiece(p *collector.Piece, duration *time.Duration, fetchedBytes *int64) collector.PieceResult {
+	r := m.sim.requests[p.Request]
+	if m.sim.now.After(p.Deadline) || r == nil {
 		return collector.PieceResult{Reason: collector.Late}
 	}
-	for _, input := range p.Inputs {
-		in, known := m.w.results[input]
-		if !known || in.freed {
+	for _, handle := range p.Inputs {
+		input, ok := m.sim.results[handle]
+		if !ok || input.freed {
 			m.pool.result.InputsMissing++
 			return collector.PieceResult{Reason: collector.InputGone}
 		}
-		*fetched += in.bytes
-		m.w.cross(in.maker.zone, m.zone, in.bytes)
+		*fetchedBytes += input.bytes
+		m.sim.recordTransfer(input.endpoint.zone, m.zone, input.bytes)
 	}
-	cfg := &r.kind.Stages[p.Stage]
-	if m.used+cfg.ResultBytes > m.pool.stage.ResultSpaceBytes {
+	stage := &r.kind.Stages[p.Stage]
+	if m.usedBytes+stage.ResultBytes > m.pool.stage.ResultSpaceBytes {
 		m.pool.result.NoSpace++
 		return collector.PieceResult{Reason: collector.NoSpace}
 	}
-	work := time.Duration(float64(m.pool.stage.PieceTime) * float64(cfg.WorkPercent) / 100)
-	*took += work
-	if m.w.random.Int64N(1000) < m.pool.cfg.FailuresPerMille {
+	work := time.Duration(float64(m.pool.stage.PieceTime) * float64(stage.WorkPercent) / 100)
+	*duration += work
+	if m.sim.random.Int64N(1000) < m.pool.cfg.FailuresPerMille {
 		return collector.PieceResult{Reason: collector.Failed}
 	}
-	m.used += cfg.ResultBytes
-	m.w.lastHandle++
-	handle := fmt.Sprintf("%s/%d", m.id, m.w.lastHandle)
-	m.w.results[handle] = &stored{maker: m, bytes: cfg.ResultBytes}
+	m.usedBytes += stage.ResultBytes
+	m.sim.lastHandle++
+	handle := fmt.Sprintf("%s/%d", m.id, m.sim.lastHandle)
+	m.sim.results[handle] = &storedResult{endpoint: m, bytes: stage.ResultBytes}
 	return collector.PieceResult{Handle: handle}
 }
 
-// poolModel is the endpoints of one stage's service.
+// poolModel holds the endpoints of one stage's service.
 type poolModel struct {
-	cfg    *Pool
-	stage  cataloger.StagePool
-	makers []*maker
-	byAddr map[string]*maker
-	result *PoolResult
+	cfg       *Pool
+	stage     cataloger.StagePool
+	endpoints []*stageEndpoint
+	byAddr    map[string]*stageEndpoint
+	result    *PoolResult
 }
 
-// engine is a model engine: it reads one prompt after the other and runs requests beside that.
+// engine is a model engine. It reads prompts one after the other and runs requests concurrently.
 type engine struct {
-	condition
-	w        *world
+	faultState
+	sim      *simulation
 	id, zone string
-	// readFree is when the prompts before are read.
-	readFree time.Time
-	running  int
-	waiting  []func()
-	// kept are the shared parts in the order of their use, the latest last.
-	kept []keptPart
+	// promptsReadAt is the time when all prompts accepted so far have been read.
+	promptsReadAt time.Time
+	running       int
+	waiting       []func()
+	// cached holds the shared prompt parts, most recently used last.
+	cached []cachedPart
 }
 
-type keptPart struct {
+type cachedPart struct {
 	id     uint64
 	tokens int64
 }
 
-// take runs a request; first is called with its first event, end at its last.
-func (e *engine) take(r *request, first, end func()) {
-	begin := func() {
+// start runs a request, or queues it if all slots are in use. onFirstEvent is called at the first event, onEnd at the last.
+func (e *engine) start(r *request, onFirstEvent, onEnd func()) {
+	start := func() {
 		e.running++
-		read := r.kind.OwnTokens
-		if !e.holds(r.subject, r.kind.SharedTokens) {
-			read += r.kind.SharedTokens
-			e.w.result.SharedTokensRead += r.kind.SharedTokens
+		promptTokens := r.kind.OwnTokens
+		if !e.useCached(r.subject, r.kind.SharedTokens) {
+			promptTokens += r.kind.SharedTokens
+			e.sim.result.SharedTokensRead += r.kind.SharedTokens
 		}
-		began := e.w.now
-		if e.readFree.After(began) {
-			began = e.readFree
+		readStart := e.sim.now
+		if e.promptsReadAt.After(readStart) {
+			readStart = e.promptsReadAt
 		}
-		took := e.slowed(millis(read) / time.Duration(e.w.scenario.Model.TokensPerMilli))
-		e.readFree = began.Add(took)
-		step := e.slowed(micros(e.w.scenario.Model.StepMicros))
-		e.w.after(e.readFree.Sub(e.w.now)+step, first)
-		e.w.after(e.readFree.Sub(e.w.now)+step*time.Duration(r.kind.Events), func() {
+		duration := e.slowed(millis(promptTokens) / time.Duration(e.sim.scenario.Model.TokensPerMilli))
+		e.promptsReadAt = readStart.Add(duration)
+		step := e.slowed(micros(e.sim.scenario.Model.StepMicros))
+		e.sim.schedule(e.promptsReadAt.Sub(e.sim.now)+step, onFirstEvent)
+		e.sim.schedule(e.promptsReadAt.Sub(e.sim.now)+step*time.Duration(r.kind.Events), func() {
 			e.running--
-			end()
+			onEnd()
 			if len(e.waiting) > 0 {
 				next := e.waiting[0]
 				e.waiting = e.waiting[1:]
@@ -189,31 +189,31 @@
 			}
 		})
 	}
-	if e.running >= int(e.w.scenario.Model.Slots) {
-		e.waiting = append(e.waiting, begin)
+	if e.running >= int(e.sim.scenario.Model.Slots) {
+		e.waiting = append(e.waiting, start)
 		return
 	}
-	begin()
+	start()
 }
 
-// holds tells whether the engine keeps the shared part, and keeps it from now on.
-func (e *engine) holds(id uint64, tokens int64) bool {
+// useCached reports whether a shared part is cached. It adds the part to the cache and evicts the least recently used ones.
+func (e *engine) useCached(id uint64, tokens int64) bool {
 	found := false
 	total := tokens
-	kept := e.kept[:0]
-	for _, part := range e.kept {
+	cached := e.cached[:0]
+	for _, part := range e.cached {
 		if part.id == id {
 			found = true
 			continue
 		}
-		kept = append(kept, part)
+		cached = append(cached, part)
 		total += part.tokens
 	}
-	for len(kept) > 0 && total > e.w.scenario.Model.CacheTokens {
-		total -= kept[0].tokens
-		kept = kept[1:]
+	for len(cached) > 0 && total > e.sim.scenario.Model.CacheTokens {
+		total -= cached[0].tokens
+		cached = cached[1:]
 	}
-	kept = append(kept, keptPart{id: id, tokens: tokens})
-	e.kept = kept
+	cached = append(cached, cachedPart{id: id, tokens: tokens})
+	e.cached = cached
 	return found
 }
--- a/experimenter/entry.go
+++ b/experimenter/entry.go
@@ -14,28 +14,28 @@
 )
 
 const (
-	// heartbeatEvery and tickEvery are those of the product's entries.
-	heartbeatEvery = 150 * time.Millisecond
-	tickEvery      = 10 * time.Millisecond
+	// heartbeatInterval and tickInterval match those of the product's entries.
+	heartbeatInterval = 150 * time.Millisecond
+	tickInterval      = 10 * time.Millisecond
 )
 
-// entry is one entry: what it knows, as old as heartbeats make it.
+// entry is a simulated entry. Its view of other entries is as recent as their last heartbeats.
 type entry struct {
-	w        *world
+	sim      *simulation
 	name     string
 	zone     string
 	selector *selector.Selector
-	// regulator keeps to what endpoints ask for in their answers.
+	// regulator enforces the limits and rests that endpoints request in their answers.
 	regulator *regulator.Regulator
 	pools     map[string]*collector.Pool
 	loads     map[string]planner.Load
-	gone      bool
+	down      bool
 }
 
 // Pool implements planner.View.
 func (e *entry) Pool(service string) (cataloger.StagePool, bool) {
-	p, known := e.w.pools[service]
-	if !known {
+	p, ok := e.sim.pools[service]
+	if !ok {
 		return cataloger.StagePool{}, false
 	}
 	return p.stage, true
@@ -43,19 +43,19 @@
 
 // Load implements planner.View.
 func (e *entry) Load(service string) planner.Load {
-	if p, collects := e.pools[service]; collects && e.w.owner(service) == e {
-		return planner.LoadOf(p, e.w.now)
+	if p, ok := e.pools[service]; ok && e.sim.collectorFor(service) == e {
+		return planner.LoadOf(p, e.sim.now)
 	}
 	return e.loads[service]
 }
 
-// beat tells the other entries of this one's work and pools.
-func (e *entry) beat() {
-	if !e.gone {
-		work, limits, refusals := e.selector.OwnWork(), e.regulator.Limits(e.w.now), e.selector.Refusals(e.w.now)
-		for _, other := range e.w.entries {
-			if other != e && !other.gone {
-				e.w.after(e.w.way(e.zone, other.zone), func() {
+// sendHeartbeat sends this entry's work, limits, refusals and pool loads to the other entries.
+func (e *entry) sendHeartbeat() {
+	if !e.down {
+		work, limits, refusals := e.selector.OwnWork(), e.regulator.Limits(e.sim.now), e.selector.Refusals(e.sim.now)
+		for _, other := range e.sim.entries {
+			if other != e && !other.down {
+				e.sim.schedule(e.sim.latency(e.zone, other.zone), func() {
 					other.selector.SetPeerWork(e.name, work)
 					for _, l := range limits {
 						other.regulator.ApplyPeerLimit(l)
@@ -66,52 +66,52 @@
 				})
 			}
 		}
-		for _, pool := range e.w.scenario.Pools {
-			if e.w.owner(pool.Name) == e {
+		for _, pool := range e.sim.scenario.Pools {
+			if e.sim.collectorFor(pool.Name) == e {
 				load := e.Load(pool.Name)
-				for _, other := range e.w.entries {
-					e.w.after(e.w.way(e.zone, other.zone), func() { other.loads[pool.Name] = load })
+				for _, other := range e.sim.entries {
+					e.sim.schedule(e.sim.latency(e.zone, other.zone), func() { other.loads[pool.Name] = load })
 				}
 			}
 		}
 	}
-	e.w.after(heartbeatEvery, e.beat)
+	e.sim.schedule(heartbeatInterval, e.sendHeartbeat)
 }
 
-// tick lets time pass for the pools that this entry has.
+// tick passes the current time to this entry's pools.
 func (e *entry) tick() {
-	for _, pool := range e.w.scenario.Pools {
-		if p, collects := e.pools[pool.Name]; collects && !e.gone {
-			e.perform(pool.Name, p.Reduce(collector.Ticked{}, e.w.now))
+	for _, pool := range e.sim.scenario.Pools {
+		if p, ok := e.pools[pool.Name]; ok && !e.down {
+			e.perform(pool.Name, p.Reduce(collector.Ticked{}, e.sim.now))
 		}
 	}
-	e.w.after(tickEvery, e.tick)
+	e.sim.schedule(tickInterval, e.tick)
 }
 
-// reduce hands an event to this entry's pool of a service.
+// reduce passes an event to this entry's pool of a service. It creates the pool if necessary.
 func (e *entry) reduce(service string, ev collector.Event) {
-	if e.gone {
+	if e.down {
 		return
 	}
-	p, known := e.pools[service]
-	if !known {
-		p = collector.New(collector.Config{Service: service, Stage: e.w.pools[service].stage, Gate: e.regulator, Off: e.w.off})
-		p.Reduce(collector.EndpointsChanged{Endpoints: e.w.endpointsOf(service)}, e.w.now)
+	p, ok := e.pools[service]
+	if !ok {
+		p = collector.New(collector.Config{Service: service, Stage: e.sim.pools[service].stage, Gate: e.regulator, Off: e.sim.off})
+		p.Reduce(collector.EndpointsChanged{Endpoints: e.sim.endpointsOf(service)}, e.sim.now)
 		e.pools[service] = p
 	}
-	e.perform(service, p.Reduce(ev, e.w.now))
+	e.perform(service, p.Reduce(ev, e.sim.now))
 }
 
-// perform carries a pool's effects out.
+// perform executes the effects that a pool has returned.
 func (e *entry) perform(service string, effects []collector.Effect) {
 	for _, effect := range effects {
 		switch f := effect.(type) {
 		case collector.SendCall:
 			e.send(service, f)
 		case collector.Deliver:
-			e.w.after(e.wayToOrigin(f.ID), func() { e.w.deliver(service, f) })
+			e.sim.schedule(e.latencyToOrigin(f.ID), func() { e.sim.deliver(service, f) })
 		case collector.InputsFetched:
-			e.w.after(e.wayToOrigin(f.ID), func() { e.w.inputsRead(f.ID) })
+			e.sim.schedule(e.latencyToOrigin(f.ID), func() { e.sim.inputsFetched(f.ID) })
 		case collector.FreeResults:
 			e.freeResults(service, f)
 		case collector.HealthChanged:
@@ -119,74 +119,74 @@
 	}
 }
 
-// wayToOrigin is the time to the entry that has a group's request; none where the request is forgotten.
-func (e *entry) wayToOrigin(id collector.GroupID) time.Duration {
-	r, known := e.w.requests[id.Request]
-	if !known {
+// latencyToOrigin returns the latency to the entry that handles a group's request, or 0 if the request is unknown.
+func (e *entry) latencyToOrigin(id collector.GroupID) time.Duration {
+	r, ok := e.sim.requests[id.Request]
+	if !ok {
 		return 0
 	}
-	return e.wayTo(r.entry)
+	return e.latencyTo(r.entry)
 }
 
-// wayTo is the time to another entry.
-func (e *entry) wayTo(other *entry) time.Duration {
+// latencyTo returns the one-way latency to an entry, which is 0 for the entry itself.
+func (e *entry) latencyTo(other *entry) time.Duration {
 	if other == e {
 		return 0
 	}
-	return e.w.way(e.zone, other.zone)
+	return e.sim.latency(e.zone, other.zone)
 }
 
 func (e *entry) send(service string, call collector.SendCall) {
-	m := e.w.pools[service].byAddr[call.Endpoint.Address]
-	way := e.w.way(e.zone, m.zone)
-	e.w.after(way, func() {
-		m.call(call, func(end collector.CallOutcome, results []collector.PieceResult) {
-			notice := m.notice
-			e.w.after(way, func() {
-				e.regulator.ApplyNotice(&call.Endpoint, notice, e.w.now)
-				e.reduce(service, collector.CallEnded{Call: call.Call, Outcome: end, Results: results})
+	endpoint := e.sim.pools[service].byAddr[call.Endpoint.Address]
+	latency := e.sim.latency(e.zone, endpoint.zone)
+	e.sim.schedule(latency, func() {
+		endpoint.call(call, func(outcome collector.CallOutcome, results []collector.PieceResult) {
+			notice := endpoint.notice
+			e.sim.schedule(latency, func() {
+				e.regulator.ApplyNotice(&call.Endpoint, notice, e.sim.now)
+				e.reduce(service, collector.CallEnded{Call: call.Call, Outcome: outcome, Results: results})
 			})
 		})
 	})
 }
 
 func (e *entry) freeResults(service string, f collector.FreeResults) {
-	m := e.w.pools[service].byAddr[f.Address]
-	way := e.w.way(e.zone, m.zone)
-	made := make([]collector.ResultRef, len(f.Handles))
+	endpoint := e.sim.pools[service].byAddr[f.Address]
+	latency := e.sim.latency(e.zone, endpoint.zone)
+	refs := make([]collector.ResultRef, len(f.Handles))
 	for i, handle := range f.Handles {
-		made[i] = collector.ResultRef{Handle: handle, Address: f.Address}
+		refs[i] = collector.ResultRef{Handle: handle, Address: f.Address}
 	}
-	e.w.after(way, func() {
+	e.sim.schedule(latency, func() {
 		for _, handle := range f.Handles {
-			e.w.free(handle)
+			e.sim.freeResult(handle)
 		}
-		e.w.after(way, func() { e.reduce(service, collector.FreeCallEnded{Results: made}) })
+		e.sim.schedule(latency, func() { e.reduce(service, collector.FreeCallEnded{Results: refs}) })
 	})
 }
 
-// owner is the entry that collects for a service.
-func (w *world) owner(service string) *entry {
-	if e, known := w.owners[service]; known && !e.gone {
+// collectorFor returns the running entry that collects pieces for a service.
+func (sim *simulation) collectorFor(service string) *entry {
+	if e, ok := sim.collectors[service]; ok && !e.down {
 		return e
 	}
-	names := make([]string, 0, len(w.entries))
-	for _, e := range w.entries {
-		if !e.gone {
+	names := make([]string, 0, len(sim.entries))
+	for _, e := range sim.entries {
+		if !e.down {
 			names = append(names, e.name)
 		}
 	}
 	name, _ := hasher.Owner(service, names)
-	for _, e := range w.entries {
+	for _, e := range sim.entries {
 		if e.name == name {
-			w.owners[service] = e
+			sim.collectors[service] = e
 			return e
 		}
 	}
 	return nil
 }
 
-// gate implements selector.Gate by what endpoints ask for. Endpoints of the model are never cold.
+// gate implements selector.Gate with the limits and rests that endpoints request. Simulated endpoints are never cold.
 type gate struct{ regulator *regulator.Regulator }
 
 func (g gate) Allows(e *registrar.Endpoint, _ float64, now time.Time) bool {
@@ -206,9 +206,9 @@
 	g.regulator.RecordSend(e.ID, now)
 }
 
-// newSelector makes an entry's selector with a random source of its own.
-func newSelector(w *world, n int, reg *regulator.Regulator) *selector.Selector {
-	s := selector.New(selector.Config{Rand: rand.New(rand.NewPCG(w.seed, uint64(n))), Gate: gate{reg}, Disabled: w.off})
-	s.SetEndpoints(w.endpointsOf(modelPool))
+// newSelector returns a selector for entry n with its own random source.
+func newSelector(sim *simulation, n int, reg *regulator.Regulator) *selector.Selector {
+	s := selector.New(selector.Config{Rand: rand.New(rand.NewPCG(sim.seed, uint64(n))), Gate: gate{reg}, Disabled: sim.off})
+	s.SetEndpoints(sim.endpointsOf(modelPool))
 	return s
 }
--- a/experimenter/experimenter_test.go
+++ b/experimenter/experimenter_test.go
@@ -9,7 +9,7 @@
 	"geraniumline/switcher"
 )
 
-func TestShippedScenariosAreSound(t *testing.T) {
+func TestShippedScenariosAreValid(t *testing.T) {
 	require.GreaterOrEqual(t, len(ScenarioNames()), 12)
 	for _, name := range ScenarioNames() {
 		s, err := LoadScenario(name)
@@ -19,9 +19,10 @@
 	}
 }
 
-// A burst of requests with large results, whose space binds. Given back only with the first event they lie there while the whole
-// prompt is read, and the endpoints stand idle for want of space; given back once the engine has them more requests are on time.
-func TestSpaceIsGivenBackInABurst(t *testing.T) {
+// In a burst of requests with large results, result space is the bottleneck. If results are freed only at the first event, they
+// occupy space while the whole prompt is read, and endpoints are idle for lack of space. If they are freed once the engine has
+// fetched them, more requests are on time.
+func TestFetchedResultsAreFreedInABurst(t *testing.T) {
 	s, err := LoadScenario("spaceShort")
 	require.NoError(t, err)
 	earned := func(off switcher.Disabled) (sum float64) {
@@ -37,9 +38,9 @@
 	require.Greater(t, with, without)
 }
 
-func BenchmarkSmall(b *testing.B) { benchmark(b, "threeStages") }
+func BenchmarkThreeStages(b *testing.B) { benchmark(b, "threeStages") }
 
-func BenchmarkEighty(b *testing.B) { benchmark(b, "eightyEntries") }
+func BenchmarkEightyEntries(b *testing.B) { benchmark(b, "eightyEntries") }
 
 func benchmark(b *testing.B, name string) {
 	s, err := LoadScenario(name)
@@ -49,7 +50,7 @@
 	}
 }
 
-func TestOneSeedGivesTheSameRun(t *testing.T) {
+func TestRunsWithTheSameSeedAreIdentical(t *testing.T) {
 	s, err := LoadScenario("threeStagesLost")
 	require.NoError(t, err)
 	s.Seconds = 14
--- a/experimenter/report.go
+++ b/experimenter/report.go
@@ -14,7 +14,7 @@
 	"gonum.org/v1/plot/vg"
 )
 
-// Report is a series of runs of one scenario.
+// Report holds the results of a series of runs of one scenario.
 type Report struct {
 	Scenario string    `json:"scenario"`
 	Purpose  string    `json:"purpose"`
@@ -31,7 +31,7 @@
 		fmt.Fprintf(&b, "Without %s.\n\n", strings.Join(r.Disabled, ", "))
 	}
 	fmt.Fprintf(&b, "%d seeds; worth earned %.3f at the mean of what all on time would be worth; stages allow %.3f at most.\n\n",
-		len(r.Results), r.earned(), r.Bound)
+		len(r.Results), r.meanEarned(), r.Bound)
 	b.WriteString("| kind | asked | on time | late | refused | failed | p50 ms | p99 ms |\n|---|---|---|---|---|---|---|---|\n")
 	for i, k := range r.Results[0].Kinds {
 		r.kindRow(&b, i, k.Name)
@@ -44,19 +44,19 @@
 	return err
 }
 
-func (r *Report) earned() float64 { return r.mean(func(x *Result) float64 { return x.Earned }) }
+func (r *Report) meanEarned() float64 { return r.mean(func(x *Result) float64 { return x.Earned }) }
 
-func (r *Report) mean(of func(*Result) float64) float64 {
+func (r *Report) mean(value func(*Result) float64) float64 {
 	total := 0.0
 	for _, x := range r.Results {
-		total += of(x)
+		total += value(x)
 	}
 	return total / float64(len(r.Results))
 }
 
 func (r *Report) kindRow(b *strings.Builder, i int, name string) {
-	share := func(of func(*KindResult) int) float64 {
-		return r.mean(func(x *Result) float64 { return float64(of(x.Kinds[i])) / float64(max(1, x.Kinds[i].Requests)) })
+	share := func(value func(*KindResult) int) float64 {
+		return r.mean(func(x *Result) float64 { return float64(value(x.Kinds[i])) / float64(max(1, x.Kinds[i].Requests)) })
 	}
 	fmt.Fprintf(b, "| %s | %.0f | %.3f | %.3f | %.3f | %.3f | %.0f | %.0f |\n", name,
 		r.mean(func(x *Result) float64 { return float64(x.Kinds[i].Requests) }),
@@ -78,7 +78,8 @@
 		r.mean(func(x *Result) float64 { return float64(x.Pools[i].InputsMissing) }))
 }
 
-// Save writes the report as Markdown, JSON and a picture of the times to the first event into a directory.
+// Save writes the report to a directory as Markdown and JSON, with an SVG plot of the times to the first event. It creates the
+// directory if necessary.
 func (r *Report) Save(dir string) error {
 	if err := os.MkdirAll(dir, 0o755); err != nil {
 		return err
@@ -100,11 +101,11 @@
 	if err := text.Close(); err != nil {
 		return err
 	}
-	return r.saveTimes(filepath.Join(dir, r.Scenario+".svg"))
+	return r.savePlot(filepath.Join(dir, r.Scenario+".svg"))
 }
 
-// saveTimes draws the distribution of times to the first event of the first run, a line for each kind.
-func (r *Report) saveTimes(file string) error {
+// savePlot plots the cumulative distribution of the times to the first event in the first run, with one line per kind.
+func (r *Report) savePlot(file string) error {
 	p := plot.New()
 	p.X.Label.Text = "time to the first event, ms"
 	p.Y.Label.Text = "share of the answered"
@@ -122,13 +123,13 @@
 
 func (k *KindResult) distribution() plotter.XYs {
 	var line plotter.XYs
-	for _, b := range k.times.CumulativeDistribution() {
+	for _, b := range k.firstEventTimes.CumulativeDistribution() {
 		line = append(line, plotter.XY{X: float64(b.ValueAt), Y: b.Quantile / 100})
 	}
 	return line
 }
 
-// ReadReport reads a report that Save has written.
+// ReadReport reads the JSON file of a report that Save has written.
 func ReadReport(file string) (*Report, error) {
 	data, err := os.ReadFile(file)
 	if err != nil {
--- a/experimenter/request.go
+++ b/experimenter/request.go
@@ -10,184 +10,184 @@
 	"geraniumline/selector"
 )
 
-// request is one request of a caller, with the attempt that is under way.
+// request is a caller's request with its current attempt.
 type request struct {
-	w       *world
-	kind    *Kind
-	stats   *KindResult
-	entry   *entry
-	id      string
-	subject uint64
-	counts  []int
-	began   time.Time
-	plan    *planner.Plan
-	parts   []selector.Part
-	// refusedBy are the model engines that have refused the present try.
+	sim         *simulation
+	kind        *Kind
+	stats       *KindResult
+	entry       *entry
+	id          string
+	subject     uint64
+	pieceCounts []int
+	arrived     time.Time
+	plan        *planner.Plan
+	parts       []selector.Part
+	// refusedBy lists the model engines that have refused the current attempt.
 	refusedBy []string
-	// attempts counts the caller's tries; ended is set once the present one is over.
+	// attempts counts the caller's attempts. ended is set once the current one has left the stages, refused or sent to the model.
 	attempts int
 	ended    bool
 }
 
-// attempt begins a try of the caller at an entry that lives.
+// attempt starts an attempt of the caller at a random running entry.
 func (r *request) attempt() {
 	r.attempts++
 	r.ended = false
 	r.refusedBy = nil
-	r.entry = r.w.anyEntry()
+	r.entry = r.sim.randomEntry()
 	r.id = fmt.Sprintf("%s-%d", r.id, r.attempts)
-	r.w.requests[r.id] = r
+	r.sim.requests[r.id] = r
 	e := r.entry
 	r.plan = planner.New(planner.Config{
 		Origin:             e.name,
 		Request:            r.id,
-		Stages:             r.kind.stages(),
-		PieceCounts:        r.counts,
+		Stages:             r.kind.routeStages(),
+		PieceCounts:        r.pieceCounts,
 		Key:                "key",
 		Priority:           int(r.kind.Priority),
 		Account:            "account",
-		Due:                r.began.Add(millis(r.kind.ObjectiveMillis)),
-		FirstEventDeadline: r.began.Add(millis(r.kind.PatienceMillis)),
-		HomeZone:           e.selector.HomeZone(modelPool, r.parts, nil, r.w.now),
+		Due:                r.arrived.Add(millis(r.kind.ObjectiveMillis)),
+		FirstEventDeadline: r.arrived.Add(millis(r.kind.PatienceMillis)),
+		HomeZone:           e.selector.HomeZone(modelPool, r.parts, nil, r.sim.now),
 		ModelTime:          e.selector.PredictFirstEvent(modelPool, r.parts),
-		Off:                r.w.off,
+		Off:                r.sim.off,
 	})
-	if service, over := r.plan.Overloaded(e, r.w.now); over {
+	if service, overloaded := r.plan.Overloaded(e, r.sim.now); overloaded {
 		r.refuse(service)
 		return
 	}
 	id := r.id
-	r.w.after(r.plan.LatestModelStart().Sub(r.w.now), func() {
+	r.sim.schedule(r.plan.LatestModelStart().Sub(r.sim.now), func() {
 		if r.id == id && !r.ended && !r.plan.Done() {
 			r.refuse("")
 		}
 	})
-	r.goOn()
+	r.advance()
 }
 
-// goOn asks for the stages whose turn it is, or has the model run the request.
-func (r *request) goOn() {
+// advance starts the stages that are ready, or runs the model once all stages are done.
+func (r *request) advance() {
 	if r.ended {
 		return
 	}
 	if r.plan.Done() {
-		r.run()
+		r.runModel()
 		return
 	}
-	next, again := r.plan.Next(r.entry, r.w.now)
+	next, recheck := r.plan.Next(r.entry, r.sim.now)
 	for _, stage := range next {
-		g := r.plan.StartStage(stage, r.entry, r.w.now)
+		g := r.plan.StartStage(stage, r.entry, r.sim.now)
 		service := r.plan.Service(stage)
-		collecting := r.w.owner(service)
-		r.w.after(r.entry.wayTo(collecting), func() { collecting.reduce(service, collector.GroupArrived{Group: g}) })
+		collecting := r.sim.collectorFor(service)
+		r.sim.schedule(r.entry.latencyTo(collecting), func() { collecting.reduce(service, collector.GroupArrived{Group: g}) })
 	}
-	if again {
+	if recheck {
 		id := r.id
-		r.w.after(planner.RecheckInterval, func() {
+		r.sim.schedule(planner.RecheckInterval, func() {
 			if r.id == id {
-				r.goOn()
+				r.advance()
 			}
 		})
 	}
 }
 
-// took takes a piece's result, or the reason why there is none.
-func (r *request) took(d collector.Deliver) {
+// addResult records a piece's result. A failed piece ends the attempt unless its lost inputs can be recomputed.
+func (r *request) addResult(d collector.Deliver) {
 	switch {
 	case d.Result.Handle != "":
-		r.w.freeAll(r.plan.AddResult(d.ID.Stage, d))
-	case d.Result.Reason == collector.InputGone && r.remake(d.ID.Stage):
+		r.sim.releaseResults(r.plan.AddResult(d.ID.Stage, d))
+	case d.Result.Reason == collector.InputGone && r.recomputeInputs(d.ID.Stage):
 	default:
 		r.refuse(r.plan.Service(d.ID.Stage))
 		return
 	}
-	r.goOn()
+	r.advance()
 }
 
-func (r *request) remake(stage int) bool {
-	ended, freed, again := r.plan.RecomputeInputs(stage)
-	if !again {
+func (r *request) recomputeInputs(stage int) bool {
+	ended, freed, ok := r.plan.RecomputeInputs(stage)
+	if !ok {
 		return false
 	}
-	r.w.freeAll(freed)
+	r.sim.releaseResults(freed)
 	for _, i := range ended {
-		r.withdraw(i)
+		r.withdrawGroup(i)
 	}
 	return true
 }
 
-func (r *request) withdraw(stage int) {
+func (r *request) withdrawGroup(stage int) {
 	service := r.plan.Service(stage)
 	id := collector.GroupID{Origin: r.entry.name, Request: r.id, Stage: stage}
-	r.w.owner(service).reduce(service, collector.GroupWithdrawn{ID: id})
+	r.sim.collectorFor(service).reduce(service, collector.GroupWithdrawn{ID: id})
 }
 
-// run chooses a model engine and follows its answer.
-func (r *request) run() {
+// runModel chooses a model engine and simulates its answer.
+func (r *request) runModel() {
 	r.ended = true
-	ask := selector.Query{Service: modelPool, Parts: r.parts, ZoneBytes: r.plan.InputBytesByZone(), Exclude: r.refusedBy}
-	choice, found := r.entry.selector.Choose(ask, r.w.now)
-	if !found {
+	query := selector.Query{Service: modelPool, Parts: r.parts, ZoneBytes: r.plan.InputBytesByZone(), Exclude: r.refusedBy}
+	choice, ok := r.entry.selector.Choose(query, r.sim.now)
+	if !ok {
 		r.stats.Failed++
 		return
 	}
-	r.entry.selector.RecordStart(choice, r.parts, r.w.now)
-	engine := r.w.engines[choice.Endpoint.ID]
+	r.entry.selector.RecordStart(choice, r.parts, r.sim.now)
+	engine := r.sim.engines[choice.Endpoint.ID]
 	for zone, bytes := range r.plan.InputBytesByZone() {
-		r.w.cross(zone, engine.zone, bytes)
+		r.sim.recordTransfer(zone, engine.zone, bytes)
 	}
-	sent := r.w.now
-	way := r.w.way(r.entry.zone, engine.zone)
+	sent := r.sim.now
+	latency := r.sim.latency(r.entry.zone, engine.zone)
 	e := r.entry
-	if engine.gone {
-		e.selector.RecordEnd(choice, ejector.Down, r.w.now)
-		r.run()
+	if engine.down {
+		e.selector.RecordEnd(choice, ejector.Down, r.sim.now)
+		r.runModel()
 		return
 	}
-	if after, short := r.plan.FinalFetchDelay(e); short {
-		r.w.after(way+after, func() { r.w.freeAll(r.plan.FreeFinalResults()) })
+	if delay, spaceShort := r.plan.FinalFetchDelay(e); spaceShort {
+		r.sim.schedule(latency+delay, func() { r.sim.releaseResults(r.plan.FreeFinalResults()) })
 	}
-	r.w.after(way, func() {
+	r.sim.schedule(latency, func() {
 		if engine.refuses {
 			r.refusedBy = append(r.refusedBy, engine.id)
-			e.selector.RecordRefusal(choice, r.w.now)
-			e.regulator.ApplyNotice(&choice.Endpoint, engine.notice, r.w.now)
-			r.run()
+			e.selector.RecordRefusal(choice, r.sim.now)
+			e.regulator.ApplyNotice(&choice.Endpoint, engine.notice, r.sim.now)
+			r.runModel()
 			return
 		}
-		engine.take(r, func() {
-			e.regulator.ApplyNotice(&choice.Endpoint, engine.notice, r.w.now)
-			e.selector.ObserveFirstEvent(choice, r.w.now.Sub(sent))
+		engine.start(r, func() {
+			e.regulator.ApplyNotice(&choice.Endpoint, engine.notice, r.sim.now)
+			e.selector.ObserveFirstEvent(choice, r.sim.now.Sub(sent))
 			e.selector.RecordPromptRead(&choice)
-			r.w.freeAll(r.plan.FreeFinalResults())
-			r.answered()
-		}, func() { e.selector.RecordEnd(choice, ejector.Good, r.w.now) })
+			r.sim.releaseResults(r.plan.FreeFinalResults())
+			r.recordFirstEvent()
+		}, func() { e.selector.RecordEnd(choice, ejector.Good, r.sim.now) })
 	})
 }
 
-// answered counts the first event.
-func (r *request) answered() {
-	took := r.w.now.Sub(r.began)
-	r.stats.record(took)
-	if took <= millis(r.kind.ObjectiveMillis) {
+// recordFirstEvent counts the request as on time or late.
+func (r *request) recordFirstEvent() {
+	elapsed := r.sim.now.Sub(r.arrived)
+	r.stats.record(elapsed)
+	if elapsed <= millis(r.kind.ObjectiveMillis) {
 		r.stats.OnTime++
 		return
 	}
 	r.stats.Late++
 }
 
-// refuse ends the try. The caller comes back once, if a third of its patience lasts for that.
+// refuse ends the attempt. The caller retries once, if the retry delay is at most a third of its remaining patience.
 func (r *request) refuse(service string) {
 	r.ended = true
-	r.w.freeAll(r.plan.FreeAll())
+	r.sim.releaseResults(r.plan.FreeAll())
 	for i := range r.kind.Stages {
-		r.withdraw(i)
+		r.withdrawGroup(i)
 	}
-	after := planner.RetryAfter(r.entry.Load(service), r.w.random.Float64())
-	left := r.began.Add(millis(r.kind.PatienceMillis)).Sub(r.w.now)
-	if r.attempts > 1 || after > left/3 {
+	delay := planner.RetryAfter(r.entry.Load(service), r.sim.random.Float64())
+	remaining := r.arrived.Add(millis(r.kind.PatienceMillis)).Sub(r.sim.now)
+	if r.attempts > 1 || delay > remaining/3 {
 		r.stats.Refused++
 		return
 	}
-	r.w.after(after, r.attempt)
+	r.sim.schedule(delay, r.attempt)
 }
--- a/experimenter/result.go
+++ b/experimenter/result.go
@@ -8,35 +8,35 @@
 	"geraniumline/switcher"
 )
 
-// KindResult is what became of a kind's requests.
+// KindResult counts the outcomes of a kind's requests.
 type KindResult struct {
 	Name     string `json:"name"`
 	Requests int    `json:"asked"`
 	OnTime   int    `json:"onTime"`
 	Late     int    `json:"late"`
 	Refused  int    `json:"refused"`
-	// Failed found no model engine, or were lost with their entry.
+	// Failed is the number of requests that found no model engine or were lost when their entry failed.
 	Failed int `json:"failed"`
-	// P50Millis and P99Millis are the times to the first event.
+	// P50Millis and P99Millis are percentiles of the time to the first event.
 	P50Millis int64 `json:"p50Millis"`
 	P99Millis int64 `json:"p99Millis"`
 
-	times *hdrhistogram.Histogram
+	firstEventTimes *hdrhistogram.Histogram
 }
 
-// The histogram's bounds: a millisecond to ten minutes, in three figures.
+// The histogram covers a millisecond to ten minutes with three significant figures.
 const (
-	leastTime   = 1
-	longestTime = 600_000
-	figures     = 3
+	minTimeMillis      = 1
+	maxTimeMillis      = 600_000
+	significantFigures = 3
 )
 
-func (k *KindResult) record(took time.Duration) {
-	// An error means a time beyond the bounds, which no patience reaches.
-	_ = k.times.RecordValue(max(leastTime, took.Milliseconds()))
+func (k *KindResult) record(elapsed time.Duration) {
+	// RecordValue fails only for times above the bound, and callers leave before that.
+	_ = k.firstEventTimes.RecordValue(max(minTimeMillis, elapsed.Milliseconds()))
 }
 
-// PoolResult is what a pool of endpoints did.
+// PoolResult counts the work of a pool of endpoints.
 type PoolResult struct {
 	Name          string  `json:"name"`
 	Calls         int     `json:"calls"`
@@ -47,17 +47,17 @@
 	BusySeconds   float64 `json:"busySeconds"`
 }
 
-// Result is what one run brought.
+// Result is the outcome of one run.
 type Result struct {
 	Scenario string        `json:"scenario"`
 	Seed     uint64        `json:"seed"`
 	Disabled []string      `json:"without"`
 	Kinds    []*KindResult `json:"kinds"`
 	Pools    []*PoolResult `json:"pools"`
-	// Earned is the worth earned of what all requests on time would be worth.
+	// Earned is the worth of all answers as a share of the worth if every request were answered on time.
 	Earned float64 `json:"earned"`
-	// ZoneBytes are results that crossed availability zones, SharedTokensRead the tokens of shared prompt parts that
-	// engines read, ResultsUnused the results that came for nobody.
+	// ZoneBytes is the size of results that were transferred between availability zones, SharedTokensRead the number of tokens
+	// of shared prompt parts that engines read, and ResultsUnused the number of results whose request had already ended.
 	ZoneBytes        int64 `json:"zoneBytes"`
 	SharedTokensRead int64 `json:"sharedTokensRead"`
 	ResultsUnused    int   `json:"resultsUnused"`
@@ -66,7 +66,7 @@
 func newResult(s *Scenario, seed uint64, off switcher.Disabled) *Result {
 	r := &Result{Scenario: s.Name, Seed: seed, Disabled: off.Names()}
 	for _, k := range s.Kinds {
-		r.Kinds = append(r.Kinds, &KindResult{Name: k.Name, times: hdrhistogram.New(leastTime, longestTime, figures)})
+		r.Kinds = append(r.Kinds, &KindResult{Name: k.Name, firstEventTimes: hdrhistogram.New(minTimeMillis, maxTimeMillis, significantFigures)})
 	}
 	for _, p := range s.Pools {
 		r.Pools = append(r.Pools, &PoolResult{Name: p.Name})
@@ -75,15 +75,15 @@
 }
 
 func (r *Result) finish(s *Scenario) {
-	earned, owed := 0.0, 0.0
+	earned, possible := 0.0, 0.0
 	for i, k := range r.Kinds {
-		k.P50Millis = k.times.ValueAtQuantile(50)
-		k.P99Millis = k.times.ValueAtQuantile(99)
+		k.P50Millis = k.firstEventTimes.ValueAtQuantile(50)
+		k.P99Millis = k.firstEventTimes.ValueAtQuantile(99)
 		k.Failed += k.Requests - k.OnTime - k.Late - k.Refused - k.Failed
 		earned += float64(int64(k.OnTime)*s.Kinds[i].Worth + int64(k.Late)*s.Kinds[i].LateWorth)
-		owed += float64(int64(k.Requests) * s.Kinds[i].Worth)
+		possible += float64(int64(k.Requests) * s.Kinds[i].Worth)
 	}
-	if owed > 0 {
-		r.Earned = earned / owed
+	if possible > 0 {
+		r.Earned = earned / possible
 	}
 }
--- a/experimenter/scenario.go
+++ b/experimenter/scenario.go
@@ -1,7 +1,7 @@
-// Package experimenter plays loads and faults on a model of a deployment in model time, with the packages that decide in the
-// product itself: planner, collector, selector, ejector. One seed gives the same run again, byte for byte. It tells what a
-// policy does on hundreds of seeds in the time of one run of real processes; what is claimed of a deployment still comes
-// from runs of real processes.
+// Package experimenter simulates a deployment under load and faults in virtual time. Decisions are made by the packages that
+// the product itself uses: planner, collector, selector and ejector. Runs with the same seed are identical, byte for byte.
+// The effect of a policy can be measured with hundreds of seeds in the time that one run of real processes takes. Claims about
+// a deployment are still based on runs of real processes.
 package experimenter
 
 import (
@@ -19,96 +19,101 @@
 	"geraniumline/loader"
 )
 
-// Scenario is a deployment with its load and its faults. Lengths of time are whole milliseconds unless the name says
-// otherwise, shares and factors are percents.
+// Scenario describes a deployment, its load and its faults. Durations are whole milliseconds unless the name says otherwise;
+// shares and factors are percentages.
 type Scenario struct {
-	// Name is the scenario's, Purpose what it is to show.
+	// Name identifies the scenario. Purpose describes what it is meant to show.
 	Name    string `json:"name" check:"label"`
 	Purpose string `json:"purpose"`
-	// Seconds is how long requests arrive.
+	// Seconds is the time during which requests arrive.
 	Seconds int64 `json:"seconds" min:"1" max:"600"`
-	// Entries are the entries, spread over the zones in turn; Zones how many availability zones there are.
+	// Entries is the number of entries, assigned to the zones round-robin. Zones is the number of availability zones.
 	Entries int64 `json:"entries" min:"1" max:"2400"`
 	Zones   int64 `json:"zones" min:"1" max:"10"`
-	// ZoneMicros is the way between zones, PeerMicros that between entries and to endpoints of a zone.
+	// PeerMicros is the one-way latency between entries, and to endpoints, of the same zone. ZoneMicros is added to it between
+	// zones.
 	ZoneMicros int64 `json:"zoneMicros" min:"0" max:"100000"`
 	PeerMicros int64 `json:"peerMicros" min:"1" max:"100000"`
-	// Model is the pool of model engines, Pools those of the stages.
+	// Model is the pool of model engines. Pools are the pools of endpoints for the stages.
 	Model Model  `json:"model"`
 	Pools []Pool `json:"pools"`
-	// Kinds are the kinds of request, Bursts and Faults what happens to them.
+	// Kinds are the kinds of requests. Bursts change their arrival rates, Faults impair endpoints and entries.
 	Kinds  []Kind  `json:"kinds"`
 	Bursts []Burst `json:"bursts"`
 	Faults []Fault `json:"faults"`
 }
 
-// Model is a pool of model engines.
+// Model describes the pool of model engines.
 type Model struct {
 	Endpoints int64 `json:"endpoints" min:"1" max:"10000"`
-	// Slots is how many requests an engine runs at a time.
+	// Slots is the number of requests that an engine runs concurrently.
 	Slots int64 `json:"slots" min:"1" max:"1024"`
-	// TokensPerMilli is how fast an engine reads prompts, StepMicros how long an event takes while one request runs.
+	// TokensPerMilli is the number of prompt tokens that an engine reads per millisecond. StepMicros is the time per event while
+	// one request runs.
 	TokensPerMilli int64 `json:"tokensEachMilli" min:"1" max:"100000"`
 	StepMicros     int64 `json:"stepMicros" min:"1" max:"1000000"`
-	// CacheTokens is the memory for shared prompt parts.
+	// CacheTokens is an engine's cache size for shared prompt parts, in tokens.
 	CacheTokens int64 `json:"keptTokens" min:"0" max:"100000000"`
 }
 
-// Pool is a pool of endpoints that work on stages.
+// Pool describes a pool of endpoints that process stages.
 type Pool struct {
 	Name      string `json:"name" check:"label"`
 	Endpoints int64  `json:"endpoints" min:"1" max:"10000"`
-	// Batch is the most pieces of a call, Queue how many calls may wait at an endpoint.
+	// Batch is the maximum number of pieces per call, Queue the maximum number of calls queued at an endpoint.
 	Batch int64 `json:"batch" min:"1" max:"4096"`
 	Queue int64 `json:"queue" min:"0" max:"1000"`
-	// CallOverheadMillis is what a call takes beside its pieces, PieceMicros what a piece adds.
+	// CallOverheadMillis is the fixed time per call. PieceMicros is added for each piece.
 	CallOverheadMillis int64 `json:"callMillis" min:"1" max:"100000"`
 	PieceMicros        int64 `json:"itemMicros" min:"0" max:"10000000"`
-	// ResultSpaceBytes is an endpoint's space for results, ResultTTLMillis how long one is kept that is not freed.
+	// ResultSpaceBytes is an endpoint's space for results. ResultTTLMillis is how long a result is kept if it is not freed.
 	ResultSpaceBytes int64 `json:"roomBytes" min:"0" max:"1000000000000"`
 	ResultTTLMillis  int64 `json:"resultMillis" min:"1" max:"3600000"`
 	LinkMbps         int64 `json:"linkMbps" min:"0" max:"1000000"`
-	// FailuresPerMille is how many of a thousand pieces fail.
+	// FailuresPerMille is the number of pieces per thousand that fail.
 	FailuresPerMille int64 `json:"failuresPerMille" min:"0" max:"1000"`
 }
 
-// Kind is a kind of request.
+// Kind describes one kind of request.
 type Kind struct {
 	Name string `json:"name" check:"label"`
-	// PerMinute is how many arrive in a minute.
+	// PerMinute is the mean number of arrivals per minute.
 	PerMinute int64 `json:"eachMinute" min:"0" max:"10000000"`
-	// ObjectiveMillis is when the first event is on time, PatienceMillis when the caller leaves without one.
+	// ObjectiveMillis is the time within which the first event is on time. PatienceMillis is the time after which a caller
+	// without a first event leaves.
 	ObjectiveMillis int64 `json:"objectiveMillis" min:"1" max:"600000"`
 	PatienceMillis  int64 `json:"patienceMillis" min:"1" max:"600000"`
-	// Worth and LateWorth are what an answer is worth on time and late, in hundredths.
+	// Worth and LateWorth are the value of an answer that is on time or late, in hundredths.
 	Worth     int64 `json:"worthPercent" min:"0" max:"100000"`
 	LateWorth int64 `json:"lateWorthPercent" min:"0" max:"100000"`
-	// Priority orders kinds, 0 first.
+	// Priority orders the kinds; 0 comes first.
 	Priority int64 `json:"priority" min:"0" max:"9"`
-	// SharedTokens are of the prompt's part that all requests of one of Subjects share, OwnTokens the request's own.
+	// SharedTokens is the length of the prompt part that all requests on the same subject share, OwnTokens the length of the
+	// request's own part. Subjects is the number of subjects.
 	SharedTokens int64 `json:"sharedTokens" min:"0" max:"1000000"`
 	OwnTokens    int64 `json:"ownTokens" min:"1" max:"1000000"`
 	Subjects     int64 `json:"subjects" min:"1" max:"1000000"`
-	// Events is how many events an answer has.
+	// Events is the number of events in an answer.
 	Events int64   `json:"events" min:"1" max:"100000"`
 	Stages []Stage `json:"stages"`
 }
 
-// Stage is one stage of a kind.
+// Stage describes one stage of a request kind.
 type Stage struct {
 	Pool string `json:"pool" check:"label"`
-	// DependsOn are the stages whose results it takes.
+	// DependsOn lists the indexes of the stages whose results are inputs of this stage.
 	DependsOn []int64 `json:"after"`
-	// Pieces is the mean number of pieces, SpreadPercent how far it varies, SharePercent how many requests have it.
+	// Pieces is the mean number of pieces, SpreadPercent its maximum deviation in both directions, and SharePercent the share
+	// of requests that have the stage.
 	Pieces        int64 `json:"pieces" min:"1" max:"1000"`
 	SpreadPercent int64 `json:"spreadPercent" min:"0" max:"100"`
 	SharePercent  int64 `json:"sharePercent" min:"1" max:"100"`
-	// ResultBytes is the size of a result, WorkPercent a piece's work as a share of its pool's usual one.
+	// ResultBytes is the size of a result. WorkPercent scales the time that a piece takes in its pool.
 	ResultBytes int64 `json:"resultBytes" min:"0" max:"1000000000"`
 	WorkPercent int64 `json:"workPercent" min:"1" max:"1000"`
 }
 
-// Burst multiplies arrivals for a while: of one kind, or of all where Kind is empty.
+// Burst scales the arrival rate of one kind, or of all kinds if Kind is empty, during an interval.
 type Burst struct {
 	Kind      string `json:"kind" check:"label,optional"`
 	AtMillis  int64  `json:"atMillis" min:"0" max:"600000"`
@@ -116,13 +121,13 @@
 	Percent   int64  `json:"percent" min:"1" max:"10000"`
 }
 
-// Fault is a fault for a while.
+// Fault impairs a share of the endpoints of a pool, or of the entries, during an interval.
 type Fault struct {
-	// Effect is gone (endpoints of Pool refuse connections), slow (they take longer by FactorPercent), refusing (they turn all
-	// away), resting (they ask for rest besides), limited (they name a limit of FactorPercent hundredths of a call a second) or
-	// entry (entries are gone, with all that they had under way).
+	// Effect is one of: gone (endpoints of Pool refuse connections), slow (their work takes FactorPercent of the usual time),
+	// refusing (they reject all calls), resting (they also ask for rest), limited (they announce a limit of FactorPercent
+	// hundredths of a call per second) or entry (entries fail and lose all work in progress).
 	Effect string `json:"what" check:"label"`
-	// Pool is that of the endpoints; "model" is the model engines'.
+	// Pool is the name of the endpoints' pool; "model" stands for the model engines.
 	Pool          string `json:"pool" check:"label,optional"`
 	AtMillis      int64  `json:"atMillis" min:"0" max:"600000"`
 	ForMillis     int64  `json:"forMillis" min:"1" max:"600000"`
@@ -130,25 +135,25 @@
 	FactorPercent int64  `json:"factorPercent" min:"0" max:"10000"`
 }
 
-// The kinds of fault, and the name of the model engines' pool.
+// The effects of faults, and the name of the model engines' pool.
 const (
-	gone      = "gone"
-	slow      = "slow"
-	refusing  = "refusing"
-	resting   = "resting"
-	limited   = "limited"
-	entryGone = "entry"
-	modelPool = "model"
+	faultUnreachable = "gone"
+	faultSlow        = "slow"
+	faultRefusing    = "refusing"
+	faultResting     = "resting"
+	faultLimited     = "limited"
+	faultEntryLost   = "entry"
+	modelPool        = "model"
 )
 
-// ReferenceError tells of a name in a scenario that is none's.
+// ReferenceError reports a name in a scenario that refers to nothing.
 type ReferenceError struct{ Field, Name string }
 
 func (e *ReferenceError) Error() string {
 	return fmt.Sprintf("%s: nothing is named %q", e.Field, e.Name)
 }
 
-// ParseScenario reads a scenario. It fails with a *loader.FaultsError or a *ReferenceError.
+// ParseScenario decodes and checks a scenario. It returns a *loader.FaultsError or a *ReferenceError if src is invalid.
 func ParseScenario(src []byte) (Scenario, error) {
 	var s Scenario
 	if err := loader.Decode(src, &s); err != nil {
@@ -158,17 +163,17 @@
 }
 
 func (s *Scenario) checkReferences() error {
-	pool := func(name string) bool {
+	poolExists := func(name string) bool {
 		return slices.ContainsFunc(s.Pools, func(p Pool) bool { return p.Name == name })
 	}
 	for i, k := range s.Kinds {
 		for j, stage := range k.Stages {
-			if !pool(stage.Pool) {
+			if !poolExists(stage.Pool) {
 				return &ReferenceError{Field: fmt.Sprintf("kinds[%d].stages[%d].pool", i, j), Name: stage.Pool}
 			}
-			for _, after := range stage.DependsOn {
-				if after < 0 || after >= int64(j) {
-					return &ReferenceError{Field: fmt.Sprintf("kinds[%d].stages[%d].after", i, j), Name: fmt.Sprint(after)}
+			for _, dependency := range stage.DependsOn {
+				if dependency < 0 || dependency >= int64(j) {
+					return &ReferenceError{Field: fmt.Sprintf("kinds[%d].stages[%d].after", i, j), Name: fmt.Sprint(dependency)}
 				}
 			}
 		}
@@ -179,10 +184,10 @@
 		}
 	}
 	for i, f := range s.Faults {
-		if !slices.Contains([]string{gone, slow, refusing, resting, limited, entryGone}, f.Effect) {
+		if !slices.Contains([]string{faultUnreachable, faultSlow, faultRefusing, faultResting, faultLimited, faultEntryLost}, f.Effect) {
 			return &ReferenceError{Field: fmt.Sprintf("faults[%d].what", i), Name: f.Effect}
 		}
-		if f.Effect != entryGone && f.Pool != modelPool && !pool(f.Pool) {
+		if f.Effect != faultEntryLost && f.Pool != modelPool && !poolExists(f.Pool) {
 			return &ReferenceError{Field: fmt.Sprintf("faults[%d].pool", i), Name: f.Pool}
 		}
 	}
@@ -190,20 +195,20 @@
 }
 
 //go:embed scenarios
-var shipped embed.FS
+var scenarioFiles embed.FS
 
-// UnknownScenarioError tells of a name that is no shipped scenario's.
+// UnknownScenarioError reports a name that no shipped scenario has.
 type UnknownScenarioError struct{ Name string }
 
 func (e *UnknownScenarioError) Error() string {
 	return fmt.Sprintf("no scenario is named %q; there are %s", e.Name, strings.Join(ScenarioNames(), ", "))
 }
 
-// ScenarioNames lists the names of the scenarios that come with the program.
+// ScenarioNames returns the names of the scenarios that are embedded in the program.
 func ScenarioNames() []string {
-	files, err := shipped.ReadDir("scenarios")
+	files, err := scenarioFiles.ReadDir("scenarios")
 	if err != nil {
-		panic(err) // embedded at the build
+		panic(err) // the directory is embedded at build time
 	}
 	names := make([]string, 0, len(files))
 	for _, f := range files {
@@ -212,16 +217,16 @@
 	return names
 }
 
-// ScenarioSource gives the text of a shipped scenario. It fails with a *UnknownScenarioError.
+// ScenarioSource returns the text of a shipped scenario, or an *UnknownScenarioError.
 func ScenarioSource(name string) ([]byte, error) {
-	src, err := shipped.ReadFile(path.Join("scenarios", path.Base(name)+".json"))
+	src, err := scenarioFiles.ReadFile(path.Join("scenarios", path.Base(name)+".json"))
 	if err != nil {
 		return nil, &UnknownScenarioError{Name: name}
 	}
 	return src, nil
 }
 
-// LoadScenario gives a shipped scenario. It fails with a *UnknownScenarioError.
+// LoadScenario returns a shipped scenario. It returns an *UnknownScenarioError if there is none of that name.
 func LoadScenario(name string) (Scenario, error) {
 	src, err := ScenarioSource(name)
 	if err != nil {
@@ -230,12 +235,13 @@
 	return ParseScenario(src)
 }
 
-// PatchError tells of a change that can't be made.
+// PatchError reports a change that can't be applied to a scenario.
 type PatchError struct{ Change, Reason string }
 
 func (e *PatchError) Error() string { return fmt.Sprintf("%q: %s", e.Change, e.Reason) }
 
-// PatchScenario sets whole numbers in the text of a scenario, each as in /pools/0/endpoints=7. It fails with a *PatchError.
+// PatchScenario sets integer fields in the text of a scenario. A change has the form /pools/0/endpoints=7. PatchScenario
+// returns a *PatchError if a change can't be applied.
 func PatchScenario(src []byte, changes []string) ([]byte, error) {
 	if len(changes) == 0 {
 		return src, nil
@@ -265,11 +271,11 @@
 
 func micros(n int64) time.Duration { return time.Duration(n) * time.Microsecond }
 
-// bytesPerMbit is how many bytes a megabit has.
+// bytesPerMbit is the number of bytes in a megabit.
 const bytesPerMbit = 1_000_000 / 8
 
-// stage says how the pool's endpoints take calls.
-func (p *Pool) stage() cataloger.StagePool {
+// stagePool returns the pool as the catalog describes it.
+func (p *Pool) stagePool() cataloger.StagePool {
 	return cataloger.StagePool{
 		Slots:              1,
 		Queue:              int(p.Queue),
@@ -282,13 +288,13 @@
 	}
 }
 
-// stages gives the kind's stages as a route has them.
-func (k *Kind) stages() []cataloger.Stage {
+// routeStages returns the kind's stages in the form that routes use.
+func (k *Kind) routeStages() []cataloger.Stage {
 	stages := make([]cataloger.Stage, len(k.Stages))
 	for i, s := range k.Stages {
 		stages[i] = cataloger.Stage{Service: s.Pool, ResultBytes: s.ResultBytes}
-		for _, after := range s.DependsOn {
-			stages[i].DependsOn = append(stages[i].DependsOn, int(after))
+		for _, dependency := range s.DependsOn {
+			stages[i].DependsOn = append(stages[i].DependsOn, int(dependency))
 		}
 	}
 	return stages
--- a/experimenter/world.go
+++ b/experimenter/world.go
@@ -15,290 +15,290 @@
 	"geraniumline/switcher"
 )
 
-// settleTime is how long after the last arrival a run goes on, for what is under way to end.
+// settleTime is how long a run continues after the last arrival so that requests in progress can end.
 const settleTime = 10 * time.Second
 
-// world is one run of a scenario.
-type world struct {
+// simulation is one run of a scenario.
+type simulation struct {
 	clock
-	scenario *Scenario
-	seed     uint64
-	off      switcher.Disabled
-	random   *rand.Rand
-	entries  []*entry
-	owners   map[string]*entry
-	pools    map[string]*poolModel
-	engines  map[string]*engine
-	order    []*engine
-	requests map[string]*request
-	results  map[string]*stored
-	result   *Result
+	scenario   *Scenario
+	seed       uint64
+	off        switcher.Disabled
+	random     *rand.Rand
+	entries    []*entry
+	collectors map[string]*entry
+	pools      map[string]*poolModel
+	engines    map[string]*engine
+	engineList []*engine
+	requests   map[string]*request
+	results    map[string]*storedResult
+	result     *Result
 
 	lastHandle  int
 	lastRequest int
 }
 
-// Run plays a scenario with a seed and without some mechanisms.
+// Run simulates a scenario with a seed. The mechanisms in off are disabled.
 func Run(s Scenario, seed uint64, off switcher.Disabled) *Result {
-	w := newWorld(s, seed, off)
-	for _, e := range w.entries {
-		// Entries beat and tick at different times, as processes that start one after the other do.
-		w.after(time.Duration(w.random.Int64N(int64(heartbeatEvery))), e.beat)
-		w.after(time.Duration(w.random.Int64N(int64(tickEvery))), e.tick)
+	sim := newSimulation(s, seed, off)
+	for _, e := range sim.entries {
+		// The heartbeats and ticks of entries are staggered, as those of processes that start one after the other.
+		sim.schedule(time.Duration(sim.random.Int64N(int64(heartbeatInterval))), e.sendHeartbeat)
+		sim.schedule(time.Duration(sim.random.Int64N(int64(tickInterval))), e.tick)
 	}
 	for i := range s.Kinds {
-		w.after(0, func() { w.arrive(&s.Kinds[i], w.result.Kinds[i]) })
+		sim.schedule(0, func() { sim.startRequest(&s.Kinds[i], sim.result.Kinds[i]) })
 	}
 	for i := range s.Faults {
-		w.after(millis(s.Faults[i].AtMillis), func() { w.strike(&s.Faults[i]) })
+		sim.schedule(millis(s.Faults[i].AtMillis), func() { sim.applyFault(&s.Faults[i]) })
 	}
-	w.run(origin.Add(time.Duration(s.Seconds)*time.Second + settleTime))
-	w.result.finish(&s)
-	return w.result
+	sim.runUntil(origin.Add(time.Duration(s.Seconds)*time.Second + settleTime))
+	sim.result.finish(&s)
+	return sim.result
 }
 
-func newWorld(s Scenario, seed uint64, off switcher.Disabled) *world {
-	w := &world{
-		clock:    clock{now: origin},
-		scenario: &s,
-		seed:     seed,
-		off:      off,
-		random:   rand.New(rand.NewPCG(seed, 1)),
-		owners:   make(map[string]*entry),
-		pools:    make(map[string]*poolModel),
-		engines:  make(map[string]*engine),
-		requests: make(map[string]*request),
-		results:  make(map[string]*stored),
-		result:   newResult(&s, seed, off),
+func newSimulation(s Scenario, seed uint64, off switcher.Disabled) *simulation {
+	sim := &simulation{
+		clock:      clock{now: origin},
+		scenario:   &s,
+		seed:       seed,
+		off:        off,
+		random:     rand.New(rand.NewPCG(seed, 1)),
+		collectors: make(map[string]*entry),
+		pools:      make(map[string]*poolModel),
+		engines:    make(map[string]*engine),
+		requests:   make(map[string]*request),
+		results:    make(map[string]*storedResult),
+		result:     newResult(&s, seed, off),
 	}
 	for i := range s.Pools {
-		w.addPool(&s.Pools[i], w.result.Pools[i])
+		sim.addPool(&s.Pools[i], sim.result.Pools[i])
 	}
 	for i := range s.Model.Endpoints {
-		e := &engine{w: w, id: fmt.Sprintf("engine-%d", i), zone: w.zone(i)}
-		w.engines[e.id] = e
-		w.order = append(w.order, e)
+		e := &engine{sim: sim, id: fmt.Sprintf("engine-%d", i), zone: sim.zone(i)}
+		sim.engines[e.id] = e
+		sim.engineList = append(sim.engineList, e)
 	}
 	for i := range s.Entries {
 		name := fmt.Sprintf("entry-%d", i)
 		reg := regulator.New(regulator.Config{Self: name})
-		w.entries = append(w.entries, &entry{
-			w: w, name: name, zone: w.zone(i), selector: newSelector(w, int(i), reg), regulator: reg,
+		sim.entries = append(sim.entries, &entry{
+			sim: sim, name: name, zone: sim.zone(i), selector: newSelector(sim, int(i), reg), regulator: reg,
 			pools: make(map[string]*collector.Pool), loads: make(map[string]planner.Load),
 		})
 	}
-	w.tellLive()
-	return w
+	sim.updateLiveEntries()
+	return sim
 }
 
-// tellLive tells all entries which of them live.
-func (w *world) tellLive() {
+// updateLiveEntries passes the names of the running entries to all entries.
+func (sim *simulation) updateLiveEntries() {
 	var live []string
-	for _, e := range w.entries {
-		if !e.gone {
+	for _, e := range sim.entries {
+		if !e.down {
 			live = append(live, e.name)
 		}
 	}
 	slices.Sort(live)
-	for _, e := range w.entries {
+	for _, e := range sim.entries {
 		e.regulator.SetEntries(live)
 	}
 }
 
-func (w *world) addPool(cfg *Pool, result *PoolResult) {
-	p := &poolModel{cfg: cfg, stage: cfg.stage(), byAddr: make(map[string]*maker), result: result}
+func (sim *simulation) addPool(cfg *Pool, result *PoolResult) {
+	p := &poolModel{cfg: cfg, stage: cfg.stagePool(), byAddr: make(map[string]*stageEndpoint), result: result}
 	for i := range cfg.Endpoints {
-		m := &maker{w: w, pool: p, id: fmt.Sprintf("%s-%d", cfg.Name, i), zone: w.zone(i)}
-		p.makers = append(p.makers, m)
+		m := &stageEndpoint{sim: sim, pool: p, id: fmt.Sprintf("%s-%d", cfg.Name, i), zone: sim.zone(i)}
+		p.endpoints = append(p.endpoints, m)
 		p.byAddr[m.id] = m
 	}
-	w.pools[cfg.Name] = p
+	sim.pools[cfg.Name] = p
 }
 
-func (w *world) zone(n int64) string { return fmt.Sprintf("zone-%d", n%w.scenario.Zones) }
+func (sim *simulation) zone(n int64) string { return fmt.Sprintf("zone-%d", n%sim.scenario.Zones) }
 
-// way is the time from one zone to another.
-func (w *world) way(from, to string) time.Duration {
+// latency returns the one-way latency from one zone to another, or within a zone.
+func (sim *simulation) latency(from, to string) time.Duration {
 	if from == to {
-		return micros(w.scenario.PeerMicros)
+		return micros(sim.scenario.PeerMicros)
 	}
-	return micros(w.scenario.PeerMicros + w.scenario.ZoneMicros)
+	return micros(sim.scenario.PeerMicros + sim.scenario.ZoneMicros)
 }
 
-// cross counts results that cross zones.
-func (w *world) cross(from, to string, bytes int64) {
+// recordTransfer counts bytes of results that are transferred between zones.
+func (sim *simulation) recordTransfer(from, to string, bytes int64) {
 	if from != to {
-		w.result.ZoneBytes += bytes
+		sim.result.ZoneBytes += bytes
 	}
 }
 
-// endpointsOf lists the endpoints of a pool as entries know them.
-func (w *world) endpointsOf(service string) []registrar.Endpoint {
+// endpointsOf returns the endpoints of a service in the form that entries use.
+func (sim *simulation) endpointsOf(service string) []registrar.Endpoint {
 	var list []registrar.Endpoint
 	if service == modelPool {
-		for _, e := range w.order {
+		for _, e := range sim.engineList {
 			list = append(list, registrar.Endpoint{ID: e.id, Service: modelPool, Address: e.id, Zone: e.zone})
 		}
 		return list
 	}
-	for _, m := range w.pools[service].makers {
+	for _, m := range sim.pools[service].endpoints {
 		list = append(list, registrar.Endpoint{ID: m.id, Service: service, Address: m.id, Zone: m.zone})
 	}
 	return list
 }
 
-// arrive begins a request of a kind and plans the next one.
-func (w *world) arrive(k *Kind, stats *KindResult) {
+// startRequest starts a request of a kind and schedules the next one.
+func (sim *simulation) startRequest(k *Kind, stats *KindResult) {
 	rate := float64(k.PerMinute) / 60
-	for _, b := range w.scenario.Bursts {
-		since := w.now.Sub(origin) - millis(b.AtMillis)
-		if (b.Kind == "" || b.Kind == k.Name) && since >= 0 && since < millis(b.ForMillis) {
+	for _, b := range sim.scenario.Bursts {
+		elapsed := sim.now.Sub(origin) - millis(b.AtMillis)
+		if (b.Kind == "" || b.Kind == k.Name) && elapsed >= 0 && elapsed < millis(b.ForMillis) {
 			rate *= float64(b.Percent) / 100
 		}
 	}
-	if w.now.Sub(origin) >= time.Duration(w.scenario.Seconds)*time.Second || rate <= 0 {
+	if sim.now.Sub(origin) >= time.Duration(sim.scenario.Seconds)*time.Second || rate <= 0 {
 		return
 	}
-	w.lastRequest++
+	sim.lastRequest++
 	r := &request{
-		w: w, kind: k, stats: stats, id: fmt.Sprint(w.lastRequest), began: w.now,
-		subject: hasher.Mix(uint64(w.random.Int64N(k.Subjects)) ^ uint64(len(k.Name))<<32 ^ uint64(k.OwnTokens)),
+		sim: sim, kind: k, stats: stats, id: fmt.Sprint(sim.lastRequest), arrived: sim.now,
+		subject: hasher.Mix(uint64(sim.random.Int64N(k.Subjects)) ^ uint64(len(k.Name))<<32 ^ uint64(k.OwnTokens)),
 	}
 	r.parts = []selector.Part{
 		{ID: r.subject, Tokens: int(k.SharedTokens)},
-		{ID: hasher.Mix(uint64(w.lastRequest)), Tokens: int(k.OwnTokens)},
+		{ID: hasher.Mix(uint64(sim.lastRequest)), Tokens: int(k.OwnTokens)},
 	}
 	for _, stage := range k.Stages {
-		r.counts = append(r.counts, w.pieces(&stage))
+		r.pieceCounts = append(r.pieceCounts, sim.drawPieceCount(&stage))
 	}
 	stats.Requests++
 	r.attempt()
-	w.after(time.Duration(w.random.ExpFloat64()/rate*float64(time.Second)), func() { w.arrive(k, stats) })
+	sim.schedule(time.Duration(sim.random.ExpFloat64()/rate*float64(time.Second)), func() { sim.startRequest(k, stats) })
 }
 
-// pieces draws the number of pieces of a stage.
-func (w *world) pieces(s *Stage) int {
-	if w.random.Int64N(100) >= s.SharePercent {
+// drawPieceCount returns a random number of pieces for a stage.
+func (sim *simulation) drawPieceCount(s *Stage) int {
+	if sim.random.Int64N(100) >= s.SharePercent {
 		return 0
 	}
 	spread := float64(s.SpreadPercent) / 100
-	n := float64(s.Pieces) * (1 + spread*(2*w.random.Float64()-1))
+	n := float64(s.Pieces) * (1 + spread*(2*sim.random.Float64()-1))
 	return max(1, int(n+0.5))
 }
 
-func (w *world) anyEntry() *entry {
-	live := slices.DeleteFunc(slices.Clone(w.entries), func(e *entry) bool { return e.gone })
-	return live[w.random.IntN(len(live))]
+func (sim *simulation) randomEntry() *entry {
+	live := slices.DeleteFunc(slices.Clone(sim.entries), func(e *entry) bool { return e.down })
+	return live[sim.random.IntN(len(live))]
 }
 
-// deliver hands a piece's result to its request. One that nobody waits for is freed.
-func (w *world) deliver(service string, d collector.Deliver) {
-	r, known := w.requests[d.ID.Request]
-	if known && !r.ended && r.id == d.ID.Request {
-		r.took(d)
+// deliver passes a piece's result to its request. The result is released if the request has ended.
+func (sim *simulation) deliver(service string, d collector.Deliver) {
+	r, ok := sim.requests[d.ID.Request]
+	if ok && !r.ended && r.id == d.ID.Request {
+		r.addResult(d)
 		return
 	}
 	if d.Result.Handle != "" {
-		w.result.ResultsUnused++
-		w.freeAll([]planner.ReleasedResults{{Service: service, Results: []collector.ResultRef{{Handle: d.Result.Handle, Address: d.Address}}}})
+		sim.result.ResultsUnused++
+		sim.releaseResults([]planner.ReleasedResults{{Service: service, Results: []collector.ResultRef{{Handle: d.Result.Handle, Address: d.Address}}}})
 	}
 }
 
-func (w *world) inputsRead(id collector.GroupID) {
-	if r, known := w.requests[id.Request]; known && !r.ended && r.id == id.Request {
-		w.freeAll(r.plan.InputsFetched(id.Stage, r.entry))
+func (sim *simulation) inputsFetched(id collector.GroupID) {
+	if r, ok := sim.requests[id.Request]; ok && !r.ended && r.id == id.Request {
+		sim.releaseResults(r.plan.InputsFetched(id.Stage, r.entry))
 	}
 }
 
-// freeAll gives results back by the entry that collects for their service.
-func (w *world) freeAll(freed []planner.ReleasedResults) {
+// releaseResults releases results through the entries that collect for their services.
+func (sim *simulation) releaseResults(freed []planner.ReleasedResults) {
 	for _, f := range freed {
-		w.owner(f.Service).reduce(f.Service, collector.ResultsReleased{Results: f.Results})
+		sim.collectorFor(f.Service).reduce(f.Service, collector.ResultsReleased{Results: f.Results})
 	}
 }
 
-// free gives a result's space back.
-func (w *world) free(handle string) {
-	if r, known := w.results[handle]; known && !r.freed {
+// freeResult frees the space of a result.
+func (sim *simulation) freeResult(handle string) {
+	if r, ok := sim.results[handle]; ok && !r.freed {
 		r.freed = true
-		r.maker.used -= r.bytes
-		delete(w.results, handle)
+		r.endpoint.usedBytes -= r.bytes
+		delete(sim.results, handle)
 	}
 }
 
-// strike begins a fault and plans its end. One endpoint or entry at least stays sound.
-func (w *world) strike(f *Fault) {
-	var struck []*condition
+// applyFault starts a fault and schedules its end. At least one endpoint or entry is not affected if there are several.
+func (sim *simulation) applyFault(f *Fault) {
+	var affected []*faultState
 	switch {
-	case f.Effect == entryGone:
-		w.strikeEntries(f)
+	case f.Effect == faultEntryLost:
+		sim.failEntries(f)
 		return
 	case f.Pool == modelPool:
-		for _, e := range w.order {
-			struck = append(struck, &e.condition)
+		for _, e := range sim.engineList {
+			affected = append(affected, &e.faultState)
 		}
 	default:
-		for _, m := range w.pools[f.Pool].makers {
-			struck = append(struck, &m.condition)
+		for _, m := range sim.pools[f.Pool].endpoints {
+			affected = append(affected, &m.faultState)
 		}
 	}
-	w.random.Shuffle(len(struck), func(i, j int) { struck[i], struck[j] = struck[j], struck[i] })
-	struck = struck[:shareOf(len(struck), f.SharePercent)]
-	for _, c := range struck {
-		c.strike(f)
+	sim.random.Shuffle(len(affected), func(i, j int) { affected[i], affected[j] = affected[j], affected[i] })
+	affected = affected[:affectedCount(len(affected), f.SharePercent)]
+	for _, c := range affected {
+		c.apply(f)
 	}
-	w.after(millis(f.ForMillis), func() {
-		for _, c := range struck {
-			*c = condition{}
+	sim.schedule(millis(f.ForMillis), func() {
+		for _, c := range affected {
+			*c = faultState{}
 		}
 	})
 }
 
-// strikeEntries ends entries. What they had under way is lost with them.
-func (w *world) strikeEntries(f *Fault) {
-	struck := slices.Clone(w.entries)
-	w.random.Shuffle(len(struck), func(i, j int) { struck[i], struck[j] = struck[j], struck[i] })
-	struck = struck[:shareOf(len(struck), f.SharePercent)]
-	for _, e := range struck {
-		e.gone = true
+// failEntries stops a share of the entries until the fault ends. Their work in progress is lost.
+func (sim *simulation) failEntries(f *Fault) {
+	affected := slices.Clone(sim.entries)
+	sim.random.Shuffle(len(affected), func(i, j int) { affected[i], affected[j] = affected[j], affected[i] })
+	affected = affected[:affectedCount(len(affected), f.SharePercent)]
+	for _, e := range affected {
+		e.down = true
 		clear(e.pools)
 	}
-	w.tellLive()
-	for _, e := range w.entries {
-		for _, lost := range struck {
-			for _, pool := range w.scenario.Pools {
-				if _, collects := e.pools[pool.Name]; collects {
+	sim.updateLiveEntries()
+	for _, e := range sim.entries {
+		for _, lost := range affected {
+			for _, pool := range sim.scenario.Pools {
+				if _, ok := e.pools[pool.Name]; ok {
 					e.reduce(pool.Name, collector.OriginLost{Origin: lost.name})
 				}
 			}
 		}
 	}
-	w.after(millis(f.ForMillis), func() {
-		for _, e := range struck {
-			e.gone = false
+	sim.schedule(millis(f.ForMillis), func() {
+		for _, e := range affected {
+			e.down = false
 		}
-		w.tellLive()
-		clear(w.owners)
+		sim.updateLiveEntries()
+		clear(sim.collectors)
 	})
 }
 
-// strike has a fault begin.
-func (c *condition) strike(f *Fault) {
+// apply sets the state that a fault causes.
+func (c *faultState) apply(f *Fault) {
 	switch f.Effect {
-	case gone:
-		c.gone = true
-	case slow:
-		c.factor = float64(f.FactorPercent) / 100
-	case refusing:
+	case faultUnreachable:
+		c.down = true
+	case faultSlow:
+		c.slowFactor = float64(f.FactorPercent) / 100
+	case faultRefusing:
 		c.refuses = true
-	case resting:
-		c.refuses, c.notice.Rest = true, modelRest
-	case limited:
+	case faultResting:
+		c.refuses, c.notice.Rest = true, restTime
+	case faultLimited:
 		c.notice.Limited, c.notice.PerSecond = true, float64(f.FactorPercent)/100
 	}
 }
 
-// modelRest is the time of rest that endpoints ask for.
-const modelRest = 3 * time.Second
+// restTime is how long resting endpoints ask not to be called.
+const restTime = 3 * time.Second
 
-func shareOf(n int, percent int64) int { return max(1, min(n-1, int(int64(n)*percent/100))) }
+func affectedCount(n int, percent int64) int { return max(1, min(n-1, int(int64(n)*percent/100))) }
