--- a/cmd/capacity/main.go
+++ b/cmd/capacity/main.go
@@ -1,4 +1,4 @@
-// Command capacity makes docs/CAPACITY.md from what sweeps of deployments have printed.
+// Command capacity generates docs/CAPACITY.md from the output of deployment sweeps.
 package main
 
 import (
@@ -29,12 +29,12 @@
 	}
 }
 
-// noSweepsError tells that no file was named.
+// noSweepsError reports that no sweep file was given.
 type noSweepsError struct{}
 
 func (noSweepsError) Error() string { return "name the files that hold the output of sweeps" }
 
-// pageMode lets everybody read the page.
+// pageMode makes the page readable by all users.
 const pageMode = 0o644
 
 func run(_ context.Context, cmd *cli.Command) error {
--- a/cmd/demo/main.go
+++ b/cmd/demo/main.go
@@ -1,4 +1,4 @@
-// Command demo shows the whole path on loopback, with every part a process of its own.
+// Command demo demonstrates the complete request path on loopback, with each part in its own process.
 package main
 
 import (
--- a/cmd/experiment/main.go
+++ b/cmd/experiment/main.go
@@ -1,5 +1,5 @@
-// Command experiment plays loads and faults on a model of a deployment, with the product's own deciders: what a policy is
-// worth, what each mechanism is, and what the stages allow at most.
+// Command experiment simulates load and faults on a model of a deployment, with the product's own decision code. It measures the
+// worth of a policy and of each mechanism, and computes the maximum that the stages allow.
 package main
 
 import (
@@ -19,7 +19,7 @@
 const (
 	exitFailed = 1
 	exitUsage  = 2
-	// defaultSeeds takes some seconds for the small scenarios.
+	// defaultSeeds completes the small scenarios within some seconds.
 	defaultSeeds = 20
 	maxSeeds     = 10_000
 )
@@ -31,7 +31,7 @@
 	}
 }
 
-// UsageError tells of bad input.
+// UsageError reports invalid command-line input.
 type UsageError struct{ Message string }
 
 func (e *UsageError) Error() string { return e.Message }
--- a/cmd/experiment/main_test.go
+++ b/cmd/experiment/main_test.go
@@ -11,7 +11,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-func call(t *testing.T, args ...string) (string, int) {
+func runCommand(t *testing.T, args ...string) (string, int) {
 	t.Helper()
 	var out bytes.Buffer
 	if err := command(&out, io.Discard).Run(t.Context(), append([]string{"experiment"}, args...)); err != nil {
@@ -20,18 +20,18 @@
 	return out.String(), 0
 }
 
-// One seed gives the same figures again: a change of policy shows in these files.
-func TestFigures(t *testing.T) {
+// Runs with the same seeds are identical, so a change of policy changes the golden files.
+func TestReportsMatchGoldenFiles(t *testing.T) {
 	for _, name := range []string{"threeStagesLost", "digests"} {
 		t.Run(name, func(t *testing.T) {
-			text, code := call(t, "run", name, "--seeds", "2")
+			text, code := runCommand(t, "run", name, "--seeds", "2")
 			require.Zero(t, code, text)
 			goldie.New(t).Assert(t, name, []byte(text))
 		})
 	}
 }
 
-func TestBadInputIsToldAndNothingIsWritten(t *testing.T) {
+func TestInvalidInputIsReportedAndNothingIsWritten(t *testing.T) {
 	dir := filepath.Join(t.TempDir(), "out")
 	file := filepath.Join(t.TempDir(), "wrong.json")
 	require.NoError(t, os.WriteFile(file, []byte(`{"name": "x", "colour": 1}`), 0o600))
@@ -52,7 +52,7 @@
 		{"one report", []string{"compare", "a.json"}, "two reports"},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
-			text, code := call(t, tc.args...)
+			text, code := runCommand(t, tc.args...)
 			require.Equal(t, exitUsage, code, text)
 			require.Contains(t, text, tc.want)
 			require.NoDirExists(t, dir)
@@ -63,25 +63,25 @@
 func TestReportsCanBeCompared(t *testing.T) {
 	a, b := t.TempDir(), t.TempDir()
 	for dir, without := range map[string]string{a: "zoneWait", b: "lateLast"} {
-		text, code := call(t, "run", "overCapacity", "--set", "seconds=8", "--seeds", "3", "--without", without, "--out", dir)
+		text, code := runCommand(t, "run", "overCapacity", "--set", "seconds=8", "--seeds", "3", "--without", without, "--out", dir)
 		require.Zero(t, code, text)
-		for _, end := range []string{".md", ".json", ".svg"} {
-			require.FileExists(t, filepath.Join(dir, "overCapacity"+end))
+		for _, extension := range []string{".md", ".json", ".svg"} {
+			require.FileExists(t, filepath.Join(dir, "overCapacity"+extension))
 		}
 	}
-	text, code := call(t, "compare", filepath.Join(a, "overCapacity.json"), filepath.Join(b, "overCapacity.json"))
+	text, code := runCommand(t, "compare", filepath.Join(a, "overCapacity.json"), filepath.Join(b, "overCapacity.json"))
 	require.Zero(t, code, text)
 	require.Contains(t, text, "seeds 3")
-	text, code = call(t, "compare", filepath.Join(a, "overCapacity.json"), filepath.Join(a, "overCapacity.json"))
+	text, code = runCommand(t, "compare", filepath.Join(a, "overCapacity.json"), filepath.Join(a, "overCapacity.json"))
 	require.Zero(t, code, text)
 	require.Contains(t, text, "difference +0.0000 +- 0.0000, won 0")
 }
 
-func TestBoundAndList(t *testing.T) {
-	text, code := call(t, "bound", "overCapacity")
+func TestBoundAndListCommands(t *testing.T) {
+	text, code := runCommand(t, "bound", "overCapacity")
 	require.Zero(t, code, text)
 	require.Contains(t, text, "the stages allow 0.")
-	text, code = call(t, "list")
+	text, code = runCommand(t, "list")
 	require.Zero(t, code, text)
 	require.Contains(t, text, "threeStages")
 	require.Contains(t, text, "zoneWait")
--- a/cmd/experiment/tool.go
+++ b/cmd/experiment/tool.go
@@ -15,19 +15,19 @@
 	"geraniumline/switcher"
 )
 
-// tool carries the commands out.
+// tool implements the commands. Results are written to out, progress to progress.
 type tool struct {
 	out, progress io.Writer
 }
 
-// print writes a part of the answer.
+// print writes formatted output to out.
 func (t *tool) print(format string, args ...any) error {
 	_, err := fmt.Fprintf(t.out, format, args...)
 	return err
 }
 
-// tell writes on progress, which nothing depends on.
-func (t *tool) tell(format string, args ...any) {
+// reportProgress writes to progress. Write errors are ignored because no result depends on it.
+func (t *tool) reportProgress(format string, args ...any) {
 	_, _ = fmt.Fprintf(t.progress, format, args...)
 }
 
@@ -49,8 +49,8 @@
 	return nil
 }
 
-// scenario finds a shipped scenario or reads a file, and changes it as --set says.
-func scenario(name string, changes []string) (experimenter.Scenario, error) {
+// loadScenario reads a scenario from a file or, if there is none, the shipped one, and applies the changes given with --set.
+func loadScenario(name string, changes []string) (experimenter.Scenario, error) {
 	src, err := os.ReadFile(name)
 	if errors.Is(err, os.ErrNotExist) {
 		src, err = experimenter.ScenarioSource(name)
@@ -64,7 +64,7 @@
 	return experimenter.ParseScenario(src)
 }
 
-func seedsOf(cmd *cli.Command) (int, error) {
+func seedCount(cmd *cli.Command) (int, error) {
 	n := cmd.Int("seeds")
 	if n < 1 || n > maxSeeds {
 		return 0, &UsageError{Message: fmt.Sprintf("--seeds is from 1 to %d", maxSeeds)}
@@ -72,13 +72,13 @@
 	return n, nil
 }
 
-// series plays a scenario and tells how far it is.
-func (t *tool) series(s experimenter.Scenario, n int, off switcher.Disabled) []*experimenter.Result {
+// runSeeds runs a scenario with n seeds and reports progress.
+func (t *tool) runSeeds(s experimenter.Scenario, n int, off switcher.Disabled) []*experimenter.Result {
 	var done atomic.Int64
 	results := experimenter.RunSeeds(s, n, off, func() {
-		t.tell("\r%s %s %d of %d ", s.Name, strings.Join(off.Names(), ","), done.Add(1), n)
+		t.reportProgress("\r%s %s %d of %d ", s.Name, strings.Join(off.Names(), ","), done.Add(1), n)
 	})
-	t.tell("\n")
+	t.reportProgress("\n")
 	return results
 }
 
@@ -86,7 +86,7 @@
 	if cmd.Args().Len() != 1 {
 		return &UsageError{Message: "run takes one scenario"}
 	}
-	s, err := scenario(cmd.Args().First(), cmd.StringSlice("set"))
+	s, err := loadScenario(cmd.Args().First(), cmd.StringSlice("set"))
 	if err != nil {
 		return err
 	}
@@ -94,12 +94,12 @@
 	if err != nil {
 		return err
 	}
-	n, err := seedsOf(cmd)
+	n, err := seedCount(cmd)
 	if err != nil {
 		return err
 	}
 	report := &experimenter.Report{
-		Scenario: s.Name, Purpose: s.Purpose, Disabled: off.Names(), Bound: experimenter.UpperBound(s), Results: t.series(s, n, off),
+		Scenario: s.Name, Purpose: s.Purpose, Disabled: off.Names(), Bound: experimenter.UpperBound(s), Results: t.runSeeds(s, n, off),
 	}
 	if dir := cmd.String("out"); dir != "" {
 		if err := report.Save(dir); err != nil {
@@ -130,13 +130,13 @@
 }
 
 func (t *tool) ablate(_ context.Context, cmd *cli.Command) error {
-	n, err := seedsOf(cmd)
+	n, err := seedCount(cmd)
 	if err != nil {
 		return err
 	}
 	var scenarios []experimenter.Scenario
 	for _, name := range cmd.Args().Slice() {
-		s, err := scenario(name, cmd.StringSlice("set"))
+		s, err := loadScenario(name, cmd.StringSlice("set"))
 		if err != nil {
 			return err
 		}
@@ -145,35 +145,35 @@
 	if len(scenarios) == 0 {
 		return &UsageError{Message: "ablate takes one scenario or more"}
 	}
-	whole := make([][]*experimenter.Result, len(scenarios))
-	head := "| without |"
+	baselines := make([][]*experimenter.Result, len(scenarios))
+	header := "| without |"
 	for i, s := range scenarios {
-		whole[i] = t.series(s, n, switcher.Disabled{})
-		head += " " + s.Name + " |"
+		baselines[i] = t.runSeeds(s, n, switcher.Disabled{})
+		header += " " + s.Name + " |"
 	}
-	if err := t.print("%s\n|---|%s\n", head, strings.Repeat("---|", len(scenarios))); err != nil {
+	if err := t.print("%s\n|---|%s\n", header, strings.Repeat("---|", len(scenarios))); err != nil {
 		return err
 	}
 	for _, m := range switcher.All() {
 		if !experimenter.Modelled(m) {
 			continue
 		}
-		if err := t.ablateOne(m, scenarios, whole, n); err != nil {
+		if err := t.ablateOne(m, scenarios, baselines, n); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-// ablateOne writes the row of one mechanism.
-func (t *tool) ablateOne(m switcher.Mechanism, scenarios []experimenter.Scenario, whole [][]*experimenter.Result, n int) error {
+// ablateOne prints the row of one mechanism: for each scenario the difference from its baseline and the confidence interval.
+func (t *tool) ablateOne(m switcher.Mechanism, scenarios []experimenter.Scenario, baselines [][]*experimenter.Result, n int) error {
 	off, err := switcher.Disable(string(m))
 	if err != nil {
 		return err
 	}
 	row := "| " + string(m) + " |"
 	for i, s := range scenarios {
-		c := experimenter.Compare(whole[i], t.series(s, n, off))
+		c := experimenter.Compare(baselines[i], t.runSeeds(s, n, off))
 		row += fmt.Sprintf(" %+.4f +- %.4f |", c.Difference, c.Interval)
 	}
 	return t.print("%s\n", row)
@@ -183,7 +183,7 @@
 	if cmd.Args().Len() != 1 {
 		return &UsageError{Message: "bound takes one scenario"}
 	}
-	s, err := scenario(cmd.Args().First(), cmd.StringSlice("set"))
+	s, err := loadScenario(cmd.Args().First(), cmd.StringSlice("set"))
 	if err != nil {
 		return err
 	}
--- a/cmd/faults/main.go
+++ b/cmd/faults/main.go
@@ -1,4 +1,4 @@
-// Command faults proves on real processes what must always hold, under kills, freezes, outages and races.
+// Command faults checks the product's invariants on real processes under kills, freezes, outages and races.
 package main
 
 import (
--- a/cmd/geraniumline/main.go
+++ b/cmd/geraniumline/main.go
@@ -1,4 +1,4 @@
-// Command geraniumline runs an entry and carries the operator's commands.
+// Command geraniumline runs an entry and provides the operator's commands.
 package main
 
 import (
@@ -21,7 +21,7 @@
 		Stdin:      os.Stdin,
 		Stdout:     os.Stdout,
 		Stderr:     os.Stderr,
-		Terminal:   coloured(os.Stdout),
+		Terminal:   supportsColor(os.Stdout),
 	}
 	os.Exit(int(launcher.Run(context.Background(), cfg, os.Args)))
 }
@@ -30,7 +30,7 @@
 	return assembler.Run(ctx, assembler.Config{Settings: settings, Log: log})
 }
 
-// version returns what the build recorded of itself.
+// version returns the module version that the build recorded, or "unknown".
 func version() string {
 	info, ok := debug.ReadBuildInfo()
 	if !ok {
@@ -39,8 +39,8 @@
 	return info.Main.Version
 }
 
-// coloured tells whether the file is a terminal that wants colours.
-func coloured(f *os.File) bool {
+// supportsColor reports whether f is a terminal and neither NO_COLOR nor TERM=dumb disables colors.
+func supportsColor(f *os.File) bool {
 	if os.Getenv("NO_COLOR") != "" || os.Getenv("TERM") == "dumb" {
 		return false
 	}
--- a/cmd/policyreport/main.go
+++ b/cmd/policyreport/main.go
@@ -1,5 +1,5 @@
-// Command policyreport reads the output of the policy's simulations, prints their rows as a
-// table and draws the picture of attainment and cost against load.
+// Command policyreport reads the output of the policy simulations, prints their rows as a table and plots attainment and cost
+// against load.
 package main
 
 import (
@@ -26,28 +26,29 @@
 	}
 }
 
-func run(picture string) error {
-	found, err := read(os.Stdin)
+func run(plotFile string) error {
+	results, err := read(os.Stdin)
 	if err != nil {
 		return oops.Wrapf(err, "reading the output")
 	}
-	if err := printTable(os.Stdout, found.rows); err != nil {
+	if err := printTable(os.Stdout, results.rows); err != nil {
 		return oops.Wrapf(err, "printing the table")
 	}
-	if picture != "" && len(found.points) > 0 {
-		if err := writePicture(picture, found.points); err != nil {
+	if plotFile != "" && len(results.points) > 0 {
+		if err := writePlots(plotFile, results.points); err != nil {
 			return oops.Wrapf(err, "drawing the picture")
 		}
 	}
-	within := found.within()
-	fmt.Printf("policy: cases=%d withinBounds=%d\n", len(found.rows), within)
-	if within < len(found.rows) {
-		return &OutOfBoundsError{Rows: len(found.rows), Within: within}
+	within := results.withinBounds()
+	fmt.Printf("policy: cases=%d withinBounds=%d\n", len(results.rows), within)
+	if within < len(results.rows) {
+		return &OutOfBoundsError{Rows: len(results.rows), Within: within}
 	}
 	return nil
 }
 
-// OutOfBoundsError tells that figures are on the wrong side of their regression bounds.
+// OutOfBoundsError reports that figures violate their regression bounds. Rows is the number of all figures, Within the number of
+// those within their bounds.
 type OutOfBoundsError struct {
 	Rows, Within int
 }
--- a/cmd/policyreport/picture.go
+++ b/cmd/policyreport/picture.go
@@ -16,15 +16,15 @@
 )
 
 const (
-	pictureWidth  = 16 * vg.Centimeter
-	pictureHeight = 20 * vg.Centimeter
+	imageWidth  = 16 * vg.Centimeter
+	imageHeight = 20 * vg.Centimeter
 )
 
-// figure is one of the plots of the picture.
+// figure is one of the plots in the image.
 type figure struct {
 	label      string
 	legendLeft bool
-	read       func(p measurer.Point) float64
+	value      func(p measurer.Point) float64
 }
 
 var figures = []figure{
@@ -32,9 +32,9 @@
 	{"endpoint ms for an answer in time", true, func(p measurer.Point) float64 { return p.Cost }},
 }
 
-// drawPicture draws attainment and cost against load, a line for each way.
-func drawPicture(points []measurer.Point) (*vgsvg.Canvas, error) {
-	canvas := vgsvg.New(pictureWidth, pictureHeight)
+// drawPlots plots attainment and cost against load, with one line for each policy.
+func drawPlots(points []measurer.Point) (*vgsvg.Canvas, error) {
+	canvas := vgsvg.New(imageWidth, imageHeight)
 	tiles := draw.Tiles{Rows: len(figures), Cols: 1, PadY: vg.Centimeter}
 	area := draw.New(canvas)
 	for i, f := range figures {
@@ -57,23 +57,23 @@
 	p.Legend.Top = true
 	p.Legend.Left = f.legendLeft
 	var lines []any
-	for _, way := range ways(points) {
-		lines = append(lines, way, f.line(points, way))
+	for _, policy := range policies(points) {
+		lines = append(lines, policy, f.line(points, policy))
 	}
 	return p, plotutil.AddLinePoints(p, lines...)
 }
 
-func (f figure) line(points []measurer.Point, way string) plotter.XYs {
+func (f figure) line(points []measurer.Point, policy string) plotter.XYs {
 	var line plotter.XYs
 	for _, p := range points {
-		if p.Way == way {
-			line = append(line, plotter.XY{X: p.Load, Y: f.read(p)})
+		if p.Way == policy {
+			line = append(line, plotter.XY{X: p.Load, Y: f.value(p)})
 		}
 	}
 	return line
 }
 
-func ways(points []measurer.Point) []string {
+func policies(points []measurer.Point) []string {
 	var names []string
 	for _, p := range points {
 		if !slices.Contains(names, p.Way) {
@@ -94,9 +94,9 @@
 	return marks
 }
 
-// writePicture writes the picture as SVG.
-func writePicture(path string, points []measurer.Point) (err error) {
-	canvas, err := drawPicture(points)
+// writePlots writes the plots to a file as SVG.
+func writePlots(path string, points []measurer.Point) (err error) {
+	canvas, err := drawPlots(points)
 	if err != nil {
 		return err
 	}
--- a/cmd/policyreport/read.go
+++ b/cmd/policyreport/read.go
@@ -9,22 +9,22 @@
 	"geraniumline/measurer"
 )
 
-// longestLine bounds a line of the tests' output.
-const longestLine = 1 << 20
+// maxLineBytes is the maximum length of a line in the tests' output.
+const maxLineBytes = 1 << 20
 
-// report is what the simulations reported.
+// report holds the rows and points that the simulations printed.
 type report struct {
 	rows   []measurer.Row
 	points []measurer.Point
 }
 
-// read takes the rows and points out of the tests' output. A row of a failed test is there
-// twice, in its line and in the failure; the first is taken.
+// read extracts the rows and points from the tests' output. The row of a failed test occurs twice, in its own line and in the
+// failure message; only the first is used.
 func read(r io.Reader) (report, error) {
-	var found report
+	var results report
 	seen := map[string]bool{}
 	lines := bufio.NewScanner(r)
-	lines.Buffer(nil, longestLine)
+	lines.Buffer(nil, maxLineBytes)
 	for lines.Scan() {
 		line := lines.Text()
 		if _, rest, ok := strings.Cut(line, measurer.PointPrefix); ok {
@@ -32,7 +32,7 @@
 			if err != nil {
 				return report{}, err
 			}
-			found.points = append(found.points, point)
+			results.points = append(results.points, point)
 			continue
 		}
 		_, rest, ok := strings.Cut(line, measurer.Prefix+"case=")
@@ -47,15 +47,15 @@
 			continue
 		}
 		seen[row.Case+" "+row.Measure] = true
-		found.rows = append(found.rows, row)
+		results.rows = append(results.rows, row)
 	}
-	// Trials run at once and end in any order; a table in a fixed order can be compared.
-	slices.SortStableFunc(found.rows, func(a, b measurer.Row) int { return strings.Compare(a.Case, b.Case) })
-	return found, lines.Err()
+	// Tests run concurrently and end in any order. Sorted rows make tables comparable.
+	slices.SortStableFunc(results.rows, func(a, b measurer.Row) int { return strings.Compare(a.Case, b.Case) })
+	return results, lines.Err()
 }
 
-// within counts the rows whose figure is within its bound.
-func (r report) within() int {
+// withinBounds returns the number of rows whose figure is within its bound.
+func (r report) withinBounds() int {
 	n := 0
 	for _, row := range r.rows {
 		if row.Bound.Holds(row.Ours) {
--- a/cmd/policyreport/report_test.go
+++ b/cmd/policyreport/report_test.go
@@ -11,8 +11,8 @@
 	"geraniumline/measurer"
 )
 
-// output is what a run prints whose second row is out of its bound: the row stands in the
-// test's log and again in its failure.
+// output returns the output of a run whose second row violates its bound. That row occurs in the test's log and again in the
+// failure message.
 func output() string {
 	rows := []measurer.Row{
 		{Case: "limits/steady", Measure: "over", Ours: 0.01, Bound: measurer.Limit{Direction: measurer.AtMost, Value: 0.02}},
@@ -34,19 +34,19 @@
 	}, "\n")
 }
 
-// TestTable holds the table that scripts/policy.sh prints to testdata/table.golden.
+// TestTable compares the table that scripts/policy.sh prints with testdata/table.golden.
 func TestTable(t *testing.T) {
-	found, err := read(strings.NewReader(output()))
+	results, err := read(strings.NewReader(output()))
 	require.NoError(t, err)
-	require.Equal(t, []measurer.Point{{Way: "ours", Load: 10, Attainment: 0.1, Cost: 980, Goodput: 1}}, found.points)
-	require.Equal(t, 1, found.within())
+	require.Equal(t, []measurer.Point{{Way: "ours", Load: 10, Attainment: 0.1, Cost: 980, Goodput: 1}}, results.points)
+	require.Equal(t, 1, results.withinBounds())
 	var table bytes.Buffer
-	require.NoError(t, printTable(&table, found.rows))
+	require.NoError(t, printTable(&table, results.rows))
 	goldie.New(t, goldie.WithFixtureDir("testdata")).Assert(t, "table", table.Bytes())
 }
 
-// TestReadTellsTheField reads a row that was cut off.
-func TestReadTellsTheField(t *testing.T) {
+// TestReadReportsTheInvalidField reads a truncated row.
+func TestReadReportsTheInvalidField(t *testing.T) {
 	_, err := read(strings.NewReader("policy: case=a measure=b ours=0.5 bound=<="))
 	var fieldErr *measurer.FieldError
 	require.ErrorAs(t, err, &fieldErr)
--- a/cmd/policyreport/table.go
+++ b/cmd/policyreport/table.go
@@ -9,12 +9,12 @@
 	"geraniumline/measurer"
 )
 
-// printTable prints the rows, each with its baselines, bound and goal.
+// printTable prints the rows as a table, each with its baselines, bound and goal.
 func printTable(w io.Writer, rows []measurer.Row) error {
 	lines := []string{"case\tmeasure\tours\tbaselines\tratio\tbound\twithin\tgoal\tmet\n"}
 	for _, row := range rows {
 		lines = append(lines, fmt.Sprintf("%s\t%s\t%.4g\t%s\t%s\t%s\t%s\t%s\n",
-			row.Case, row.Measure, row.Ours, baselines(row), ratio(row), row.Bound, yes(row.Bound.Holds(row.Ours)), goal(row)))
+			row.Case, row.Measure, row.Ours, baselines(row), ratio(row), row.Bound, yesOrNo(row.Bound.Holds(row.Ours)), goal(row)))
 	}
 	table := tabwriter.NewWriter(w, 0, 0, 2, ' ', 0)
 	if _, err := io.WriteString(table, strings.Join(lines, "")); err != nil {
@@ -51,8 +51,8 @@
 	return row.Goal.String() + "\tMISSED"
 }
 
-func yes(is bool) string {
-	if is {
+func yesOrNo(ok bool) string {
+	if ok {
 		return "yes"
 	}
 	return "NO"
--- a/cmd/soak/main.go
+++ b/cmd/soak/main.go
@@ -1,4 +1,4 @@
-// Command soak plays random faults against entries that run as separate processes, seed by seed.
+// Command soak injects random faults into entries that run as separate processes, one seed after the other.
 package main
 
 import (
@@ -33,10 +33,10 @@
 	}
 }
 
-// failedError tells how many seeds broke a promise.
-type failedError struct{ seeds int }
+// violationsError reports the number of seeds with which the entries broke a guarantee.
+type violationsError struct{ seeds int }
 
-func (e *failedError) Error() string { return fmt.Sprintf("%d seeds broke a promise", e.seeds) }
+func (e *violationsError) Error() string { return fmt.Sprintf("%d seeds broke a promise", e.seeds) }
 
 func soak(ctx context.Context, cmd *cli.Command) error {
 	failed := 0
@@ -68,7 +68,7 @@
 		fmt.Println("      plan and logs:", dir)
 	}
 	if failed > 0 {
-		return &failedError{seeds: failed}
+		return &violationsError{seeds: failed}
 	}
 	return nil
 }
--- a/cmd/standin/endpoint.go
+++ b/cmd/standin/endpoint.go
@@ -12,7 +12,7 @@
 	"geraniumline/faker"
 )
 
-// serviceTimes gives each kind of service the time that a call takes if no flag says otherwise.
+// serviceTimes maps each kind of service to the default duration of a call.
 var serviceTimes = map[string]time.Duration{
 	"encoder":   3 * time.Millisecond,
 	"retriever": 6 * time.Millisecond,
@@ -78,7 +78,7 @@
 
 func runService(ctx context.Context, cmd *cli.Command) error {
 	kind := cmd.String("kind")
-	ownTime, ok := serviceTimes[kind]
+	defaultTime, ok := serviceTimes[kind]
 	if !ok {
 		return &usageError{fmt.Errorf("kind is %q, want one of %v", kind, slices.Sorted(maps.Keys(serviceTimes)))}
 	}
@@ -89,7 +89,7 @@
 		KeepPrefix:     cmd.Int("keep-prefix"),
 	}
 	if cfg.ServiceTime == 0 {
-		cfg.ServiceTime = ownTime
+		cfg.ServiceTime = defaultTime
 	}
 	if err := checkFlags(cmd, cfg.Check()); err != nil {
 		return err
--- a/cmd/standin/flags.go
+++ b/cmd/standin/flags.go
@@ -20,7 +20,7 @@
 	return &cli.Uint64Flag{Name: "seed", Value: 1, Usage: "feeds all that varies"}
 }
 
-// checkFlags makes a setting out of range and a stray argument the same kind of error.
+// checkFlags returns a *usageError for an invalid setting, reported by err, or for an unexpected argument.
 func checkFlags(cmd *cli.Command, err error) error {
 	if err != nil {
 		return &usageError{err}
--- a/cmd/standin/main.go
+++ b/cmd/standin/main.go
@@ -1,4 +1,4 @@
-// Command standin runs one stand-in of the platform or of an endpoint, for demos and tests.
+// Command standin runs a stand-in for a platform service or for an endpoint, for demos and tests.
 package main
 
 import (
@@ -23,7 +23,7 @@
 	exitCrash  = 3
 )
 
-// usageError is a mistake on the command line, as opposed to a failure while serving.
+// usageError reports an invalid command line, as opposed to a failure while serving.
 type usageError struct{ err error }
 
 func (e *usageError) Error() string { return e.err.Error() }
--- a/cmd/standin/main_test.go
+++ b/cmd/standin/main_test.go
@@ -24,7 +24,7 @@
 		{"unknown kind", []string{"service", "--kind", "cache"}, exitUsage, `kind is "cache"`},
 		{"malformed VM", []string{"vms", "--vm", "127.0.0.1:1,z1"}, exitUsage, "want host:port,zone,pool"},
 		{"malformed weight store", []string{"engine", "--weights", "here"}, exitUsage, "want http://host:port"},
-		{"stray argument", []string{"weights", "now"}, exitUsage, `unexpected argument "now"`},
+		{"unexpected argument", []string{"weights", "now"}, exitUsage, `unexpected argument "now"`},
 		{"malformed address", []string{"log", "--listen", "nowhere"}, exitFailed, "nowhere"},
 	}
 	for _, s := range scenarios {
@@ -37,7 +37,7 @@
 	}
 }
 
-// stopOnReady ends the program's context when the ready line is written.
+// stopOnReady cancels the program's context when the ready line is written.
 type stopOnReady struct {
 	bytes.Buffer
 	stop context.CancelFunc
--- a/cmd/standin/platform.go
+++ b/cmd/standin/platform.go
@@ -53,7 +53,7 @@
 			&cli.DurationFlag{Name: "lag", Value: defaultVMLag, Usage: "how long a change stays unseen"},
 			&cli.StringSliceFlag{Name: "vm", Usage: "host:port,zone,pool or host:port,zone,pool,leaving; may be repeated"},
 		},
-		// A comma belongs to a VM, it does not part two of them.
+		// Commas separate the fields of a VM, not VMs.
 		DisableSliceFlagSeparator: true,
 		Action:                    runVMs,
 	}
