--- a/cmd/policyreport/read.go
+++ b/cmd/policyreport/read.go
@@ -49,7 +49,7 @@
 		seen[row.Case+" "+row.Measure] = true
 		results.rows = append(results.rows, row)
 	}
-	// Tests run concurrently and end in any order. Sorted rows make tables comparable.
+	// Simulations run concurrently and end in any order. Sorted rows make tables comparable.
 	slices.SortStableFunc(results.rows, func(a, b measurer.Row) int { return strings.Compare(a.Case, b.Case) })
 	return results, lines.Err()
 }
