--- a/cmd/standin/platform.go
+++ b/cmd/standin/platform.go
@@ -53,7 +53,7 @@
 			&cli.DurationFlag{Name: "lag", Value: defaultVMLag, Usage: "how long a change stays unseen"},
 			&cli.StringSliceFlag{Name: "vm", Usage: "host:port,zone,pool or host:port,zone,pool,leaving; may be repeated"},
 		},
-		// Commas separate the fields of a VM, not VMs.
+		// A comma separates fields of one VM, not two VMs.
 		DisableSliceFlagSeparator: true,
 		Action:                    runVMs,
 	}
--- a/experimenter/clock.go
+++ b/experimenter/clock.go
@@ -11,8 +11,9 @@
 // clock is a virtual clock. It runs events in the order of their times, and events of the same time in the order in which they
 // were scheduled.
 type clock struct {
-	now       time.Time
-	events    eventHeap
+	now    time.Time
+	events eventHeap
+	// scheduled is the number of events scheduled so far.
 	scheduled int
 }
 
@@ -24,20 +25,20 @@
 
 type eventHeap []event
 
-func (a eventHeap) Len() int { return len(a) }
-func (a eventHeap) Less(i, j int) bool {
-	if a[i].at.Equal(a[j].at) {
-		return a[i].order < a[j].order
+func (h eventHeap) Len() int { return len(h) }
+func (h eventHeap) Less(i, j int) bool {
+	if h[i].at.Equal(h[j].at) {
+		return h[i].order < h[j].order
 	}
-	return a[i].at.Before(a[j].at)
+	return h[i].at.Before(h[j].at)
 }
-func (a eventHeap) Swap(i, j int) { a[i], a[j] = a[j], a[i] }
-func (a *eventHeap) Push(x any)   { *a = append(*a, x.(event)) }
-func (a *eventHeap) Pop() any {
-	old := *a
+func (h eventHeap) Swap(i, j int) { h[i], h[j] = h[j], h[i] }
+func (h *eventHeap) Push(x any)   { *h = append(*h, x.(event)) }
+func (h *eventHeap) Pop() any {
+	old := *h
 	last := old[len(old)-1]
 	old[len(old)-1].action = nil
-	*a = old[:len(old)-1]
+	*h = old[:len(old)-1]
 	return last
 }
 
--- a/experimenter/fluid.go
+++ b/experimenter/fluid.go
@@ -64,7 +64,7 @@
 	}
 }
 
-// orderByWorth returns the indexes of the kinds, ordered by worth per share of the pool that they use most.
+// orderByWorth returns the indexes of the kinds, ordered by worth per share of the pool that they use most, highest first.
 func orderByWorth(s *Scenario) []int {
 	order := make([]int, len(s.Kinds))
 	cost := make([]float64, len(s.Kinds))
