--- a/experimenter/experimenter_test.go
+++ b/experimenter/experimenter_test.go
@@ -9,20 +9,21 @@
 	"geraniumline/switcher"
 )
 
-func TestShippedScenariosAreSound(t *testing.T) {
-	require.GreaterOrEqual(t, len(Shipped()), 12)
-	for _, name := range Shipped() {
-		s, err := Named(name)
+func TestShippedScenariosAreValid(t *testing.T) {
+	require.GreaterOrEqual(t, len(ScenarioNames()), 12)
+	for _, name := range ScenarioNames() {
+		s, err := LoadScenario(name)
 		require.NoError(t, err, name)
 		require.Equal(t, name, s.Name)
 		require.NotEmpty(t, s.Purpose)
 	}
 }
 
-// A burst of requests with large results, whose space binds. Given back only with the first event they lie there while the whole
-// prompt is read, and the endpoints stand idle for want of space; given back once the engine has them more requests are on time.
-func TestSpaceIsGivenBackInABurst(t *testing.T) {
-	s, err := Named("spaceShort")
+// In a burst of requests with large results, result space is the bottleneck. If results are freed only at the first event, they
+// occupy space while the whole prompt is read, and endpoints are idle for lack of space. If they are freed once the engine has
+// fetched them, more requests are on time.
+func TestFetchedResultsAreFreedInABurst(t *testing.T) {
+	s, err := LoadScenario("spaceShort")
 	require.NoError(t, err)
 	earned := func(off switcher.Disabled) (sum float64) {
 		for seed := range uint64(6) {
@@ -37,20 +38,20 @@
 	require.Greater(t, with, without)
 }
 
-func BenchmarkSmall(b *testing.B) { benchmark(b, "threeStages") }
+func BenchmarkThreeStages(b *testing.B) { benchmark(b, "threeStages") }
 
-func BenchmarkEighty(b *testing.B) { benchmark(b, "eightyEntries") }
+func BenchmarkEightyEntries(b *testing.B) { benchmark(b, "eightyEntries") }
 
 func benchmark(b *testing.B, name string) {
-	s, err := Named(name)
+	s, err := LoadScenario(name)
 	require.NoError(b, err)
 	for b.Loop() {
 		Run(s, 1, switcher.Disabled{})
 	}
 }
 
-func TestOneSeedGivesTheSameRun(t *testing.T) {
-	s, err := Named("threeStagesLost")
+func TestRunsWithTheSameSeedAreIdentical(t *testing.T) {
+	s, err := LoadScenario("threeStagesLost")
 	require.NoError(t, err)
 	s.Seconds = 14
 	text := func(seed uint64) string {
