--- a/cmd/soak/main.go
+++ b/cmd/soak/main.go
@@ -47,9 +47,9 @@
 		if err != nil {
 			return err
 		}
-		result, err := soaker.Play(ctx, soaker.Config{
+		result, err := soaker.Run(ctx, soaker.Config{
 			Seed: seed, Bin: cmd.String("bin"), Dir: dir, Entries: cmd.Int("processes"),
-			Length: cmd.Duration("length"), ConfigTime: cmd.Duration("config-time"), Settle: cmd.Duration("settle"),
+			Length: cmd.Duration("length"), ConfigTime: cmd.Duration("config-time"), SettleTime: cmd.Duration("settle"),
 		})
 		if err != nil {
 			return fmt.Errorf("seed %d (logs are in %s): %w", seed, dir, err)
--- a/prover/bench.go
+++ b/prover/bench.go
@@ -55,8 +55,8 @@
 		Bin: cfg.Bin, Dir: dir, Entries: proof.Entries, Zones: zones, Pools: pools(),
 		Settings: map[string]any{"addressTtlMillis": addressTTL.Milliseconds(), "drainMillis": drainGrace.Milliseconds()},
 	}
-	if proof.Fleet != nil {
-		proof.Fleet(b, &fleet)
+	if proof.ConfigureFleet != nil {
+		proof.ConfigureFleet(b, &fleet)
 	}
 	var err error
 	if b.fleet, err = starter.Start(ctx, fleet); err != nil {
--- a/prover/configs.go
+++ b/prover/configs.go
@@ -28,7 +28,7 @@
 	return []Proof{
 		{Name: "operatorsRace", Faults: "two operators, same version, two entries", Entries: 3, Run: proveOperatorsRace},
 		{Name: "operationFound", Faults: "reply of the change's append lost", Entries: 3, Run: proveOperationFound},
-		{Name: "inForce", Faults: "none, then one entry cut from the log", Entries: 7, Fleet: logRelay(cutEntry), Run: proveInForce},
+		{Name: "inForce", Faults: "none, then one entry cut from the log", Entries: 7, ConfigureFleet: logRelay(cutEntry), Run: proveInForce},
 	}
 }
 
--- a/prover/entries.go
+++ b/prover/entries.go
@@ -26,7 +26,7 @@
 		{Name: "entryFrozen", Faults: "SIGSTOP of 2 of 5 entries, 2.5 s each", Entries: 5, Run: proveEntryFrozen},
 		{Name: "connectionCut", Faults: "callers cut after the request was sent, twins", Entries: 3, Run: proveConnectionCut},
 		{Name: "plannedStop", Faults: "7 entries stopped one after another", Entries: 7, Run: provePlannedStop},
-		{Name: "deathFound", Faults: "2 kills, 2 freezes, 1 one-way cut", Entries: 7, Fleet: peerRelay(cutEntry), Run: proveDeathFound},
+		{Name: "deathFound", Faults: "2 kills, 2 freezes, 1 one-way cut", Entries: 7, ConfigureFleet: peerRelay(cutEntry), Run: proveDeathFound},
 	}
 }
 
--- a/prover/prover.go
+++ b/prover/prover.go
@@ -29,13 +29,13 @@
 	Faults string
 	// Entries is how many entries the fleet has.
 	Entries int
-	// Fleet changes the fleet's configuration before it starts.
-	Fleet func(*bench, *starter.Config)
-	Run   func(context.Context, *bench) error
+	// ConfigureFleet changes the fleet's configuration before it starts.
+	ConfigureFleet func(*bench, *starter.Config)
+	Run            func(context.Context, *bench) error
 }
 
-// Row is what one proof showed.
-type Row struct {
+// Result is what one proof showed.
+type Result struct {
 	Proof   Proof
 	Counts  Counts
 	Seconds float64
@@ -44,7 +44,7 @@
 }
 
 // Passed tells whether the proof holds.
-func (r Row) Passed() bool {
+func (r Result) Passed() bool {
 	return r.Err == nil && r.Counts.Lost+r.Counts.Doubled+r.Counts.Untrue == 0
 }
 
@@ -69,69 +69,69 @@
 
 // Run runs the proofs one after another and prints their table.
 func Run(ctx context.Context, cfg Config) error {
-	var rows []Row
+	var results []Result
 	for _, proof := range Proofs() {
 		if cfg.Only != "" && cfg.Only != proof.Name {
 			continue
 		}
-		row := runProof(ctx, cfg, proof)
-		rows = append(rows, row)
-		say(cfg.Out, "%s", progress(row))
+		result := runProof(ctx, cfg, proof)
+		results = append(results, result)
+		say(cfg.Out, "%s", progress(result))
 	}
-	if len(rows) == 0 {
+	if len(results) == 0 {
 		return &UnknownProofError{Name: cfg.Only}
 	}
-	return report(cfg.Out, rows)
+	return report(cfg.Out, results)
 }
 
 func say(w io.Writer, format string, args ...any) {
 	_, _ = fmt.Fprintf(w, "faults: "+format+"\n", args...)
 }
 
-func progress(row Row) string {
-	if row.Passed() {
-		return row.Proof.Name + ": holds. " + row.Note
+func progress(result Result) string {
+	if result.Passed() {
+		return result.Proof.Name + ": holds. " + result.Note
 	}
-	return fmt.Sprintf("%s: FAILED: %v %+v %s", row.Proof.Name, row.Err, row.Counts, row.Note)
+	return fmt.Sprintf("%s: FAILED: %v %+v %s", result.Proof.Name, result.Err, result.Counts, result.Note)
 }
 
-func runProof(ctx context.Context, cfg Config, proof Proof) Row {
-	row := Row{Proof: proof}
+func runProof(ctx context.Context, cfg Config, proof Proof) Result {
+	result := Result{Proof: proof}
 	start := time.Now()
 	dir := filepath.Join(cfg.Dir, proof.Name)
-	if row.Err = os.MkdirAll(dir, 0o700); row.Err != nil {
-		return row
+	if result.Err = os.MkdirAll(dir, 0o700); result.Err != nil {
+		return result
 	}
 	b, err := newBench(ctx, cfg, proof, dir)
 	if err == nil {
 		err = proof.Run(ctx, b)
-		row.Counts, row.Note = b.count(ctx), b.note
+		result.Counts, result.Note = b.count(ctx), b.note
 		err = errors.Join(err, b.close())
 	}
-	row.Err = err
-	row.Seconds = time.Since(start).Seconds()
-	return row
+	result.Err = err
+	result.Seconds = time.Since(start).Seconds()
+	return result
 }
 
 // report prints the table and the closing line.
-func report(w io.Writer, rows []Row) error {
+func report(w io.Writer, results []Result) error {
 	table := tabwriter.NewWriter(w, 0, 0, 2, ' ', 0)
 	_, _ = fmt.Fprintln(table, "proof\tfaults injected\trequests\tanswered\tnotRun\tunknown\tlost\tdoubled\tuntrue\tseconds\t")
 	total := Counts{}
 	failed := 0
-	for _, row := range rows {
-		c := row.Counts
-		_, _ = fmt.Fprintf(table, "%s\t%s\t%d\t%d\t%d\t%d\t%d\t%d\t%d\t%.1f\t\n", row.Proof.Name, row.Proof.Faults,
-			c.Requests, c.Answered, c.NotRun, c.Unknown, c.Lost, c.Doubled, c.Untrue, row.Seconds)
+	for _, result := range results {
+		c := result.Counts
+		_, _ = fmt.Fprintf(table, "%s\t%s\t%d\t%d\t%d\t%d\t%d\t%d\t%d\t%.1f\t\n", result.Proof.Name, result.Proof.Faults,
+			c.Requests, c.Answered, c.NotRun, c.Unknown, c.Lost, c.Doubled, c.Untrue, result.Seconds)
 		total.Lost += c.Lost
 		total.Doubled += c.Doubled
 		total.Untrue += c.Untrue
-		if !row.Passed() {
+		if !result.Passed() {
 			failed++
 		}
 	}
 	_ = table.Flush()
-	say(w, "proofs=%d passed=%d failed=%d lost=%d doubled=%d untrue=%d", len(rows), len(rows)-failed, failed, total.Lost, total.Doubled, total.Untrue)
+	say(w, "proofs=%d passed=%d failed=%d lost=%d doubled=%d untrue=%d", len(results), len(results)-failed, failed, total.Lost, total.Doubled, total.Untrue)
 	if failed > 0 {
 		return &FailedError{Failed: failed}
 	}
--- a/prover/prover_test.go
+++ b/prover/prover_test.go
@@ -27,24 +27,24 @@
 			continue
 		}
 		t.Run(proof.Name, func(t *testing.T) {
-			row := runProof(context.Background(), Config{Bin: bin, Dir: t.TempDir()}, proof)
-			require.NoError(t, row.Err)
-			require.True(t, row.Passed(), "%+v %s", row.Counts, row.Note)
-			t.Logf("%+v %s", row.Counts, row.Note)
+			result := runProof(context.Background(), Config{Bin: bin, Dir: t.TempDir()}, proof)
+			require.NoError(t, result.Err)
+			require.True(t, result.Passed(), "%+v %s", result.Counts, result.Note)
+			t.Logf("%+v %s", result.Counts, result.Note)
 		})
 	}
 }
 
 // A proof that fails makes the whole run fail, and the closing line counts it.
 func TestReportCountsFailures(t *testing.T) {
-	rows := []Row{
+	results := []Result{
 		{Proof: Proof{Name: "a"}, Counts: Counts{Requests: 3, Answered: 3}},
 		{Proof: Proof{Name: "b"}, Counts: Counts{Requests: 2, Answered: 1, Lost: 1}},
 		{Proof: Proof{Name: "c"}, Counts: Counts{Requests: 2, Doubled: 1, Untrue: 1}},
 		{Proof: Proof{Name: "d"}, Err: violated("no")},
 	}
 	var out bytes.Buffer
-	err := report(&out, rows)
+	err := report(&out, results)
 	var failed *FailedError
 	require.ErrorAs(t, err, &failed)
 	require.Equal(t, 3, failed.Failed)
--- a/soaker/check.go
+++ b/soaker/check.go
@@ -12,19 +12,19 @@
 type Attempt struct {
 	ID    string
 	Entry int
-	// Boot counts the starts of the entry's process; unknownBoot where it started again meanwhile.
-	Boot int
-	// Once is set where the request must not run twice.
-	Once bool
+	// Incarnation counts the starts of the entry's process; unknownBoot where it started again meanwhile.
+	Incarnation int
+	// AtMostOnce is set where the request must not run twice.
+	AtMostOnce bool
 	// Sent and Ended are from the plan's start.
 	Sent, Ended time.Duration
 	// Status is 0 where no whole answer came.
 	Status int
 	Body   string
 	Stamp  string
-	// Want is the body of a whole answer.
-	Want  string
-	Phase Phase
+	// ExpectedBody is the body of a whole answer.
+	ExpectedBody string
+	Phase        Phase
 }
 
 // Phase is a part of a play.
@@ -46,10 +46,10 @@
 	Endpoint string
 	// Version is that of the configuration by which the request was handled.
 	Version int
-	// At is when the endpoint got the request, from the plan's start.
-	At time.Duration
-	// Evacuated is set at endpoints of the zone that is evacuated.
-	Evacuated bool
+	// ReceivedAt is when the endpoint got the request, from the plan's start.
+	ReceivedAt time.Duration
+	// InEvacuatedZone is set at endpoints of the zone that is evacuated.
+	InEvacuatedZone bool
 }
 
 // Span is a time from the plan's start: one in which a zone was evacuated, by the store's acknowledgements, while nothing
@@ -62,13 +62,13 @@
 	Executions []Execution
 	// Evacuations are the spans in which endpoints of the evacuated zone may get nothing.
 	Evacuations []Span
-	// Newest is the version of the configuration at the end.
-	Newest int
+	// NewestVersion is the version of the configuration at the end.
+	NewestVersion int
 	// Endpoints are what the endpoints have got, Disturbed the times in which entries' processes were not left alone.
 	Endpoints []EndpointRecord
 	Disturbed map[int][]Span
-	// Overdue are the entries whose planned stop took too long, or which did not start again.
-	Overdue []string
+	// ProcessErrors are the entries whose planned stop took too long, or which did not start again.
+	ProcessErrors []string
 }
 
 // Violation is one broken promise.
@@ -111,7 +111,7 @@
 	for i := range r.Attempts {
 		a := &r.Attempts[i]
 		sent[a.ID] = true
-		found = append(found, checkAttempt(a, runs[a.ID], r.Newest)...)
+		found = append(found, checkAttempt(a, runs[a.ID], r.NewestVersion)...)
 	}
 	for i := range r.Executions {
 		found = append(found, checkZone(&r.Executions[i], r.Evacuations)...)
@@ -121,7 +121,7 @@
 			found = append(found, Violation{promiseOwn, id + " ran and no caller sent it"})
 		}
 	}
-	for _, name := range r.Overdue {
+	for _, name := range r.ProcessErrors {
 		found = append(found, Violation{promiseStop, name})
 	}
 	found = append(found, checkNotices(r)...)
@@ -133,13 +133,13 @@
 	add := func(promise, format string, args ...any) {
 		found = append(found, Violation{promise, a.ID + " " + fmt.Sprintf(format, args...)})
 	}
-	if a.Status == http.StatusOK && (a.Body != a.Want || a.Stamp == "" || len(runs) == 0) {
-		add(promiseWhole, "got %q of %q", a.Body, a.Want)
+	if a.Status == http.StatusOK && (a.Body != a.ExpectedBody || a.Stamp == "" || len(runs) == 0) {
+		add(promiseWhole, "got %q of %q", a.Body, a.ExpectedBody)
 	}
-	if a.Once && len(runs) > 1 {
+	if a.AtMostOnce && len(runs) > 1 {
 		add(promiseOnce, "ran %d times", len(runs))
 	}
-	if a.Once && saysNotRun[a.Status] && len(runs) > 0 {
+	if a.AtMostOnce && saysNotRun[a.Status] && len(runs) > 0 {
 		add(promiseTruth, "ran and was answered %d", a.Status)
 	}
 	if a.Phase == phaseFaults {
@@ -158,12 +158,12 @@
 
 // checkZone holds a run against the evacuations.
 func checkZone(e *Execution, evacuations []Span) []Violation {
-	if !e.Evacuated {
+	if !e.InEvacuatedZone {
 		return nil
 	}
 	for _, span := range evacuations {
-		if e.At > span.From && e.At < span.To {
-			return []Violation{{promiseZone, fmt.Sprintf("%s reached %s at %v, evacuated from %v to %v", e.Attempt, e.Endpoint, e.At, span.From, span.To)}}
+		if e.ReceivedAt > span.From && e.ReceivedAt < span.To {
+			return []Violation{{promiseZone, fmt.Sprintf("%s reached %s at %v, evacuated from %v to %v", e.Attempt, e.Endpoint, e.ReceivedAt, span.From, span.To)}}
 		}
 	}
 	return nil
@@ -175,8 +175,8 @@
 	ended := make(map[process][]*Attempt)
 	for i := range attempts {
 		a := &attempts[i]
-		if a.Boot != unknownBoot && len(runs[a.ID]) > 0 && a.Status == http.StatusOK {
-			ended[process{a.Entry, a.Boot}] = append(ended[process{a.Entry, a.Boot}], a)
+		if a.Incarnation != unknownBoot && len(runs[a.ID]) > 0 && a.Status == http.StatusOK {
+			ended[process{a.Entry, a.Incarnation}] = append(ended[process{a.Entry, a.Incarnation}], a)
 		}
 	}
 	var found []Violation
--- a/soaker/check_test.go
+++ b/soaker/check_test.go
@@ -13,16 +13,16 @@
 	at := func(ms int) time.Duration { return time.Duration(ms) * time.Millisecond }
 	return &Record{
 		Attempts: []Attempt{
-			{ID: "a", Once: true, Sent: at(0), Ended: at(10), Status: http.StatusOK, Body: "x", Want: "x", Stamp: "s"},
-			{ID: "b", Once: true, Sent: at(20), Ended: at(30), Status: http.StatusServiceUnavailable},
-			{ID: "c", Sent: at(40), Ended: at(50), Status: http.StatusOK, Body: "y", Want: "y", Stamp: "s"},
+			{ID: "a", AtMostOnce: true, Sent: at(0), Ended: at(10), Status: http.StatusOK, Body: "x", ExpectedBody: "x", Stamp: "s"},
+			{ID: "b", AtMostOnce: true, Sent: at(20), Ended: at(30), Status: http.StatusServiceUnavailable},
+			{ID: "c", Sent: at(40), Ended: at(50), Status: http.StatusOK, Body: "y", ExpectedBody: "y", Stamp: "s"},
 			{ID: "d", Sent: at(60), Ended: at(70)},
-			{ID: "e", Sent: at(80), Ended: at(90), Status: http.StatusOK, Body: "z", Want: "z", Stamp: "s", Phase: phaseSettled},
+			{ID: "e", Sent: at(80), Ended: at(90), Status: http.StatusOK, Body: "z", ExpectedBody: "z", Stamp: "s", Phase: phaseSettled},
 		},
 		Executions: []Execution{
 			{Attempt: "a", Version: 1}, {Attempt: "c", Version: 1}, {Attempt: "c", Version: 2}, {Attempt: "e", Version: 2},
 		},
-		Newest: 2,
+		NewestVersion: 2,
 	}
 }
 
@@ -41,14 +41,14 @@
 		"not run, but it ran": {func(r *Record) { r.Executions = append(r.Executions, Execution{Attempt: "b", Version: 2}) }, promiseTruth},
 		"nobody's request":    {func(r *Record) { r.Executions = append(r.Executions, Execution{Attempt: "f"}) }, promiseOwn},
 		"an older version":    {func(r *Record) { r.Executions[0].Version = 3 }, promiseForward},
-		"late configuration":  {func(r *Record) { r.Newest = 3 }, promiseCurrent},
+		"late configuration":  {func(r *Record) { r.NewestVersion = 3 }, promiseCurrent},
 		"late for its time": {func(r *Record) {
-			r.Newest, r.Attempts[4].Phase = 3, phaseConfigured
+			r.NewestVersion, r.Attempts[4].Phase = 3, phaseConfigured
 		}, promiseCurrent},
 		"refused after faults": {func(r *Record) { r.Attempts[4].Status = http.StatusServiceUnavailable }, promiseRecovery},
 		"an evacuated zone": {func(r *Record) {
 			r.Evacuations = []Span{{From: time.Second, To: 2 * time.Second}}
-			r.Executions[0].Evacuated, r.Executions[0].At = true, 1500*time.Millisecond
+			r.Executions[0].InEvacuatedZone, r.Executions[0].ReceivedAt = true, 1500*time.Millisecond
 		}, promiseZone},
 		"over its limit": {func(r *Record) {
 			e := EndpointRecord{ID: "x", Limits: []Limit{{At: 0, PerSecond: 1}}}
@@ -63,13 +63,13 @@
 			r.Endpoints = []EndpointRecord{{Arrivals: []EndpointArrival{{Attempt: "a", Leaving: true}, {At: 3 * time.Second, Attempt: "c", Leaving: true}}}}
 		}, promiseDrain},
 		"in its rest": {func(r *Record) {
-			e := EndpointRecord{Arrivals: []EndpointArrival{{Attempt: "a", Rest: 3 * time.Second}}}
+			e := EndpointRecord{Arrivals: []EndpointArrival{{Attempt: "a", RetryAfter: 3 * time.Second}}}
 			for i := range 3 {
 				e.Arrivals = append(e.Arrivals, EndpointArrival{At: time.Duration(i+1) * time.Second, Attempt: "c"})
 			}
 			r.Endpoints = []EndpointRecord{e}
 		}, promiseRest},
-		"a stop without end": {func(r *Record) { r.Overdue = []string{"entry-0"} }, promiseStop},
+		"a stop without end": {func(r *Record) { r.ProcessErrors = []string{"entry-0"} }, promiseStop},
 	} {
 		t.Run(name, func(t *testing.T) {
 			r := sound()
--- a/soaker/notice.go
+++ b/soaker/notice.go
@@ -47,11 +47,11 @@
 
 // EndpointArrival is a request at an endpoint and what the endpoint says in its answer. Times are from the plan's start.
 type EndpointArrival struct {
-	At      time.Duration
-	Attempt string
-	Limited bool
-	Leaving bool
-	Rest    time.Duration
+	At         time.Duration
+	Attempt    string
+	Limited    bool
+	Leaving    bool
+	RetryAfter time.Duration
 }
 
 // Limit is a limit from a time on; 0 ends one.
@@ -66,16 +66,16 @@
 	switch f := step.Fault.(type) {
 	case EndpointLimited:
 		endpoints[f.Endpoint].SetLimit(f.PerSecond)
-		_ = sleep(ctx, step.For+limitTime)
+		_ = sleep(ctx, step.Duration+limitTime)
 		endpoints[f.Endpoint].SetLimit(0)
 	case EndpointLeaves:
 		endpoints[f.Endpoint].SayLeaving()
-		_ = sleep(ctx, step.For+leaveTime)
+		_ = sleep(ctx, step.Duration+leaveTime)
 		endpoints[f.Endpoint].StartAgain()
 		w.setState(f.Endpoint, "in_service")
 	case EndpointRests:
-		endpoints[f.Endpoint].AskForRest(f.Rest)
-		_ = sleep(ctx, step.For)
+		endpoints[f.Endpoint].AskForRest(f.RetryAfter)
+		_ = sleep(ctx, step.Duration)
 		endpoints[f.Endpoint].AskForRest(0)
 	}
 }
@@ -87,7 +87,7 @@
 		r := EndpointRecord{ID: e.ID}
 		for _, a := range e.Arrivals() {
 			r.Arrivals = append(r.Arrivals, EndpointArrival{
-				At: a.At.Sub(began), Attempt: a.Attempt, Limited: a.Limited, Leaving: a.Leaving, Rest: a.Rest,
+				At: a.At.Sub(began), Attempt: a.Attempt, Limited: a.Limited, Leaving: a.Leaving, RetryAfter: a.Rest,
 			})
 		}
 		for _, l := range e.Limits() {
@@ -203,13 +203,13 @@
 	var found []Violation
 	for i, a := range c.endpoint.Arrivals {
 		attempt, known := c.attempts[a.Attempt]
-		if !known || a.Rest == 0 {
+		if !known || a.RetryAfter == 0 {
 			continue
 		}
 		n := 0
 		for _, later := range c.endpoint.Arrivals[i+1:] {
 			next, known := c.attempts[later.Attempt]
-			if !known || next.Entry != attempt.Entry || later.At < a.At+restTold || later.At > a.At+a.Rest {
+			if !known || next.Entry != attempt.Entry || later.At < a.At+restTold || later.At > a.At+a.RetryAfter {
 				continue
 			}
 			if c.calm(attempt.Entry, a.At, later.At) {
@@ -218,7 +218,7 @@
 		}
 		if n > restSlack {
 			found = append(found, Violation{promiseRest, fmt.Sprintf("%s asked entry-%d for %v of rest at %v and got %d requests from it",
-				c.endpoint.ID, attempt.Entry, a.Rest, a.At, n)})
+				c.endpoint.ID, attempt.Entry, a.RetryAfter, a.At, n)})
 		}
 	}
 	return found
--- a/soaker/plan.go
+++ b/soaker/plan.go
@@ -70,8 +70,8 @@
 
 // EndpointRests has an endpoint turn all away and ask for a time of rest.
 type EndpointRests struct {
-	Endpoint int
-	Rest     time.Duration
+	Endpoint   int
+	RetryAfter time.Duration
 }
 
 // EvacuateZone has the operator evacuate a zone, and take that back later.
@@ -119,7 +119,7 @@
 	return fmt.Sprintf("endpoint %d says that it leaves, and starts again", f.Endpoint)
 }
 func (f EndpointRests) String() string {
-	return fmt.Sprintf("endpoint %d refuses and asks for %v of rest", f.Endpoint, f.Rest)
+	return fmt.Sprintf("endpoint %d refuses and asks for %v of rest", f.Endpoint, f.RetryAfter)
 }
 func (f EvacuateZone) String() string { return "evacuation of " + f.Zone }
 func (f ConfigChange) String() string { return "configuration changes" }
@@ -136,13 +136,13 @@
 
 // Step is one fault of a plan.
 type Step struct {
-	// At is when it strikes, from the plan's start, and For how long it lasts.
-	At, For time.Duration
-	Fault   Fault
+	// At is when it strikes, from the plan's start, and Duration how long it lasts.
+	At, Duration time.Duration
+	Fault        Fault
 }
 
 func (s Step) String() string {
-	return fmt.Sprintf("%6.2f s for %4.2f s  %v", s.At.Seconds(), s.For.Seconds(), s.Fault)
+	return fmt.Sprintf("%6.2f s for %4.2f s  %v", s.At.Seconds(), s.Duration.Seconds(), s.Fault)
 }
 
 // PlanConfig says what a plan is for.
@@ -177,7 +177,7 @@
 // NewPlan draws a plan.
 func NewPlan(cfg PlanConfig) Plan {
 	rnd := rand.New(rand.NewPCG(cfg.Seed, 1))
-	plan := Plan{Last: Step{For: time.Duration(rnd.Int64N(int64(maxLast))), Fault: StoreOutage{How: imitator.Silent}}}
+	plan := Plan{Last: Step{Duration: time.Duration(rnd.Int64N(int64(maxLast))), Fault: StoreOutage{How: imitator.Silent}}}
 	plan.Steps = drawSteps(rnd, &cfg, meanGap, draw)
 	// Drawn from a stream of their own, notices leave the other faults of a seed as they are.
 	plan.Steps = append(plan.Steps, drawSteps(rand.New(rand.NewPCG(cfg.Seed, 2)), &cfg, meanNoticeGap, drawNotice)...)
@@ -193,7 +193,7 @@
 		if at >= cfg.Length {
 			return steps
 		}
-		steps = append(steps, Step{At: at, For: time.Duration(rnd.Int64N(int64(maxFor))), Fault: draw(rnd, cfg)})
+		steps = append(steps, Step{At: at, Duration: time.Duration(rnd.Int64N(int64(maxFor))), Fault: draw(rnd, cfg)})
 	}
 }
 
@@ -206,7 +206,7 @@
 	case 1:
 		return EndpointLeaves{Endpoint: endpoint}
 	default:
-		return EndpointRests{Endpoint: endpoint, Rest: []time.Duration{time.Second, 3 * time.Second}[rnd.IntN(2)]}
+		return EndpointRests{Endpoint: endpoint, RetryAfter: []time.Duration{time.Second, 3 * time.Second}[rnd.IntN(2)]}
 	}
 }
 
--- a/soaker/soaker.go
+++ b/soaker/soaker.go
@@ -20,8 +20,8 @@
 	Length time.Duration
 	// ConfigTime is within which a configuration must be in force that is written a second after the last fault.
 	ConfigTime time.Duration
-	// Settle is how long after the last fault everything must be in order again.
-	Settle time.Duration
+	// SettleTime is how long after the last fault everything must be in order again.
+	SettleTime time.Duration
 }
 
 // Result is what the play of one seed has shown.
@@ -38,8 +38,8 @@
 
 func (e *StartError) Error() string { return e.Entry + " was not ready in time" }
 
-// Play plays the plan of one seed.
-func Play(ctx context.Context, cfg Config) (Result, error) {
+// Run plays the plan of one seed.
+func Run(ctx context.Context, cfg Config) (Result, error) {
 	f, err := newFleet(&cfg)
 	if err != nil {
 		return Result{}, err
@@ -62,7 +62,7 @@
 	w.traffic.began = time.Now()
 	w.play(ctx, plan)
 	record := w.traffic.record(w.newest)
-	record.Overdue, record.Evacuations, record.Disturbed = w.overdue, w.evacuations, w.disturbed
+	record.ProcessErrors, record.Evacuations, record.Disturbed = w.overdue, w.evacuations, w.disturbed
 	record.Endpoints = endpointRecords(f.site, w.traffic.began)
 	r := Result{Seed: cfg.Seed, Faults: len(plan.Steps) + 1, Requests: len(record.Attempts), Violations: Check(record)}
 	for i := range record.Attempts {
--- a/soaker/soaker_test.go
+++ b/soaker/soaker_test.go
@@ -15,9 +15,9 @@
 	build.Dir = ".."
 	output, err := build.CombinedOutput()
 	require.NoError(t, err, string(output))
-	result, err := Play(t.Context(), Config{
+	result, err := Run(t.Context(), Config{
 		Seed: 2, Bin: bin, Dir: t.TempDir(), Entries: 3, Length: 6 * time.Second,
-		ConfigTime: 10 * time.Second, Settle: 14 * time.Second,
+		ConfigTime: 10 * time.Second, SettleTime: 14 * time.Second,
 	})
 	require.NoError(t, err)
 	require.Empty(t, result.Violations)
--- a/soaker/traffic.go
+++ b/soaker/traffic.go
@@ -77,7 +77,7 @@
 	e := t.fleet.entries[i]
 	_, boot := e.present()
 	k := kinds[kind%len(kinds)]
-	a := Attempt{ID: id, Entry: i, Boot: boot, Once: k.once, Sent: time.Since(t.began), Want: k.want(id), Phase: phase}
+	a := Attempt{ID: id, Entry: i, Incarnation: boot, AtMostOnce: k.once, Sent: time.Since(t.began), ExpectedBody: k.want(id), Phase: phase}
 	ctx, cancel := context.WithTimeout(context.Background(), 2*callerPatience)
 	defer cancel()
 	ask := imitator.Ask{
@@ -89,7 +89,7 @@
 	}
 	a.Ended = time.Since(t.began)
 	if _, now := e.present(); now != boot {
-		a.Boot = unknownBoot
+		a.Incarnation = unknownBoot
 	}
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -98,12 +98,12 @@
 
 // record gives all that was seen.
 func (t *traffic) record(newest int) *Record {
-	r := &Record{Attempts: t.attempts, Newest: newest}
+	r := &Record{Attempts: t.attempts, NewestVersion: newest}
 	for _, endpoint := range t.fleet.site.Endpoints {
 		for _, run := range endpoint.Runs() {
 			r.Executions = append(r.Executions, Execution{
 				Attempt: run.Attempt, Endpoint: endpoint.ID, Version: versionOf(run.Account()),
-				At: run.At.Sub(t.began), Evacuated: t.fleet.site.Zones[endpoint.ID] == evacuatedZone,
+				ReceivedAt: run.At.Sub(t.began), InEvacuatedZone: t.fleet.site.Zones[endpoint.ID] == evacuatedZone,
 			})
 		}
 	}
--- a/soaker/world.go
+++ b/soaker/world.go
@@ -106,7 +106,7 @@
 	w.configure()
 	_ = sleep(ctx, w.cfg.ConfigTime)
 	w.ask(phaseConfigured)
-	_ = sleep(ctx, time.Until(over.Add(w.cfg.Settle)))
+	_ = sleep(ctx, time.Until(over.Add(w.cfg.SettleTime)))
 	stop()
 	background.Wait()
 	w.ask(phaseSettled)
@@ -133,7 +133,7 @@
 
 // strike carries out one fault and ends it.
 func (w *world) strike(ctx context.Context, step Step) {
-	last := func() { _ = sleep(ctx, step.For) }
+	last := func() { _ = sleep(ctx, step.Duration) }
 	switch f := step.Fault.(type) {
 	case KillEntry:
 		w.onProcess(f.Entry, w.restart)
@@ -174,7 +174,7 @@
 		w.notify(ctx, step)
 	case EvacuateZone:
 		w.evacuate(f.Zone)
-		_ = sleep(ctx, step.For+evacuateTime)
+		_ = sleep(ctx, step.Duration+evacuateTime)
 		w.takeBack(f.Zone)
 	case ConfigChange:
 		w.configure()
