--- a/soaker/check.go
+++ b/soaker/check.go
@@ -8,70 +8,74 @@
 	"time"
 )
 
-// Attempt is one request as its caller saw it.
+// Attempt is one request and the response that its caller received.
 type Attempt struct {
 	ID    string
 	Entry int
-	// Incarnation counts the starts of the entry's process; unknownBoot where it started again meanwhile.
+	// Incarnation numbers the starts of the entry's process. It is unknownIncarnation if the process was restarted during the
+	// request.
 	Incarnation int
-	// AtMostOnce is set where the request must not run twice.
+	// AtMostOnce is set if the request must not run twice.
 	AtMostOnce bool
-	// Sent and Ended are from the plan's start.
+	// Sent and Ended are measured from the start of the plan.
 	Sent, Ended time.Duration
-	// Status is 0 where no whole answer came.
+	// Status is the HTTP status, or 0 if no complete response was received.
 	Status int
 	Body   string
 	Stamp  string
-	// ExpectedBody is the body of a whole answer.
+	// ExpectedBody is the body of a complete response.
 	ExpectedBody string
 	Phase        Phase
 }
 
-// Phase is a part of a play.
+// Phase is the part of a plan run in which a request is sent.
 type Phase int
 
-// The phases: while faults strike, once the last configuration must be in force, and once all must be in order.
+// The phases: while faults are injected, after the last configuration must be in force, and after everything must have
+// recovered.
 const (
 	phaseFaults Phase = iota
 	phaseConfigured
 	phaseSettled
 )
 
-// unknownBoot stands for either of two processes of an entry.
-const unknownBoot = -1
+// unknownIncarnation marks requests that either of two processes of an entry may have handled.
+const unknownIncarnation = -1
 
-// Execution is one run of a request at an endpoint.
+// Execution is one execution of a request at an endpoint.
 type Execution struct {
 	Attempt  string
 	Endpoint string
-	// Version is that of the configuration by which the request was handled.
+	// Version is the version of the configuration with which the entry handled the request.
 	Version int
-	// ReceivedAt is when the endpoint got the request, from the plan's start.
+	// ReceivedAt is when the endpoint received the request, measured from the start of the plan.
 	ReceivedAt time.Duration
-	// InEvacuatedZone is set at endpoints of the zone that is evacuated.
+	// InEvacuatedZone is set if the endpoint is in the zone that the plan evacuates.
 	InEvacuatedZone bool
 }
 
-// Span is a time from the plan's start: one in which a zone was evacuated, by the store's acknowledgements, while nothing
-// disturbed the store or an entry, or one in which an entry's process was disturbed.
+// Span is an interval measured from the start of the plan. In Record.Evacuations, it is one in which a zone was evacuated
+// according to the store's acknowledgements, while nothing disturbed the store or an entry. In Record.Disturbed, it is one
+// in which an entry's process was disturbed.
 type Span struct{ From, To time.Duration }
 
-// Record is all that was seen in the play of a plan.
+// Record holds everything observed while a plan ran.
 type Record struct {
 	Attempts   []Attempt
 	Executions []Execution
-	// Evacuations are the spans in which endpoints of the evacuated zone may get nothing.
+	// Evacuations are the spans in which endpoints of the evacuated zone must not receive requests.
 	Evacuations []Span
-	// NewestVersion is the version of the configuration at the end.
+	// NewestVersion is the last version of the configuration that was written.
 	NewestVersion int
-	// Endpoints are what the endpoints have got, Disturbed the times in which entries' processes were not left alone.
+	// Endpoints lists the requests that each endpoint received. Disturbed holds, by entry, the spans in which its process was
+	// ended, paused or started.
 	Endpoints []EndpointRecord
 	Disturbed map[int][]Span
-	// ProcessErrors are the entries whose planned stop took too long, or which did not start again.
+	// ProcessErrors describes planned stops that took too long and entries that could not be killed or restarted.
 	ProcessErrors []string
 }
 
-// Violation is one broken promise.
+// Violation is one broken promise of the system.
 type Violation struct {
 	Promise string
 	Detail  string
@@ -79,7 +83,7 @@
 
 func (v Violation) String() string { return v.Promise + ": " + v.Detail }
 
-// The promises.
+// The promises to callers and operators.
 const (
 	promiseWhole    = "whole answers to the caller's own request"
 	promiseOnce     = "at most once"
@@ -92,71 +96,71 @@
 	promiseOwn      = "only what callers sent"
 )
 
-// saysNotRun are the statuses that promise that a request has not run and never will.
-var saysNotRun = map[int]bool{
+// notRunStatuses are the HTTP statuses that promise that a request has not run and never will.
+var notRunStatuses = map[int]bool{
 	http.StatusTooManyRequests:    true,
 	http.StatusServiceUnavailable: true,
 	http.StatusRequestTimeout:     true,
 	http.StatusMisdirectedRequest: true,
 }
 
-// Check finds the promises that were broken.
+// Check returns the promises that were broken.
 func Check(r *Record) []Violation {
-	runs := make(map[string][]Execution)
+	executions := make(map[string][]Execution)
 	for _, e := range r.Executions {
-		runs[e.Attempt] = append(runs[e.Attempt], e)
+		executions[e.Attempt] = append(executions[e.Attempt], e)
 	}
-	var found []Violation
+	var violations []Violation
 	sent := make(map[string]bool, len(r.Attempts))
 	for i := range r.Attempts {
 		a := &r.Attempts[i]
 		sent[a.ID] = true
-		found = append(found, checkAttempt(a, runs[a.ID], r.NewestVersion)...)
+		violations = append(violations, checkAttempt(a, executions[a.ID], r.NewestVersion)...)
 	}
 	for i := range r.Executions {
-		found = append(found, checkZone(&r.Executions[i], r.Evacuations)...)
+		violations = append(violations, checkZone(&r.Executions[i], r.Evacuations)...)
 	}
-	for id := range runs {
+	for id := range executions {
 		if !sent[id] {
-			found = append(found, Violation{promiseOwn, id + " ran and no caller sent it"})
+			violations = append(violations, Violation{promiseOwn, id + " ran and no caller sent it"})
 		}
 	}
 	for _, name := range r.ProcessErrors {
-		found = append(found, Violation{promiseStop, name})
+		violations = append(violations, Violation{promiseStop, name})
 	}
-	found = append(found, checkNotices(r)...)
-	return append(found, checkForward(r.Attempts, runs)...)
+	violations = append(violations, checkNotices(r)...)
+	return append(violations, checkForward(r.Attempts, executions)...)
 }
 
-func checkAttempt(a *Attempt, runs []Execution, newest int) []Violation {
-	var found []Violation
+func checkAttempt(a *Attempt, executions []Execution, newest int) []Violation {
+	var violations []Violation
 	add := func(promise, format string, args ...any) {
-		found = append(found, Violation{promise, a.ID + " " + fmt.Sprintf(format, args...)})
+		violations = append(violations, Violation{promise, a.ID + " " + fmt.Sprintf(format, args...)})
 	}
-	if a.Status == http.StatusOK && (a.Body != a.ExpectedBody || a.Stamp == "" || len(runs) == 0) {
+	if a.Status == http.StatusOK && (a.Body != a.ExpectedBody || a.Stamp == "" || len(executions) == 0) {
 		add(promiseWhole, "got %q of %q", a.Body, a.ExpectedBody)
 	}
-	if a.AtMostOnce && len(runs) > 1 {
-		add(promiseOnce, "ran %d times", len(runs))
+	if a.AtMostOnce && len(executions) > 1 {
+		add(promiseOnce, "ran %d times", len(executions))
 	}
-	if a.AtMostOnce && saysNotRun[a.Status] && len(runs) > 0 {
+	if a.AtMostOnce && notRunStatuses[a.Status] && len(executions) > 0 {
 		add(promiseTruth, "ran and was answered %d", a.Status)
 	}
 	if a.Phase == phaseFaults {
-		return found
+		return violations
 	}
 	if a.Phase == phaseSettled && a.Status != http.StatusOK {
 		add(promiseRecovery, "was answered %d after the last fault", a.Status)
 	}
-	for _, run := range runs {
-		if run.Version < newest {
-			add(promiseCurrent, "was handled by version %d at entry-%d, the newest is %d", run.Version, a.Entry, newest)
+	for _, execution := range executions {
+		if execution.Version < newest {
+			add(promiseCurrent, "was handled by version %d at entry-%d, the newest is %d", execution.Version, a.Entry, newest)
 		}
 	}
-	return found
+	return violations
 }
 
-// checkZone holds a run against the evacuations.
+// checkZone reports an execution in the evacuated zone during one of the evacuations.
 func checkZone(e *Execution, evacuations []Span) []Violation {
 	if !e.InEvacuatedZone {
 		return nil
@@ -169,30 +173,31 @@
 	return nil
 }
 
-// checkForward compares the versions by which one process handled requests that followed each other.
-func checkForward(attempts []Attempt, runs map[string][]Execution) []Violation {
-	type process struct{ entry, boot int }
-	ended := make(map[process][]*Attempt)
-	for i := range attempts {
-		a := &attempts[i]
-		if a.Incarnation != unknownBoot && len(runs[a.ID]) > 0 && a.Status == http.StatusOK {
-			ended[process{a.Entry, a.Incarnation}] = append(ended[process{a.Entry, a.Incarnation}], a)
+// checkForward checks that no process handled a request with an older configuration version than that of a request that had
+// ended before this one was sent.
+func checkForward(all []Attempt, executions map[string][]Execution) []Violation {
+	type process struct{ entry, incarnation int }
+	byProcess := make(map[process][]*Attempt)
+	for i := range all {
+		a := &all[i]
+		if a.Incarnation != unknownIncarnation && len(executions[a.ID]) > 0 && a.Status == http.StatusOK {
+			byProcess[process{a.Entry, a.Incarnation}] = append(byProcess[process{a.Entry, a.Incarnation}], a)
 		}
 	}
-	var found []Violation
-	for p, list := range ended {
-		byEnd := slices.SortedFunc(slices.Values(list), func(a, b *Attempt) int { return cmp.Compare(a.Ended, b.Ended) })
-		slices.SortFunc(list, func(a, b *Attempt) int { return cmp.Compare(a.Sent, b.Sent) })
-		highest, next := 0, 0
-		for _, a := range list {
+	var violations []Violation
+	for p, attempts := range byProcess {
+		byEnd := slices.SortedFunc(slices.Values(attempts), func(a, b *Attempt) int { return cmp.Compare(a.Ended, b.Ended) })
+		slices.SortFunc(attempts, func(a, b *Attempt) int { return cmp.Compare(a.Sent, b.Sent) })
+		highestVersion, next := 0, 0
+		for _, a := range attempts {
 			for ; next < len(byEnd) && byEnd[next].Ended <= a.Sent; next++ {
-				highest = max(highest, runs[byEnd[next].ID][0].Version)
+				highestVersion = max(highestVersion, executions[byEnd[next].ID][0].Version)
 			}
-			if version := runs[a.ID][0].Version; version < highest {
-				found = append(found, Violation{promiseForward, fmt.Sprintf(
-					"%s was handled by version %d at entry-%d, which had used %d", a.ID, version, p.entry, highest)})
+			if version := executions[a.ID][0].Version; version < highestVersion {
+				violations = append(violations, Violation{promiseForward, fmt.Sprintf(
+					"%s was handled by version %d at entry-%d, which had used %d", a.ID, version, p.entry, highestVersion)})
 			}
 		}
 	}
-	return found
+	return violations
 }
--- a/soaker/check_test.go
+++ b/soaker/check_test.go
@@ -8,8 +8,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// sound is a record in which every promise holds.
-func sound() *Record {
+// validRecord returns a record in which every promise holds.
+func validRecord() *Record {
 	at := func(ms int) time.Duration { return time.Duration(ms) * time.Millisecond }
 	return &Record{
 		Attempts: []Attempt{
@@ -26,62 +26,64 @@
 	}
 }
 
-// Each planted fault must be found, or the check guards nothing.
+// TestPlantedFaultsAreFound guards against a check that never fails: each violation injected into a valid record must be
+// reported.
 func TestPlantedFaultsAreFound(t *testing.T) {
-	require.Empty(t, Check(sound()))
+	require.Empty(t, Check(validRecord()))
 	for name, tc := range map[string]struct {
-		plant func(r *Record)
-		want  string
+		inject func(r *Record)
+		want   string
 	}{
-		"another's answer":    {func(r *Record) { r.Attempts[0].Body = "y" }, promiseWhole},
-		"half an answer":      {func(r *Record) { r.Attempts[2].Body = "" }, promiseWhole},
-		"an answer of no run": {func(r *Record) { r.Executions = r.Executions[1:] }, promiseWhole},
-		"no stamp":            {func(r *Record) { r.Attempts[2].Stamp = "" }, promiseWhole},
-		"run twice":           {func(r *Record) { r.Executions = append(r.Executions, Execution{Attempt: "a", Version: 2}) }, promiseOnce},
-		"not run, but it ran": {func(r *Record) { r.Executions = append(r.Executions, Execution{Attempt: "b", Version: 2}) }, promiseTruth},
-		"nobody's request":    {func(r *Record) { r.Executions = append(r.Executions, Execution{Attempt: "f"}) }, promiseOwn},
-		"an older version":    {func(r *Record) { r.Executions[0].Version = 3 }, promiseForward},
-		"late configuration":  {func(r *Record) { r.NewestVersion = 3 }, promiseCurrent},
-		"late for its time": {func(r *Record) {
+		"answer of another request":           {func(r *Record) { r.Attempts[0].Body = "y" }, promiseWhole},
+		"incomplete answer":                   {func(r *Record) { r.Attempts[2].Body = "" }, promiseWhole},
+		"answer without an execution":         {func(r *Record) { r.Executions = r.Executions[1:] }, promiseWhole},
+		"missing stamp":                       {func(r *Record) { r.Attempts[2].Stamp = "" }, promiseWhole},
+		"executed twice":                      {func(r *Record) { r.Executions = append(r.Executions, Execution{Attempt: "a", Version: 2}) }, promiseOnce},
+		"reported as not run but executed":    {func(r *Record) { r.Executions = append(r.Executions, Execution{Attempt: "b", Version: 2}) }, promiseTruth},
+		"request of no caller":                {func(r *Record) { r.Executions = append(r.Executions, Execution{Attempt: "f"}) }, promiseOwn},
+		"older configuration version":         {func(r *Record) { r.Executions[0].Version = 3 }, promiseForward},
+		"outdated configuration when settled": {func(r *Record) { r.NewestVersion = 3 }, promiseCurrent},
+		"outdated configuration after the last change": {func(r *Record) {
 			r.NewestVersion, r.Attempts[4].Phase = 3, phaseConfigured
 		}, promiseCurrent},
-		"refused after faults": {func(r *Record) { r.Attempts[4].Status = http.StatusServiceUnavailable }, promiseRecovery},
-		"an evacuated zone": {func(r *Record) {
+		"refused after the last fault": {func(r *Record) { r.Attempts[4].Status = http.StatusServiceUnavailable }, promiseRecovery},
+		"request to an evacuated zone": {func(r *Record) {
 			r.Evacuations = []Span{{From: time.Second, To: 2 * time.Second}}
 			r.Executions[0].InEvacuatedZone, r.Executions[0].ReceivedAt = true, 1500*time.Millisecond
 		}, promiseZone},
-		"over its limit": {func(r *Record) {
+		"endpoint limit exceeded": {func(r *Record) {
 			e := EndpointRecord{ID: "x", Limits: []Limit{{At: 0, PerSecond: 1}}}
 			for i := range 12 {
-				e.Arrivals = append(e.Arrivals, EndpointArrival{At: limitContact + time.Duration(i)*100*time.Millisecond, Attempt: "a", Limited: true})
+				e.Arrivals = append(e.Arrivals, EndpointArrival{At: limitSettleTime + time.Duration(i)*100*time.Millisecond, Attempt: "a", Limited: true})
 			}
 			e.Arrivals = append([]EndpointArrival{{At: 0, Attempt: "a", Limited: true}}, e.Arrivals...)
 			r.Endpoints = []EndpointRecord{e}
 		}, promiseLimit},
-		"after its leave": {func(r *Record) {
+		"request to a leaving endpoint": {func(r *Record) {
 			r.Attempts[2].Sent = 3 * time.Second
 			r.Endpoints = []EndpointRecord{{Arrivals: []EndpointArrival{{Attempt: "a", Leaving: true}, {At: 3 * time.Second, Attempt: "c", Leaving: true}}}}
 		}, promiseDrain},
-		"in its rest": {func(r *Record) {
+		"requests before the retry delay has passed": {func(r *Record) {
 			e := EndpointRecord{Arrivals: []EndpointArrival{{Attempt: "a", RetryAfter: 3 * time.Second}}}
 			for i := range 3 {
 				e.Arrivals = append(e.Arrivals, EndpointArrival{At: time.Duration(i+1) * time.Second, Attempt: "c"})
 			}
 			r.Endpoints = []EndpointRecord{e}
 		}, promiseRest},
-		"a stop without end": {func(r *Record) { r.ProcessErrors = []string{"entry-0"} }, promiseStop},
+		"planned stop timed out": {func(r *Record) { r.ProcessErrors = []string{"entry-0"} }, promiseStop},
 	} {
 		t.Run(name, func(t *testing.T) {
-			r := sound()
-			tc.plant(r)
-			found := Check(r)
-			require.NotEmpty(t, found)
-			require.Equal(t, tc.want, found[0].Promise)
+			r := validRecord()
+			tc.inject(r)
+			violations := Check(r)
+			require.NotEmpty(t, violations)
+			require.Equal(t, tc.want, violations[0].Promise)
 		})
 	}
 }
 
-func TestAPlanFollowsFromItsSeed(t *testing.T) {
+// TestPlanIsReproducible checks that a seed always yields the same plan, and another seed another one.
+func TestPlanIsReproducible(t *testing.T) {
 	cfg := PlanConfig{Seed: 7, Entries: 3, Endpoints: 8, Length: time.Minute}
 	plan := NewPlan(cfg)
 	require.Equal(t, plan, NewPlan(cfg))
--- a/soaker/fleet.go
+++ b/soaker/fleet.go
@@ -13,36 +13,37 @@
 )
 
 const (
-	// restartPause is how long after its end a process is started again.
-	restartPause = 200 * time.Millisecond
-	// stopGrace is how long a planned stop may take: the platform's grace and a second for a busy machine.
-	stopGrace = 9 * time.Second
+	// restartDelay is the delay between the end of a process and its restart.
+	restartDelay = 200 * time.Millisecond
+	// stopTimeout bounds a planned stop: the platform's grace period plus a second for a busy machine.
+	stopTimeout = 9 * time.Second
 )
 
-// entry is one entry's process, started again after each end, and the relays around it.
+// entry is an entry's process, which is restarted each time it ends, and the relays in front of and behind it.
 type entry struct {
 	name      string
 	settings  string
 	binary    string
 	dir       string
 	listening imitator.Listening
-	// store and callers relay its connections to the store and those of callers.
-	store, callers *relayer.Relay
+	// storeRelay relays the entry's connections to the store, callerRelay those of callers to the entry.
+	storeRelay, callerRelay *relayer.Relay
 
 	mu      sync.Mutex
 	process *starter.Process
-	boot    int
-	// busy is set while a fault of the process is under way.
-	busy bool
+	// incarnation counts the starts of the process.
+	incarnation int
+	// faultActive is set while a fault is being injected into the process.
+	faultActive bool
 }
 
-// fleet is entries before one site of stand-ins.
+// fleet is a set of entries that share one site of simulated dependencies.
 type fleet struct {
 	site    *imitator.Site
 	entries []*entry
 }
 
-// newFleet starts the entries.
+// newFleet creates the site and starts the entries.
 func newFleet(cfg *Config) (*fleet, error) {
 	f := &fleet{site: imitator.NewSite()}
 	var seeds []string
@@ -59,7 +60,7 @@
 	return f, nil
 }
 
-// maxSeeds is how many other entries' addresses the settings name.
+// maxSeeds is how many peer addresses an entry's settings contain.
 const maxSeeds = 2
 
 func (f *fleet) add(cfg *Config, name string, seeds []string) (*entry, error) {
@@ -69,14 +70,14 @@
 	if e.listening, err = imitator.FreeListening(); err != nil {
 		return nil, err
 	}
-	if e.store, err = relayer.New(f.site.Store.Address()); err != nil {
+	if e.storeRelay, err = relayer.New(f.site.Store.Address()); err != nil {
 		return nil, err
 	}
-	if e.callers, err = relayer.New(e.listening.Callers); err != nil {
+	if e.callerRelay, err = relayer.New(e.listening.Callers); err != nil {
 		return nil, err
 	}
 	e.settings, err = f.site.WriteSettings(cfg.Dir, imitator.EntrySettings{
-		Name: name, Seeds: seeds, StoreAddress: e.store.Address(), Listening: e.listening,
+		Name: name, Seeds: seeds, StoreAddress: e.storeRelay.Address(), Listening: e.listening,
 	})
 	if err != nil {
 		return nil, err
@@ -84,7 +85,7 @@
 	return e, e.start()
 }
 
-// start starts the process once more.
+// start starts a new process and increments the incarnation.
 func (e *entry) start() error {
 	process, err := starter.StartForward(e.binary, e.dir, e.name, platform.SettingsVariable, e.settings)
 	if err != nil {
@@ -93,43 +94,43 @@
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.process = process
-	e.boot++
+	e.incarnation++
 	return nil
 }
 
-// present gives the process and its number among the entry's starts.
-func (e *entry) present() (*starter.Process, int) {
+// current returns the process and its incarnation.
+func (e *entry) current() (*starter.Process, int) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	return e.process, e.boot
+	return e.process, e.incarnation
 }
 
-// take reserves the process for one fault, unless another one has it.
-func (e *entry) take() bool {
+// tryAcquire reserves the process for one fault. It returns false if another fault is active.
+func (e *entry) tryAcquire() bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	if e.busy {
+	if e.faultActive {
 		return false
 	}
-	e.busy = true
+	e.faultActive = true
 	return true
 }
 
 func (e *entry) release() {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.busy = false
+	e.faultActive = false
 }
 
-// close ends all that the fleet has started.
+// close ends the processes, the relays and the site.
 func (f *fleet) close() {
 	for _, e := range f.entries {
-		if process, _ := e.present(); process != nil {
-			// It may have ended already.
+		if process, _ := e.current(); process != nil {
+			// The process may have ended already.
 			_ = process.Thaw()
 			_ = process.Kill()
 		}
-		for _, relay := range []*relayer.Relay{e.store, e.callers} {
+		for _, relay := range []*relayer.Relay{e.storeRelay, e.callerRelay} {
 			if relay != nil {
 				_ = relay.Close()
 			}
--- a/soaker/plan.go
+++ b/soaker/plan.go
@@ -1,5 +1,5 @@
-// Package soaker plays random faults against entries that run as separate processes, and checks what callers and endpoints
-// see. A plan follows from its seed alone, is written before it is played, and can be played again.
+// Package soaker injects random faults into entries that run as separate processes and checks what callers and endpoints
+// observe. A plan depends only on its seed and is written to a file before it runs, so that a run can be repeated.
 package soaker
 
 import (
@@ -13,68 +13,69 @@
 	"geraniumline/relayer"
 )
 
-// Fault is one thing that goes wrong, or is done on purpose, in a plan.
+// Fault is a failure or an operator action that a plan injects.
 type Fault interface {
 	fmt.Stringer
 	fault()
 }
 
-// KillEntry ends an entry's process at once; it starts again.
+// KillEntry kills an entry's process, which is then restarted.
 type KillEntry struct{ Entry int }
 
-// PauseEntry stops an entry's process in its tracks.
+// PauseEntry suspends an entry's process for the duration of the step.
 type PauseEntry struct{ Entry int }
 
-// StopEntry stops an entry as planned; it starts again.
+// StopEntry stops an entry's process as planned, after which it is restarted.
 type StopEntry struct{ Entry int }
 
-// StoreOutage has the store fail for all.
+// StoreOutage makes the store fail for all entries.
 type StoreOutage struct{ How imitator.Outage }
 
-// StoreReturn has the store fall silent and return from an older copy.
+// StoreReturn makes the store stop responding and then restores it from an older copy.
 type StoreReturn struct{}
 
-// StoreForgets drops the store's history.
+// StoreForgets drops the history of the operator's records in the store.
 type StoreForgets struct{}
 
-// CutStore harms the connections between one entry and the store.
+// CutStore disrupts the connections between one entry and the store.
 type CutStore struct {
 	Entry int
 	How   relayer.Mode
 }
 
-// CutCallers harms the connections between callers and one entry.
+// CutCallers disrupts the connections between callers and one entry.
 type CutCallers struct {
 	Entry int
 	How   relayer.Mode
 }
 
-// EndpointFails has the next requests at an endpoint meet a fault.
+// EndpointFails makes the next requests at an endpoint fail in a given way.
 type EndpointFails struct {
 	Endpoint int
 	How      imitator.Fault
 	Requests int
 }
 
-// EndpointDrains takes an endpoint out of service.
+// EndpointDrains marks an endpoint as draining for the duration of the step.
 type EndpointDrains struct{ Endpoint int }
 
-// EndpointLimited has an endpoint name a limit in its answers.
+// EndpointLimited makes an endpoint state a limit, in requests per second, in its responses.
 type EndpointLimited struct {
 	Endpoint  int
 	PerSecond float64
 }
 
-// EndpointLeaves has an endpoint say in its answers that it leaves, while the store says nothing of it; it starts again.
+// EndpointLeaves makes an endpoint say in its responses that it leaves, while its record in the store doesn't change. The
+// endpoint then restarts.
 type EndpointLeaves struct{ Endpoint int }
 
-// EndpointRests has an endpoint turn all away and ask for a time of rest.
+// EndpointRests makes an endpoint refuse all requests and ask callers to wait before they retry.
 type EndpointRests struct {
 	Endpoint   int
 	RetryAfter time.Duration
 }
 
-// EvacuateZone has the operator evacuate a zone, and take that back later.
+// EvacuateZone makes the operator evacuate a zone and later revoke the evacuation.
 type EvacuateZone struct{ Zone string }
 
 // ConfigChange writes a new version of the configuration.
@@ -134,9 +135,9 @@
 	}
 )
 
-// Step is one fault of a plan.
+// Step is one fault of a plan with its time.
 type Step struct {
-	// At is when it strikes, from the plan's start, and Duration how long it lasts.
+	// At is when the fault begins, measured from the start of the plan. Duration is how long it lasts.
 	At, Duration time.Duration
 	Fault        Fault
 }
@@ -145,59 +146,60 @@
 	return fmt.Sprintf("%6.2f s for %4.2f s  %v", s.At.Seconds(), s.Duration.Seconds(), s.Fault)
 }
 
-// PlanConfig says what a plan is for.
+// PlanConfig holds the seed and the size of the fleet for which a plan is drawn.
 type PlanConfig struct {
 	Seed      uint64
 	Entries   int
 	Endpoints int
-	// Length is until when faults begin.
+	// Length is the period, from the start of the plan, in which faults begin.
 	Length time.Duration
 }
 
 const (
-	// meanGap is the mean time between two faults, maxFor the longest time that one lasts: several overlap.
-	meanGap = 700 * time.Millisecond
+	// meanFaultGap is the mean time between the starts of two faults, maxFaultDuration the upper bound of a fault's duration.
+	// Several faults overlap.
+	meanFaultGap = 700 * time.Millisecond
 	// meanNoticeGap is the mean time between two notices of endpoints.
-	meanNoticeGap = 1200 * time.Millisecond
-	maxFor        = 3 * time.Second
-	// maxLast is the longest time of a plan's last outage.
-	maxLast = 7 * time.Second
-	// maxFailing bounds the requests that one fault of an endpoint strikes.
-	maxFailing = 6
+	meanNoticeGap    = 1200 * time.Millisecond
+	maxFaultDuration = 3 * time.Second
+	// maxFinalOutage is the upper bound of the duration of a plan's final outage.
+	maxFinalOutage = 7 * time.Second
+	// maxFailingRequests bounds the requests that fail by one EndpointFails.
+	maxFailingRequests = 6
 )
 
-// Plan is the faults of one seed.
+// Plan holds the faults drawn from one seed, ordered by time.
 type Plan struct {
 	Steps []Step
-	// Last strikes alone, once all others have ended and just after a change of the configuration, which sets off the
-	// readings of all entries at the same moment.
+	// Last begins alone, after all other faults have ended and just after a change of the configuration, which makes all
+	// entries read the store at the same moment.
 	Last Step
 }
 
-// NewPlan draws a plan.
+// NewPlan draws the plan of a seed.
 func NewPlan(cfg PlanConfig) Plan {
 	rnd := rand.New(rand.NewPCG(cfg.Seed, 1))
-	plan := Plan{Last: Step{Duration: time.Duration(rnd.Int64N(int64(maxLast))), Fault: StoreOutage{How: imitator.Silent}}}
-	plan.Steps = drawSteps(rnd, &cfg, meanGap, draw)
-	// Drawn from a stream of their own, notices leave the other faults of a seed as they are.
+	plan := Plan{Last: Step{Duration: time.Duration(rnd.Int64N(int64(maxFinalOutage))), Fault: StoreOutage{How: imitator.Silent}}}
+	plan.Steps = drawSteps(rnd, &cfg, meanFaultGap, drawFault)
+	// Notices are drawn from a separate random stream so that they do not change the other faults of a seed.
 	plan.Steps = append(plan.Steps, drawSteps(rand.New(rand.NewPCG(cfg.Seed, 2)), &cfg, meanNoticeGap, drawNotice)...)
 	slices.SortStableFunc(plan.Steps, func(a, b Step) int { return cmp.Compare(a.At, b.At) })
 	return plan
 }
 
-// drawSteps draws faults that begin with a mean time between two.
-func drawSteps(rnd *rand.Rand, cfg *PlanConfig, gap time.Duration, draw func(*rand.Rand, *PlanConfig) Fault) []Step {
+// drawSteps draws faults whose starts are a mean time of gap apart.
+func drawSteps(rnd *rand.Rand, cfg *PlanConfig, gap time.Duration, drawFault func(*rand.Rand, *PlanConfig) Fault) []Step {
 	var steps []Step
 	for at := time.Duration(0); ; {
 		at += time.Duration(rnd.Int64N(int64(2 * gap)))
 		if at >= cfg.Length {
 			return steps
 		}
-		steps = append(steps, Step{At: at, Duration: time.Duration(rnd.Int64N(int64(maxFor))), Fault: draw(rnd, cfg)})
+		steps = append(steps, Step{At: at, Duration: time.Duration(rnd.Int64N(int64(maxFaultDuration))), Fault: drawFault(rnd, cfg)})
 	}
 }
 
-// drawNotice gives something that an endpoint says in its answers.
+// drawNotice draws a notice that an endpoint includes in its responses.
 func drawNotice(rnd *rand.Rand, cfg *PlanConfig) Fault {
 	endpoint := rnd.IntN(cfg.Endpoints)
 	switch rnd.IntN(3) {
@@ -210,8 +212,9 @@
 	}
 }
 
-// draw gives any fault. Changes of the configuration come often, so that they meet the others.
-func draw(rnd *rand.Rand, cfg *PlanConfig) Fault {
+// drawFault draws any fault other than a notice. Changes of the configuration are frequent so that they coincide with other
+// faults.
+func drawFault(rnd *rand.Rand, cfg *PlanConfig) Fault {
 	entry, endpoint := rnd.IntN(cfg.Entries), rnd.IntN(cfg.Endpoints)
 	mode := []relayer.Mode{relayer.Closed, relayer.Stalled, relayer.NoReplies}[rnd.IntN(3)]
 	switch rnd.IntN(18) {
@@ -238,7 +241,7 @@
 			imitator.Full, imitator.Broken, imitator.Hanging, imitator.Erring, imitator.Doubling, imitator.Unframed,
 			imitator.Halved,
 		}[rnd.IntN(7)]
-		return EndpointFails{Endpoint: endpoint, How: how, Requests: 1 + rnd.IntN(maxFailing)}
+		return EndpointFails{Endpoint: endpoint, How: how, Requests: 1 + rnd.IntN(maxFailingRequests)}
 	case 12, 13:
 		return EvacuateZone{Zone: evacuatedZone}
 	default:
@@ -246,5 +249,5 @@
 	}
 }
 
-// evacuatedZone is where half of the endpoints are, and the zone that is evacuated.
+// evacuatedZone is the zone that a plan evacuates. Half of the endpoints are in it.
 const evacuatedZone = imitator.ZoneB
--- a/soaker/soaker.go
+++ b/soaker/soaker.go
@@ -10,21 +10,21 @@
 	"time"
 )
 
-// Config says what one seed is played with.
+// Config holds the settings for the run of one seed.
 type Config struct {
 	Seed uint64
-	// Bin is the folder with the program, Dir one for the plan, settings and logs.
+	// Bin is the directory of the program, Dir the one for the plan, settings and logs.
 	Bin, Dir string
 	Entries  int
-	// Length is until when faults begin.
+	// Length is the period, from the start of the plan, in which faults begin.
 	Length time.Duration
-	// ConfigTime is within which a configuration must be in force that is written a second after the last fault.
+	// ConfigTime is the time within which a configuration that is written a second after the last fault must be in force.
 	ConfigTime time.Duration
-	// SettleTime is how long after the last fault everything must be in order again.
+	// SettleTime is the time after the last fault within which everything must have recovered.
 	SettleTime time.Duration
 }
 
-// Result is what the play of one seed has shown.
+// Result summarizes the run of one seed.
 type Result struct {
 	Seed       uint64
 	Faults     int
@@ -33,12 +33,13 @@
 	Violations []Violation
 }
 
-// StartError tells that the entries were not ready in time.
+// StartError reports that an entry was not ready in time.
 type StartError struct{ Entry string }
 
 func (e *StartError) Error() string { return e.Entry + " was not ready in time" }
 
-// Run plays the plan of one seed.
+// Run draws and runs the plan of one seed on a new fleet. It returns a StartError if an entry does not become ready in time;
+// broken promises are not errors but part of the result.
 func Run(ctx context.Context, cfg Config) (Result, error) {
 	f, err := newFleet(&cfg)
 	if err != nil {
@@ -46,7 +47,7 @@
 	}
 	defer f.close()
 	plan := NewPlan(PlanConfig{Seed: cfg.Seed, Entries: cfg.Entries, Endpoints: len(f.site.Endpoints), Length: cfg.Length})
-	if err := write(plan, cfg.Dir); err != nil {
+	if err := writePlan(plan, cfg.Dir); err != nil {
 		return Result{}, err
 	}
 	for i, e := range f.site.Endpoints {
@@ -54,16 +55,16 @@
 			f.site.Move(e.ID, serviceOf(e), evacuatedZone)
 		}
 	}
-	w := &world{cfg: cfg, fleet: f, traffic: &traffic{fleet: f}, disturbed: make(map[int][]Span)}
-	w.configure()
+	w := &planRunner{cfg: cfg, fleet: f, traffic: &traffic{fleet: f}, disturbed: make(map[int][]Span)}
+	w.writeConfiguration()
 	if err := w.awaitReady(ctx); err != nil {
 		return Result{}, err
 	}
-	w.traffic.began = time.Now()
-	w.play(ctx, plan)
-	record := w.traffic.record(w.newest)
-	record.ProcessErrors, record.Evacuations, record.Disturbed = w.overdue, w.evacuations, w.disturbed
-	record.Endpoints = endpointRecords(f.site, w.traffic.began)
+	w.traffic.startedAt = time.Now()
+	w.run(ctx, plan)
+	record := w.traffic.record(w.newestVersion)
+	record.ProcessErrors, record.Evacuations, record.Disturbed = w.processErrors, w.evacuations, w.disturbed
+	record.Endpoints = endpointRecords(f.site, w.traffic.startedAt)
 	r := Result{Seed: cfg.Seed, Faults: len(plan.Steps) + 1, Requests: len(record.Attempts), Violations: Check(record)}
 	for i := range record.Attempts {
 		if record.Attempts[i].Status == http.StatusOK {
@@ -73,8 +74,8 @@
 	return r, ctx.Err()
 }
 
-// write keeps the plan beside the logs.
-func write(plan Plan, dir string) error {
+// writePlan writes the plan to the directory of the logs.
+func writePlan(plan Plan, dir string) error {
 	var text strings.Builder
 	for _, step := range plan.Steps {
 		fmt.Fprintln(&text, step)
--- a/soaker/soaker_test.go
+++ b/soaker/soaker_test.go
@@ -8,7 +8,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-// TestShortSoak plays one seed on real processes. The times to settle are those of a busy machine.
+// TestShortSoak runs one seed on real processes. Its recovery times allow for a busy machine.
 func TestShortSoak(t *testing.T) {
 	bin := t.TempDir()
 	build := exec.Command("go", "build", "-o", bin, "./cmd/geraniumline")
--- a/soaker/traffic.go
+++ b/soaker/traffic.go
@@ -13,110 +13,111 @@
 )
 
 const (
-	// mostPerSecond bounds the requests a second of all callers together, by the wait of a caller between two requests: the
-	// stand-ins of all endpoints run in one process.
-	mostPerSecond = 500
-	// callerPatience is a caller's deadline.
-	callerPatience = 2 * time.Second
-	// callersPerEntry is how many callers hold a connection to each entry.
+	// maxRequestsPerSecond bounds the request rate of all callers together, through the interval between two requests of a
+	// caller: the simulated endpoints all run in one process.
+	maxRequestsPerSecond = 500
+	// callerDeadline is the deadline of a request.
+	callerDeadline = 2 * time.Second
+	// callersPerEntry is how many callers are connected to each entry.
 	callersPerEntry = 2
 )
 
-// callerPause is the wait of a caller between two requests before so many entries.
-func callerPause(entries int) time.Duration {
-	return time.Duration(entries*callersPerEntry) * time.Second / mostPerSecond
+// callerInterval returns the pause of a caller between two requests for a number of entries.
+func callerInterval(entries int) time.Duration {
+	return time.Duration(entries*callersPerEntry) * time.Second / maxRequestsPerSecond
 }
 
-// kinds are the requests that callers send in turn.
-var kinds = []struct {
-	path string
-	once bool
-	// pieces are the numbers of pieces of the stages.
-	pieces string
-	want   func(id string) string
+// requestKinds are the kinds of requests that callers send in turn.
+var requestKinds = []struct {
+	path       string
+	atMostOnce bool
+	// pieces holds the number of pieces of each stage.
+	pieces       string
+	expectedBody func(id string) string
 }{
-	{path: imitator.PlainPath, want: imitator.PlainAnswer},
-	{path: imitator.OncePath, once: true, want: imitator.PlainAnswer},
-	{path: imitator.StreamPath, once: true, want: imitator.StreamAnswer},
-	{path: imitator.ResumePath, want: imitator.StreamAnswer},
-	{path: imitator.StagesPath, once: true, pieces: "3,2", want: imitator.StreamAnswer},
+	{path: imitator.PlainPath, expectedBody: imitator.PlainAnswer},
+	{path: imitator.OncePath, atMostOnce: true, expectedBody: imitator.PlainAnswer},
+	{path: imitator.StreamPath, atMostOnce: true, expectedBody: imitator.StreamAnswer},
+	{path: imitator.ResumePath, expectedBody: imitator.StreamAnswer},
+	{path: imitator.StagesPath, atMostOnce: true, pieces: "3,2", expectedBody: imitator.StreamAnswer},
 }
 
-// traffic is what callers send, and what they were answered.
+// traffic sends the requests of callers and records their outcomes.
 type traffic struct {
-	fleet *fleet
-	began time.Time
+	fleet     *fleet
+	startedAt time.Time
 
 	mu       sync.Mutex
 	attempts []Attempt
 }
 
-// run lets callers send until the context ends.
+// run makes callers send requests until the context ends.
 func (t *traffic) run(ctx context.Context) {
 	var callers sync.WaitGroup
 	for i := range t.fleet.entries {
 		for n := range callersPerEntry {
-			callers.Go(func() { t.call(ctx, i, n) })
+			callers.Go(func() { t.runCaller(ctx, i, n) })
 		}
 	}
 	callers.Wait()
 }
 
-// call is one caller, which keeps its connection for as long as it is open.
-func (t *traffic) call(ctx context.Context, entry, caller int) {
+// runCaller sends the requests of one caller, which reuses its connection for as long as it is open.
+func (t *traffic) runCaller(ctx context.Context, entry, caller int) {
 	client := &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 1}}
 	defer client.CloseIdleConnections()
 	for n := 0; ctx.Err() == nil; n++ {
 		t.send(client, entry, n, fmt.Sprintf("r-%d-%d-%d", entry, caller, n), phaseFaults)
-		time.Sleep(callerPause(len(t.fleet.entries)))
+		time.Sleep(callerInterval(len(t.fleet.entries)))
 	}
 }
 
-// send sends one request and notes its end. It is sent to its end although the traffic is over.
+// send sends one request and records its outcome. It does not use the context of run, so that a request completes after
+// the callers have been stopped.
 func (t *traffic) send(client *http.Client, i, kind int, id string, phase Phase) {
 	e := t.fleet.entries[i]
-	_, boot := e.present()
-	k := kinds[kind%len(kinds)]
-	a := Attempt{ID: id, Entry: i, Incarnation: boot, AtMostOnce: k.once, Sent: time.Since(t.began), ExpectedBody: k.want(id), Phase: phase}
-	ctx, cancel := context.WithTimeout(context.Background(), 2*callerPatience)
+	_, incarnation := e.current()
+	k := requestKinds[kind%len(requestKinds)]
+	a := Attempt{ID: id, Entry: i, Incarnation: incarnation, AtMostOnce: k.atMostOnce, Sent: time.Since(t.startedAt), ExpectedBody: k.expectedBody(id), Phase: phase}
+	ctx, cancel := context.WithTimeout(context.Background(), 2*callerDeadline)
 	defer cancel()
 	ask := imitator.Ask{
-		Address: e.callers.Address(), Path: k.path, ID: id, Key: imitator.Key, Body: "body of " + id,
-		Patience: callerPatience, Pieces: k.pieces,
+		Address: e.callerRelay.Address(), Path: k.path, ID: id, Key: imitator.Key, Body: "body of " + id,
+		Patience: callerDeadline, Pieces: k.pieces,
 	}
 	if reply, err := ask.CallWith(ctx, client); err == nil && !reply.Cut {
 		a.Status, a.Body, a.Stamp = reply.Status, reply.Body, reply.Stamp
 	}
-	a.Ended = time.Since(t.began)
-	if _, now := e.present(); now != boot {
-		a.Incarnation = unknownBoot
+	a.Ended = time.Since(t.startedAt)
+	if _, currentIncarnation := e.current(); currentIncarnation != incarnation {
+		a.Incarnation = unknownIncarnation
 	}
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.attempts = append(t.attempts, a)
 }
 
-// record gives all that was seen.
-func (t *traffic) record(newest int) *Record {
-	r := &Record{Attempts: t.attempts, NewestVersion: newest}
+// record returns the attempts of all callers and the executions at all endpoints.
+func (t *traffic) record(newestVersion int) *Record {
+	r := &Record{Attempts: t.attempts, NewestVersion: newestVersion}
 	for _, endpoint := range t.fleet.site.Endpoints {
 		for _, run := range endpoint.Runs() {
 			r.Executions = append(r.Executions, Execution{
-				Attempt: run.Attempt, Endpoint: endpoint.ID, Version: versionOf(run.Account()),
-				ReceivedAt: run.At.Sub(t.began), InEvacuatedZone: t.fleet.site.Zones[endpoint.ID] == evacuatedZone,
+				Attempt: run.Attempt, Endpoint: endpoint.ID, Version: accountVersion(run.Account()),
+				ReceivedAt: run.At.Sub(t.startedAt), InEvacuatedZone: t.fleet.site.Zones[endpoint.ID] == evacuatedZone,
 			})
 		}
 	}
 	return r
 }
 
-// accountPrefix begins the account's name, which the version of the configuration follows.
+// accountPrefix is the prefix of the account's name. The version of the configuration follows it.
 const accountPrefix = "account-v"
 
-func versionOf(account string) int {
+func accountVersion(account string) int {
 	version, err := strconv.Atoi(strings.TrimPrefix(account, accountPrefix))
 	if err != nil {
-		// No configuration of the soak has such an account: it counts as older than all.
+		// No configuration of this package has such an account, so it counts as older than all versions.
 		return -1
 	}
 	return version
--- a/soaker/world.go
+++ b/soaker/world.go
@@ -14,106 +14,108 @@
 )
 
 const (
-	// startPatience bounds the start of all entries.
-	startPatience = 30 * time.Second
-	readyPoll     = 50 * time.Millisecond
-	// rewriteAfter is how long after the store's return what an older copy lacks is written again.
-	rewriteAfter = time.Second
-	// copyEvery is how old a copy of the store may be.
-	copyEvery = 4 * time.Second
-	// evacuateTime is how long after the operator's record a request may still reach an evacuated zone, disturbances of the
-	// store and of entries included.
-	evacuateTime = 11 * time.Second
-	// finalRequests are sent to each entry at the end, of each kind two.
+	// startTimeout bounds the start of all entries.
+	startTimeout      = 30 * time.Second
+	readyPollInterval = 50 * time.Millisecond
+	// rewriteDelay is the delay between the store's return from an older copy and the rewrite of the records that the copy
+	// lacks.
+	rewriteDelay = time.Second
+	// copyInterval is the interval between two copies of the store, and so the age that a copy may reach.
+	copyInterval = 4 * time.Second
+	// evacuationTimeout is how long after the operator's record a request may still reach an evacuated zone, including
+	// disturbances of the store and of entries.
+	evacuationTimeout = 11 * time.Second
+	// finalRequests is how many requests are sent to each entry in each of the phases after the faults, two of each kind.
 	finalRequests = 10
-	// lastPause leaves entries the time to read the change before the last fault.
-	lastPause = 100 * time.Millisecond
-	// quiet is how long after the last fault the last version of the configuration is written.
-	quiet = time.Second
+	// finalFaultDelay gives entries time to read the change of the configuration before the last fault.
+	finalFaultDelay = 100 * time.Millisecond
+	// finalConfigDelay is the delay between the last fault and the last version of the configuration.
+	finalConfigDelay = time.Second
 )
 
-// world is a fleet under a plan.
-type world struct {
+// planRunner runs a plan on a fleet.
+type planRunner struct {
 	cfg     Config
 	fleet   *fleet
 	traffic *traffic
 
 	mu sync.Mutex
-	// newest is the version of the configuration written last.
-	newest int
-	// older is a copy of the store, taken at copied.
-	older   imitator.Copy
-	copied  time.Time
-	overdue []string
-	// evacuated counts the evacuations under way, evacuations are the spans of those that have ended.
-	evacuated   int
-	evacuatedAt time.Time
-	evacuations []Span
-	// disturbed are the times in which entries' processes were ended, paused or started, by entry.
+	// newestVersion is the version of the configuration that was written last.
+	newestVersion int
+	// storeCopy is a copy of the store, taken at copiedAt.
+	storeCopy imitator.Copy
+	copiedAt  time.Time
+	// processErrors are the texts for Record.ProcessErrors.
+	processErrors []string
+	// activeEvacuations counts the evacuations that have not ended, evacuations holds the spans of those that have.
+	activeEvacuations   int
+	evacuationStartedAt time.Time
+	evacuations         []Span
+	// disturbed holds, by entry, the spans in which the process was ended, paused or started.
 	disturbed map[int][]Span
-	// storeFaults are the faults of the whole store under way.
-	storeFaults int
+	// activeStoreFaults counts the active faults of the whole store.
+	activeStoreFaults int
 }
 
-// configure writes the next version of the configuration.
-func (w *world) configure() {
+// writeConfiguration writes the next version of the configuration.
+func (w *planRunner) writeConfiguration() {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	site := w.fleet.site
 	site.Tenants = []map[string]any{{
-		"Name": fmt.Sprintf("%s%d", accountPrefix, w.newest+1), "ApiKeys": []string{imitator.Key},
+		"Name": fmt.Sprintf("%s%d", accountPrefix, w.newestVersion+1), "ApiKeys": []string{imitator.Key},
 	}}
-	w.newest++
+	w.newestVersion++
 	site.Configure()
 }
 
-func (w *world) awaitReady(ctx context.Context) error {
-	ctx, cancel := context.WithTimeout(ctx, startPatience)
+func (w *planRunner) awaitReady(ctx context.Context) error {
+	ctx, cancel := context.WithTimeout(ctx, startTimeout)
 	defer cancel()
 	for _, e := range w.fleet.entries {
 		for !imitator.Ready(ctx, e.listening.Ready) {
 			if ctx.Err() != nil {
 				return &StartError{Entry: e.name}
 			}
-			time.Sleep(readyPoll)
+			time.Sleep(readyPollInterval)
 		}
 	}
 	return nil
 }
 
-// play lets the plan's faults strike while callers send, and asks each entry at the end.
-func (w *world) play(ctx context.Context, plan Plan) {
+// run injects the plan's faults while callers send requests, and then sends the final requests to each entry.
+func (w *planRunner) run(ctx context.Context, plan Plan) {
 	sending, stop := context.WithCancel(ctx)
 	var background, faults sync.WaitGroup
 	background.Go(func() { w.traffic.run(sending) })
-	background.Go(func() { w.takeCopies(sending) })
+	background.Go(func() { w.copyStore(sending) })
 	for _, step := range plan.Steps {
-		if sleep(ctx, time.Until(w.traffic.began.Add(step.At))) != nil {
+		if sleep(ctx, time.Until(w.traffic.startedAt.Add(step.At))) != nil {
 			break
 		}
-		faults.Go(func() { w.strike(ctx, step) })
+		faults.Go(func() { w.inject(ctx, step) })
 	}
 	faults.Wait()
 	for _, e := range w.fleet.site.Endpoints {
 		e.Fail(imitator.Sound, 0)
 	}
-	w.configure()
-	_ = sleep(ctx, lastPause)
-	w.strike(ctx, plan.Last)
-	over := time.Now()
-	// The pauses fail with the end of the context, which ends the play too.
-	_ = sleep(ctx, quiet)
-	w.configure()
+	w.writeConfiguration()
+	_ = sleep(ctx, finalFaultDelay)
+	w.inject(ctx, plan.Last)
+	faultsEndedAt := time.Now()
+	// The sleeps fail only if the context ends, which ends the run as well.
+	_ = sleep(ctx, finalConfigDelay)
+	w.writeConfiguration()
 	_ = sleep(ctx, w.cfg.ConfigTime)
-	w.ask(phaseConfigured)
-	_ = sleep(ctx, time.Until(over.Add(w.cfg.SettleTime)))
+	w.sendFinalRequests(phaseConfigured)
+	_ = sleep(ctx, time.Until(faultsEndedAt.Add(w.cfg.SettleTime)))
 	stop()
 	background.Wait()
-	w.ask(phaseSettled)
+	w.sendFinalRequests(phaseSettled)
 }
 
-// ask sends requests of all kinds to each entry.
-func (w *world) ask(phase Phase) {
+// sendFinalRequests sends requests of all kinds to each entry.
+func (w *planRunner) sendFinalRequests(phase Phase) {
 	client := &http.Client{Transport: &http.Transport{DisableKeepAlives: true}}
 	for i := range w.fleet.entries {
 		for n := range finalRequests {
@@ -122,171 +124,171 @@
 	}
 }
 
-// takeCopies keeps a copy of the store that is some seconds old.
-func (w *world) takeCopies(ctx context.Context) {
-	for sleep(ctx, copyEvery) == nil {
+// copyStore copies the store at regular intervals until the context ends.
+func (w *planRunner) copyStore(ctx context.Context) {
+	for sleep(ctx, copyInterval) == nil {
 		w.mu.Lock()
-		w.older, w.copied = w.fleet.site.Store.TakeCopy(), time.Now()
+		w.storeCopy, w.copiedAt = w.fleet.site.Store.TakeCopy(), time.Now()
 		w.mu.Unlock()
 	}
 }
 
-// strike carries out one fault and ends it.
-func (w *world) strike(ctx context.Context, step Step) {
-	last := func() { _ = sleep(ctx, step.Duration) }
+// inject injects the fault of a step and ends it after its duration.
+func (w *planRunner) inject(ctx context.Context, step Step) {
+	waitForEnd := func() { _ = sleep(ctx, step.Duration) }
 	switch f := step.Fault.(type) {
 	case KillEntry:
-		w.onProcess(f.Entry, w.restart)
+		w.injectIntoProcess(f.Entry, w.restart)
 	case PauseEntry:
-		w.onProcess(f.Entry, func(_ *entry, process *starter.Process) {
+		w.injectIntoProcess(f.Entry, func(_ *entry, process *starter.Process) {
 			if process.Freeze() == nil {
-				last()
+				waitForEnd()
 				_ = process.Thaw()
 			}
 		})
 	case StopEntry:
-		w.onProcess(f.Entry, w.stop)
+		w.injectIntoProcess(f.Entry, w.stop)
 	case StoreOutage:
-		w.storeAway(f.How)
-		last()
-		w.storeBack()
+		w.beginStoreFault(f.How)
+		waitForEnd()
+		w.endStoreFault()
 	case StoreReturn:
-		w.returnStore(last)
+		w.returnStore(waitForEnd)
 	case StoreForgets:
 		w.mu.Lock()
 		w.fleet.site.ForgetOperator()
 		w.mu.Unlock()
 	case CutStore:
-		w.fleet.entries[f.Entry].store.Set(f.How)
-		last()
-		w.fleet.entries[f.Entry].store.Set(relayer.Open)
+		w.fleet.entries[f.Entry].storeRelay.Set(f.How)
+		waitForEnd()
+		w.fleet.entries[f.Entry].storeRelay.Set(relayer.Open)
 	case CutCallers:
-		w.fleet.entries[f.Entry].callers.Set(f.How)
-		last()
-		w.fleet.entries[f.Entry].callers.Set(relayer.Open)
+		w.fleet.entries[f.Entry].callerRelay.Set(f.How)
+		waitForEnd()
+		w.fleet.entries[f.Entry].callerRelay.Set(relayer.Open)
 	case EndpointFails:
 		w.fleet.site.Endpoints[f.Endpoint].Fail(f.How, f.Requests)
 	case EndpointDrains:
 		w.setState(f.Endpoint, "draining")
-		last()
+		waitForEnd()
 		w.setState(f.Endpoint, "in_service")
 	case EndpointLimited, EndpointLeaves, EndpointRests:
-		w.notify(ctx, step)
+		w.applyNotice(ctx, step)
 	case EvacuateZone:
-		w.evacuate(f.Zone)
-		_ = sleep(ctx, step.Duration+evacuateTime)
-		w.takeBack(f.Zone)
+		w.beginEvacuation(f.Zone)
+		_ = sleep(ctx, step.Duration+evacuationTimeout)
+		w.endEvacuation(f.Zone)
 	case ConfigChange:
-		w.configure()
+		w.writeConfiguration()
 	}
 }
 
-// evacuate begins an evacuation; the zone is in use again when the last one has ended.
-func (w *world) evacuate(zone string) {
+// beginEvacuation begins an evacuation. The zone is used again after the last active evacuation has ended.
+func (w *planRunner) beginEvacuation(zone string) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.evacuated++
-	if w.evacuated == 1 {
+	w.activeEvacuations++
+	if w.activeEvacuations == 1 {
 		w.fleet.site.Evacuate(zone)
-		w.evacuatedAt = time.Now()
+		w.evacuationStartedAt = time.Now()
 	}
 }
 
-func (w *world) takeBack(zone string) {
+func (w *planRunner) endEvacuation(zone string) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.evacuated--
-	if w.evacuated > 0 {
+	w.activeEvacuations--
+	if w.activeEvacuations > 0 {
 		return
 	}
-	began := w.traffic.began
-	w.evacuations = append(w.evacuations, Span{From: w.evacuatedAt.Add(evacuateTime).Sub(began), To: time.Since(began)})
+	startedAt := w.traffic.startedAt
+	w.evacuations = append(w.evacuations, Span{From: w.evacuationStartedAt.Add(evacuationTimeout).Sub(startedAt), To: time.Since(startedAt)})
 	w.fleet.site.TakeBack(zone)
 }
 
-// storeAway begins a fault of the store; the store serves again when the last one has ended.
-func (w *world) storeAway(how imitator.Outage) {
+// beginStoreFault begins a fault of the store. The store serves again after the last active fault has ended.
+func (w *planRunner) beginStoreFault(how imitator.Outage) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.storeFaults++
+	w.activeStoreFaults++
 	w.fleet.site.Store.SetOutage(how)
 }
 
-func (w *world) storeBack() {
+func (w *planRunner) endStoreFault() {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	if w.storeFaults--; w.storeFaults == 0 {
+	if w.activeStoreFaults--; w.activeStoreFaults == 0 {
 		w.fleet.site.Store.SetOutage(imitator.Up)
 	}
 }
 
-// returnStore has the store return from the last copy, and what it lacks written again.
-func (w *world) returnStore(last func()) {
-	w.storeAway(imitator.Silent)
-	last()
+// returnStore makes the store return from the last copy and then rewrites the records that the copy lacks.
+func (w *planRunner) returnStore(waitForEnd func()) {
+	w.beginStoreFault(imitator.Silent)
+	waitForEnd()
 	w.mu.Lock()
-	if !w.copied.IsZero() {
-		w.fleet.site.Store.ReturnFrom(w.older)
+	if !w.copiedAt.IsZero() {
+		w.fleet.site.Store.ReturnFrom(w.storeCopy)
 	}
 	w.mu.Unlock()
-	w.storeBack()
-	time.Sleep(rewriteAfter)
+	w.endStoreFault()
+	time.Sleep(rewriteDelay)
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.fleet.site.WriteAgain()
 }
 
-func (w *world) setState(endpoint int, state string) {
+func (w *planRunner) setState(endpoint int, state string) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	e := w.fleet.site.Endpoints[endpoint]
 	w.fleet.site.Enter(e, serviceOf(e), state)
 }
 
-// serviceOf gives the service that an endpoint's id names.
+// serviceOf returns the service that is part of an endpoint's ID.
 func serviceOf(e *imitator.Endpoint) string { return strings.Split(e.ID, "-")[1] }
 
-// onProcess carries out a fault of an entry's process, unless another one is under way there.
-func (w *world) onProcess(index int, strike func(e *entry, process *starter.Process)) {
+// injectIntoProcess injects a fault into an entry's process unless another fault of the process is active.
+func (w *planRunner) injectIntoProcess(index int, injectFault func(e *entry, process *starter.Process)) {
 	e := w.fleet.entries[index]
-	if !e.take() {
+	if !e.tryAcquire() {
 		return
 	}
 	defer e.release()
-	from := time.Since(w.traffic.began)
-	process, _ := e.present()
-	strike(e, process)
+	from := time.Since(w.traffic.startedAt)
+	process, _ := e.current()
+	injectFault(e, process)
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.disturbed[index] = append(w.disturbed[index], Span{From: from, To: time.Since(w.traffic.began)})
+	w.disturbed[index] = append(w.disturbed[index], Span{From: from, To: time.Since(w.traffic.startedAt)})
 }
 
-// stop stops an entry's process as planned, and starts it again.
-func (w *world) stop(e *entry, process *starter.Process) {
-	// A process that has ended already shows in the wait.
+// stop stops an entry's process as planned and restarts it.
+func (w *planRunner) stop(e *entry, process *starter.Process) {
+	// A process that has already ended is detected by the Wait below.
 	_ = process.Terminate()
-	if _, ended := process.Wait(stopGrace); !ended {
-		w.note(e.name + " did not end in time")
+	if _, ended := process.Wait(stopTimeout); !ended {
+		w.addProcessError(e.name + " did not end in time")
 	}
 	w.restart(e, process)
 }
 
-// restart ends an entry's process at once, if it still runs, and starts it again.
-func (w *world) restart(e *entry, process *starter.Process) {
+// restart kills an entry's process if it still runs, and starts a new one.
+func (w *planRunner) restart(e *entry, process *starter.Process) {
 	if err := process.Kill(); err != nil {
-		w.note(err.Error())
+		w.addProcessError(err.Error())
 	}
-	time.Sleep(restartPause)
+	time.Sleep(restartDelay)
 	if err := e.start(); err != nil {
-		w.note(err.Error())
+		w.addProcessError(err.Error())
 	}
 }
 
-// note keeps what went wrong with a process.
-func (w *world) note(text string) {
+// addProcessError records what went wrong with a process.
+func (w *planRunner) addProcessError(text string) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.overdue = append(w.overdue, text)
+	w.processErrors = append(w.processErrors, text)
 }
 
 func sleep(ctx context.Context, d time.Duration) error {
