--- a/prover/bench.go
+++ b/prover/bench.go
@@ -20,14 +20,14 @@
 const (
 	zones        = 3
 	readyTimeout = 20 * time.Second
-	// addressTTL is short, so that planned stops are too.
+	// addressTTL is short so that planned stops are short as well.
 	addressTTL = time.Second
 	drainGrace = time.Second
-	// accountRate is far above what the proofs send: their subject is not the limit.
+	// accountRate is a limit far above the rate at which the proofs send, because they do not test the limit.
 	accountRate = 5000
 )
 
-// bench is one proof's fleet and what was sent to it.
+// bench holds the fleet of one proof and the requests sent to it.
 type bench struct {
 	fleet   *starter.Fleet
 	account demonstrator.Account
@@ -68,7 +68,7 @@
 	return b, nil
 }
 
-// prepare publishes the configuration and makes the client.
+// prepare waits until the fleet is ready, publishes the configuration and creates the client.
 func (b *bench) prepare(ctx context.Context) error {
 	if err := b.fleet.AwaitReady(ctx, readyTimeout); err != nil {
 		return err
@@ -84,14 +84,15 @@
 	return nil
 }
 
-// pools are the demo's, smaller; the ledgers must not be helped by fences.
+// pools returns the pools of the demo with fewer endpoints. The endpoints ignore fences, so that a fence cannot keep a
+// repeated execution out of the ledgers.
 func pools() []starter.Pool {
-	all := demonstrator.Pools()
-	for i := range all {
-		all[i].Endpoints = 3
-		all[i].Args = append(all[i].Args, "--ignore-fence")
+	list := demonstrator.Pools()
+	for i := range list {
+		list[i].Endpoints = 3
+		list[i].Args = append(list[i].Args, "--ignore-fence")
 	}
-	return all
+	return list
 }
 
 func (b *bench) close() error {
@@ -103,8 +104,8 @@
 	return err
 }
 
-// say adds a figure to the proof's note.
-func (b *bench) say(format string, args ...any) {
+// addNote appends a formatted text to the proof's note.
+func (b *bench) addNote(format string, args ...any) {
 	if b.note != "" {
 		b.note += "; "
 	}
@@ -115,7 +116,7 @@
 
 func (b *bench) operator(i int) (*operatorserver.Client, error) { return b.fleet.Operator(b.entry(i)) }
 
-// status asks an entry how it sees the system; nil when it does not answer in time.
+// status requests the status of the system from an entry. It returns nil if the entry does not respond in time.
 func (b *bench) status(ctx context.Context, i int) *operatorserver.Status {
 	ctx, cancel := context.WithTimeout(ctx, statusTimeout)
 	defer cancel()
@@ -132,15 +133,15 @@
 
 const (
 	statusTimeout = 2 * time.Second
-	pollEvery     = 5 * time.Millisecond
+	pollInterval  = 5 * time.Millisecond
 )
 
-// TimeoutError tells that something did not come about in time.
+// TimeoutError reports that a condition was not met in time.
 type TimeoutError struct{ What string }
 
 func (e *TimeoutError) Error() string { return "not in time: " + e.What }
 
-// ViolationError tells which promise was not kept.
+// ViolationError reports a broken promise.
 type ViolationError struct{ What string }
 
 func (e *ViolationError) Error() string { return e.What }
@@ -149,19 +150,20 @@
 	return &ViolationError{What: fmt.Sprintf(format, args...)}
 }
 
-// await polls until the condition holds and gives the time that it took.
+// await polls until the condition holds and returns the elapsed time. It returns a TimeoutError if the condition does not
+// hold in time.
 func await(what string, timeout time.Duration, holds func() bool) (time.Duration, error) {
 	start := time.Now()
 	for !holds() {
 		if time.Since(start) > timeout {
 			return timeout, &TimeoutError{What: what}
 		}
-		time.Sleep(pollEvery)
+		time.Sleep(pollInterval)
 	}
 	return time.Since(start), nil
 }
 
-// restart starts an entry's process again and waits until it serves.
+// restart starts an entry's process again and waits until it is ready.
 func (b *bench) restart(ctx context.Context, i int) error {
 	if err := b.fleet.StartEntry(b.entry(i)); err != nil {
 		return err
@@ -173,7 +175,7 @@
 	return err
 }
 
-// logRelay puts a relay between an entry and the log.
+// logRelay returns a fleet option that puts a relay between the named entry and the log.
 func logRelay(name string) func(*bench, *starter.Config) {
 	return func(b *bench, cfg *starter.Config) {
 		cfg.EntrySettings = func(fleet *starter.Fleet, entry *starter.Entry) (map[string]any, error) {
@@ -186,8 +188,8 @@
 	}
 }
 
-// peerRelay puts a relay in front of an entry's peer address. The first entry is the others' only seed, so that
-// nobody knows the address behind the relay.
+// peerRelay returns a fleet option that puts a relay in front of the named entry's peer address. The first entry is the
+// other entries' only seed, so that none of them learns the address behind the relay.
 func peerRelay(name string) func(*bench, *starter.Config) {
 	return func(b *bench, cfg *starter.Config) {
 		cfg.EntrySettings = func(fleet *starter.Fleet, entry *starter.Entry) (map[string]any, error) {
--- a/prover/configs.go
+++ b/prover/configs.go
@@ -17,10 +17,10 @@
 	accepted = operatorserver.ConfigVerdictVerdictAccepted
 	conflict = operatorserver.ConfigVerdictVerdictConflict
 	pending  = operatorserver.ConfigVerdictVerdictPending
-	// inForceBound is the longest that an accepted change may take to every live entry.
+	// inForceBound bounds the time until an accepted change is in force at every live entry.
 	inForceBound = 5 * time.Second
 	changeRounds = 30
-	// cutEntry is the entry of seven that relays cut off.
+	// cutEntry is the entry, of seven, that relays cut off.
 	cutEntry = "entry-7"
 )
 
@@ -62,12 +62,12 @@
 	})
 }
 
-// awaitContract waits until every entry has a version of the contract, or a later one, in force.
+// awaitContract waits until the given version of the contract or a later one is in force at every entry.
 func (b *bench) awaitContract(ctx context.Context, version int64) error {
 	for i, entry := range b.fleet.Entries() {
 		_, err := await(entry.Name()+" has the change in force", inForceBound, func() bool {
-			now, err := b.contractVersion(ctx, i)
-			return err == nil && now >= version
+			current, err := b.contractVersion(ctx, i)
+			return err == nil && current >= version
 		})
 		if err != nil {
 			return err
@@ -76,8 +76,8 @@
 	return nil
 }
 
-// Two operators change one contract from the same version at the same moment, at two entries. Each time one is
-// accepted and the other is told of the conflict.
+// proveOperatorsRace changes one contract from the same version at two entries at the same moment, as two operators. Each
+// time, one change must be accepted and the other rejected as a conflict.
 func proveOperatorsRace(ctx context.Context, b *bench) error {
 	for round := range changeRounds {
 		base, err := b.contractVersion(ctx, 0)
@@ -93,23 +93,23 @@
 			})
 		}
 		if err := group.Wait(); err != nil {
-			// The later of the two may be refused before its append: its base is no longer in force.
+			// The later change may be refused before its append because its base version is no longer in force.
 			return err
 		}
-		a, z := verdicts[0].Verdict, verdicts[1].Verdict
-		if (a != accepted || z != conflict) && (a != conflict || z != accepted) {
-			return violated("round %d ended %s and %s", round, a, z)
+		first, second := verdicts[0].Verdict, verdicts[1].Verdict
+		if (first != accepted || second != conflict) && (first != conflict || second != accepted) {
+			return violated("round %d ended %s and %s", round, first, second)
 		}
 		if err := b.awaitContract(ctx, max(verdicts[0].Version, verdicts[1].Version)); err != nil {
 			return err
 		}
 	}
-	b.say("%d races: one accepted and one conflict each", changeRounds)
+	b.addNote("%d races: one accepted and one conflict each", changeRounds)
 	return nil
 }
 
-// The reply to a change's append is lost. The operator's verdict is found by the operation id, at another entry,
-// and publishing again under the same id changes nothing.
+// proveOperationFound loses the reply to the append of a change. The verdict must be found by the operation ID at another
+// entry, and publishing again under the same ID must change nothing.
 func proveOperationFound(ctx context.Context, b *bench) error {
 	for round := range 5 {
 		base, err := b.contractVersion(ctx, 0)
@@ -150,28 +150,28 @@
 	return nil
 }
 
-// A change is accepted at one entry and soon in force at all seven; also at one that is cut from the log, to
-// which its peers pass it on.
+// proveInForce publishes changes at one entry. Each must be in force in time at all seven entries, including one that is cut
+// off from the log and receives the change from its peers.
 func proveInForce(ctx context.Context, b *bench) error {
-	whole, err := b.timeChanges(ctx, "all")
+	uncut, err := b.measureChanges(ctx, "all")
 	if err != nil {
 		return err
 	}
-	p50, p99, worst := quantiles(whole)
-	b.say("in force at 7 entries p50 %d ms, p99 %d ms, worst %d ms after the operator's call", p50.Milliseconds(), p99.Milliseconds(), worst.Milliseconds())
+	p50, p99, worst := quantiles(uncut)
+	b.addNote("in force at 7 entries p50 %d ms, p99 %d ms, worst %d ms after the operator's call", p50.Milliseconds(), p99.Milliseconds(), worst.Milliseconds())
 	b.relays[cutEntry].Set(relayer.Closed)
-	cut, err := b.timeChanges(ctx, "cut")
+	withCut, err := b.measureChanges(ctx, "cut")
 	if err != nil {
 		return err
 	}
-	p50, p99, worst = quantiles(cut)
-	b.say("with one cut from the log p50 %d ms, p99 %d ms, worst %d ms", p50.Milliseconds(), p99.Milliseconds(), worst.Milliseconds())
+	p50, p99, worst = quantiles(withCut)
+	b.addNote("with one cut from the log p50 %d ms, p99 %d ms, worst %d ms", p50.Milliseconds(), p99.Milliseconds(), worst.Milliseconds())
 	b.relays[cutEntry].Set(relayer.Open)
 	return nil
 }
 
-func (b *bench) timeChanges(ctx context.Context, name string) ([]time.Duration, error) {
-	var took []time.Duration
+func (b *bench) measureChanges(ctx context.Context, name string) ([]time.Duration, error) {
+	var latencies []time.Duration
 	for round := range changeRounds {
 		base, err := b.contractVersion(ctx, 0)
 		if err != nil {
@@ -188,7 +188,7 @@
 		if err := b.awaitContract(ctx, verdict.Version); err != nil {
 			return nil, err
 		}
-		took = append(took, time.Since(start))
+		latencies = append(latencies, time.Since(start))
 	}
-	return took, nil
+	return latencies, nil
 }
--- a/prover/endpoints.go
+++ b/prover/endpoints.go
@@ -9,11 +9,12 @@
 	"geraniumline/starter"
 )
 
-// leavingBound is the time from the first sign after which a leaving endpoint gets no new work.
+// leavingBound is the time, from the first sign that an endpoint leaves, after which it must not receive new work.
 const leavingBound = 3 * time.Second
 
-// rerunShare leaves room for a few hedges where cut streams must be resumed and not run again.
-const rerunShare = 1.05
+// maxRunsPerAnswer bounds the engine runs for each answer. It allows for a few hedged calls where cut streams must be resumed
+// and not run again.
+const maxRunsPerAnswer = 1.05
 
 func endpointProofs() []Proof {
 	return []Proof{
@@ -25,10 +26,10 @@
 	}
 }
 
-// An engine refuses new calls as leaving. Each entry hears of it by a refusal, by the load report or from a peer,
-// and sends it nothing more; no request is lost by it.
+// proveLeavingBySign makes an engine refuse new calls because it is leaving. Each entry learns this from a refusal, the load
+// report or a peer and must send the engine no more calls. No request may be lost.
 func proveLeavingBySign(ctx context.Context, b *bench) error {
-	stop := b.traffic(ctx, summary(), load)
+	stop := b.traffic(ctx, summary(), requestRate)
 	defer stop()
 	time.Sleep(time.Second)
 	engine := b.fleet.Endpoints("engines")[0]
@@ -37,53 +38,53 @@
 	}
 	took, err := await("all entries know that the engine leaves", leavingBound, func() bool {
 		for i := range b.fleet.Entries() {
-			if !b.knowsLeaving(ctx, i, engine) {
+			if !b.seesLeaving(ctx, i, engine) {
 				return false
 			}
 		}
 		return true
 	})
-	b.say("known at all entries after %d ms", took.Milliseconds())
+	b.addNote("known at all entries after %d ms", took.Milliseconds())
 	return err
 }
 
-func (b *bench) knowsLeaving(ctx context.Context, i int, endpoint *starter.Endpoint) bool {
+func (b *bench) seesLeaving(ctx context.Context, i int, endpoint *starter.Endpoint) bool {
 	status := b.status(ctx, i)
 	if status == nil {
 		return false
 	}
-	for _, known := range status.Endpoints {
-		if known.Address == endpoint.Address() {
-			return known.State == "leaving"
+	for _, seen := range status.Endpoints {
+		if seen.Address == endpoint.Address() {
+			return seen.State == "leaving"
 		}
 	}
 	return false
 }
 
-// The platform's list marks an engine as leaving; the engine itself would go on taking calls. Its ledger shows no
-// work begun later than 3 s after the list's readers could see the mark.
+// proveLeavingByList marks an engine as leaving in the platform's list of VMs, while the engine itself still accepts calls.
+// Its ledger must show no execution that began later than 3 s after the mark was visible to readers of the list.
 func proveLeavingByList(ctx context.Context, b *bench) error {
-	stop := b.traffic(ctx, summary(), load)
+	stop := b.traffic(ctx, summary(), requestRate)
 	defer stop()
 	time.Sleep(time.Second)
 	engine := b.fleet.Endpoints("engines")[0]
 	if err := b.markLeaving(ctx, engine); err != nil {
 		return err
 	}
-	seen := time.Now().Add(time.Second) // The list's lag.
+	visibleAt := time.Now().Add(time.Second) // The lag of the list.
 	time.Sleep(leavingBound + 4*time.Second)
 	page, err := engine.Driver.Ledger(ctx)
 	if err != nil {
 		return err
 	}
-	last := int64(0)
+	lastStartMillis := int64(0)
 	for _, execution := range page.Executions {
-		last = max(last, execution.StartMillis)
+		lastStartMillis = max(lastStartMillis, execution.StartMillis)
 	}
-	after := time.UnixMilli(last).Sub(seen)
-	b.say("last work begun %d ms after the mark could be read", after.Milliseconds())
-	if after > leavingBound {
-		return violated("the leaving engine got work %v after the mark", after)
+	delay := time.UnixMilli(lastStartMillis).Sub(visibleAt)
+	b.addNote("last work begun %d ms after the mark could be read", delay.Milliseconds())
+	if delay > leavingBound {
+		return violated("the leaving engine got work %v after the mark", delay)
 	}
 	return nil
 }
@@ -102,8 +103,8 @@
 	return b.fleet.VMs().SetVMs(ctx, vms)
 }
 
-// all sets the faults of all endpoints of a pool.
-func (b *bench) all(ctx context.Context, pool string, faults faker.Faults) error {
+// setPoolFaults sets the faults of all endpoints of a pool.
+func (b *bench) setPoolFaults(ctx context.Context, pool string, faults faker.Faults) error {
 	faults.IgnoreFence = true
 	for _, endpoint := range b.fleet.Endpoints(pool) {
 		if err := endpoint.Driver.SetFaults(ctx, faults); err != nil {
@@ -113,10 +114,10 @@
 	return nil
 }
 
-// Every engine cuts each stream after three parts. The rest is read on another connection from the next part on,
-// and each caller gets the whole answer, without the engine running again.
+// proveStreamsCut makes every engine cut each stream after three parts. The entry must read the remaining parts on another
+// connection, and each caller must receive the complete answer without another run of the engine.
 func proveStreamsCut(ctx context.Context, b *bench) error {
-	if err := b.all(ctx, "engines", faker.Faults{CutStreamAfterParts: 3}); err != nil {
+	if err := b.setPoolFaults(ctx, "engines", faker.Faults{CutStreamAfterParts: 3}); err != nil {
 		return err
 	}
 	if err := b.underLoad(ctx, func() error { return sleep(4 * time.Second) }); err != nil {
@@ -126,23 +127,24 @@
 	if err != nil {
 		return err
 	}
-	generated := 0
+	generations := 0
 	for _, execution := range executions {
 		if execution.Stage == "generate" {
-			generated++
+			generations++
 		}
 	}
 	counts := b.count(ctx)
-	b.say("%d generations for %d answers", generated, counts.Answered)
-	if counts.Answered < counts.Requests || float64(generated) > rerunShare*float64(counts.Answered) {
-		return violated("%d of %d requests were answered with %d generations", counts.Answered, counts.Requests, generated)
+	b.addNote("%d generations for %d answers", generations, counts.Answered)
+	if counts.Answered < counts.Requests || float64(generations) > maxRunsPerAnswer*float64(counts.Answered) {
+		return violated("%d of %d requests were answered with %d generations", counts.Answered, counts.Requests, generations)
 	}
 	return nil
 }
 
-// One engine hands parts to the wrong request, one sends each part twice, one sends them out of order, and the
-// an encoder and a ticket service lose whole replies after running: the connection closes once the call's bytes were
-// sent. No caller sees another's text or half of its own, and no ticket is logged again.
+// proveRepliesMixed makes one engine send parts to the wrong request, one send each part twice, and one send parts out of
+// order. One ticket service swaps replies. An encoder and another ticket service lose complete replies after running: the
+// connection closes once the call's bytes were sent. No caller may receive another request's text or an incomplete answer,
+// and no ticket may be logged twice.
 func proveRepliesMixed(ctx context.Context, b *bench) error {
 	engines := b.fleet.Endpoints("engines")
 	for i, faults := range []faker.Faults{{SwapReplies: true}, {DuplicateParts: true}, {OutOfOrder: true}} {
@@ -168,8 +170,8 @@
 	return nil
 }
 
-// A service whose calls must not be repeated and an engine stand still under load and go on later with what they
-// had taken. The service's calls are not run elsewhere meanwhile; the engine's are.
+// proveEndpointFrozen suspends an engine and a service whose calls must not be repeated under load. Both later continue with
+// the calls that they had accepted. Meanwhile, the engine's calls run elsewhere and the service's calls do not.
 func proveEndpointFrozen(ctx context.Context, b *bench) error {
 	return b.underLoad(ctx, b.freezeEndpoints)
 }
@@ -178,11 +180,11 @@
 	time.Sleep(time.Second)
 	frozen := []*starter.Endpoint{b.fleet.Endpoints("engines")[2], b.fleet.Endpoints("tickets")[1]}
 	for _, endpoint := range frozen {
-		err = firstOf(err, endpoint.Freeze())
+		err = firstError(err, endpoint.Freeze())
 	}
 	time.Sleep(3 * time.Second)
 	for _, endpoint := range frozen {
-		err = firstOf(err, endpoint.Thaw())
+		err = firstError(err, endpoint.Thaw())
 	}
 	time.Sleep(time.Second)
 	return err
--- a/prover/entries.go
+++ b/prover/entries.go
@@ -13,10 +13,11 @@
 )
 
 const (
-	load = 80
-	// stopTimeout bounds one planned stop: address answers lapse, requests end, results are handed over.
+	// requestRate is the rate of requests, per second, of each pipeline.
+	requestRate = 80
+	// stopTimeout bounds one planned stop, in which address responses expire, requests end and results are handed over.
 	stopTimeout = 20 * time.Second
-	// handOutBound is the longest that an entry which can't serve may be named to callers.
+	// handOutBound bounds the time for which an entry that can't serve may still be listed to callers.
 	handOutBound = 5 * time.Second
 )
 
@@ -30,30 +31,30 @@
 	}
 }
 
-// Entries die under load with requests that must not be repeated in every step. Callers see their connections
-// break and send the same key to another entry, which knows from the log alone what may have run. The stage
-// that must not be repeated takes long, so that each death finds some of it under way.
+// proveEntryKilled kills entries under load while non-repeatable requests are at every step. Callers lose their connections
+// and send the same key to another entry, which learns only from the log what may have run. The non-repeatable stage is slow
+// so that each kill interrupts some of its executions.
 func proveEntryKilled(ctx context.Context, b *bench) error {
-	if err := b.all(ctx, "tickets", faker.Faults{SlowFactor: longStage}); err != nil {
+	if err := b.setPoolFaults(ctx, "tickets", faker.Faults{SlowFactor: stageSlowdown}); err != nil {
 		return err
 	}
-	return b.underLoad(ctx, func() error { return b.killSome(ctx) })
+	return b.underLoad(ctx, func() error { return b.killEntries(ctx) })
 }
 
-// longStage makes the stage that must not be repeated take some 240 ms.
-const longStage = 30
+// stageSlowdown is the slowdown factor with which the non-repeatable stage takes some 240 ms.
+const stageSlowdown = 30
 
-// underLoad does something under load of both kinds. Repeatable requests have to be answered all the same.
-func (b *bench) underLoad(ctx context.Context, do func() error) error {
+// underLoad calls run under load from both pipelines. The repeatable requests must still be answered in time.
+func (b *bench) underLoad(ctx context.Context, run func() error) error {
 	from := time.Now()
-	stopTickets, stopSummaries := b.traffic(ctx, ticket(), load), b.traffic(ctx, summary(), load)
-	err := do()
+	stopTickets, stopSummaries := b.traffic(ctx, ticket(), requestRate), b.traffic(ctx, summary(), requestRate)
+	err := run()
 	stopTickets()
 	stopSummaries()
-	return firstOf(err, b.noteAttainment(from))
+	return firstError(err, b.checkAttainment(from))
 }
 
-func (b *bench) killSome(ctx context.Context) error {
+func (b *bench) killEntries(ctx context.Context) error {
 	for i := range 3 {
 		time.Sleep(time.Second)
 		if err := b.entry(i).Kill(); err != nil {
@@ -68,28 +69,29 @@
 	return nil
 }
 
-// leastAnswered is the share of repeatable requests, in percent, that must be answered in time whatever the fault:
-// they can always be run elsewhere. The runs show 100; the margin is for a busy machine.
-const leastAnswered = 95.0
+// minAttainment is the share of repeatable requests, in percent, that must be answered in time whatever the fault is,
+// because they can always run elsewhere. The margin below 100 allows for a busy machine.
+const minAttainment = 95.0
 
-// noteAttainment notes the share of requests of each pipeline that were answered in time.
-func (b *bench) noteAttainment(from time.Time) error {
+// checkAttainment adds the share of requests of each pipeline that were answered in time to the note. It returns an error if
+// too few repeatable requests were.
+func (b *bench) checkAttainment(from time.Time) error {
 	now := time.Now()
 	repeatable := attainment(b.between(summary(), from, now))
-	b.say("attainment: repeatable %.1f%%, non-repeatable %.1f%%", repeatable, attainment(b.between(ticket(), from, now)))
-	if repeatable < leastAnswered {
+	b.addNote("attainment: repeatable %.1f%%, non-repeatable %.1f%%", repeatable, attainment(b.between(ticket(), from, now)))
+	if repeatable < minAttainment {
 		return violated("only %.1f%% of the repeatable requests were answered in time", repeatable)
 	}
 	return nil
 }
 
-// An entry stands still with claims in the log, and callers send its keys elsewhere. It wakes after they were
-// answered and goes on with what it had begun: its claim is the key's only valid one.
+// proveEntryFrozen suspends an entry that has claims in the log, while callers send its keys to other entries. It resumes
+// after they were answered and continues with what it had begun: its claim is the only valid one of the key.
 func proveEntryFrozen(ctx context.Context, b *bench) error {
-	return b.underLoad(ctx, b.freezeSome)
+	return b.underLoad(ctx, b.freezeEntries)
 }
 
-func (b *bench) freezeSome() error {
+func (b *bench) freezeEntries() error {
 	for i := range 2 {
 		time.Sleep(time.Second)
 		if err := b.entry(i).Freeze(); err != nil {
@@ -104,9 +106,9 @@
 	return nil
 }
 
-// A caller's connection is cut some milliseconds after its request was sent; the caller sends the key again to
-// another entry, at any moment of the first try, or to both at the same moment. The stage runs once, and the last
-// try tells its outcome.
+// proveConnectionCut cuts a caller's connection some milliseconds after its request was sent. The caller sends the key again
+// to another entry, at any moment of the first attempt, or to both at the same moment. The stage must run once, and the last
+// attempt must return its outcome.
 func proveConnectionCut(ctx context.Context, b *bench) error {
 	const cuts, twins = 120, 60
 	for i := range cuts {
@@ -129,35 +131,35 @@
 		s.answer, s.err = b.sendOnce(ctx, s, b.entry((i+1)%3).CallerAddress, defaultDeadline, defaultDeadline)
 		twin.Wait()
 	}
-	b.say("cut after 1 to %d ms; %d sent to two entries at once", cuts, twins)
+	b.addNote("cut after 1 to %d ms; %d sent to two entries at once", cuts, twins)
 	return nil
 }
 
-// All entries are stopped as planned and started again, one after another, under load. Callers with an old address
-// answer are served, nothing is cut, and each process ends with exit code 0.
+// provePlannedStop stops and restarts all entries as planned, one after another, under load. Callers with an outdated address
+// response must be served, no request may be cut, and each process must end with exit code 0.
 func provePlannedStop(ctx context.Context, b *bench) error {
 	from := time.Now()
-	err := b.underLoad(ctx, func() error { return b.stopEach(ctx) })
+	err := b.underLoad(ctx, func() error { return b.stopEntries(ctx) })
 	refused := 0
 	for _, s := range append(b.between(ticket(), from, time.Now()), b.between(summary(), from, time.Now())...) {
 		if s.err != nil {
 			refused++
-			err = firstOf(err, violated("a request ended without an answer during planned stops: %v", s.err))
+			err = firstError(err, violated("a request ended without an answer during planned stops: %v", s.err))
 		}
 	}
-	b.say("refused for a stop: %d", refused)
+	b.addNote("refused for a stop: %d", refused)
 	return err
 }
 
-func firstOf(a, b error) error {
+func firstError(a, b error) error {
 	if a != nil {
 		return a
 	}
 	return b
 }
 
-func (b *bench) stopEach(ctx context.Context) error {
-	var took []time.Duration
+func (b *bench) stopEntries(ctx context.Context) error {
+	var durations []time.Duration
 	for i, entry := range b.fleet.Entries() {
 		start := time.Now()
 		if err := entry.Terminate(); err != nil {
@@ -167,26 +169,26 @@
 		if !ended || code != 0 {
 			return violated("%s: exit code %d, ended %v", entry.Name(), code, ended)
 		}
-		took = append(took, time.Since(start))
+		durations = append(durations, time.Since(start))
 		if err := b.restart(ctx, i); err != nil {
 			return err
 		}
 	}
-	p50, _, worst := quantiles(took)
-	b.say("stop takes p50 %d ms, worst %d ms", p50.Milliseconds(), worst.Milliseconds())
+	p50, _, worst := quantiles(durations)
+	b.addNote("stop takes p50 %d ms, worst %d ms", p50.Milliseconds(), worst.Milliseconds())
 	return nil
 }
 
-// Entries are killed, frozen, or can speak to the others but hear nobody. The others stop naming them to callers soon; nobody who is well is
-// taken for dead over the whole run.
+// proveDeathFound kills or suspends entries, or cuts one so that it can send to its peers but receives nothing. The others
+// must stop listing such an entry to callers in time, and must not consider a healthy entry dead during the whole run.
 func proveDeathFound(ctx context.Context, b *bench) error {
-	stop := b.traffic(ctx, summary(), load)
+	stop := b.traffic(ctx, summary(), requestRate)
 	defer stop()
-	bad := map[string]bool{}
-	var gone []time.Duration
-	for _, fault := range b.deaths() {
+	faulty := map[string]bool{}
+	var detectionTimes []time.Duration
+	for _, fault := range b.entryFaults() {
 		entry := b.entry(fault.entry)
-		bad[entry.Name()] = true
+		faulty[entry.Name()] = true
 		if err := fault.begin(); err != nil {
 			return err
 		}
@@ -194,47 +196,47 @@
 		if err != nil {
 			return err
 		}
-		gone = append(gone, took)
+		detectionTimes = append(detectionTimes, took)
 		time.Sleep(time.Second)
 		if err := fault.end(); err != nil {
 			return err
 		}
 	}
 	time.Sleep(2 * time.Second)
-	oneWay := gone[len(gone)-1]
-	p50, _, worst := quantiles(gone)
-	deaths, err := b.falseDeaths(bad)
-	b.say("no longer handed out: p50 %d ms, worst %d ms, one-way cut %d ms; false deaths %d", p50.Milliseconds(), worst.Milliseconds(), oneWay.Milliseconds(), deaths)
+	oneWay := detectionTimes[len(detectionTimes)-1]
+	p50, _, worst := quantiles(detectionTimes)
+	deaths, err := b.falseDeaths(faulty)
+	b.addNote("no longer handed out: p50 %d ms, worst %d ms, one-way cut %d ms; false deaths %d", p50.Milliseconds(), worst.Milliseconds(), oneWay.Milliseconds(), deaths)
 	if err == nil && deaths > 0 {
 		err = violated("%d entries that were well were taken for dead", deaths)
 	}
 	return err
 }
 
-// death is a fault that keeps an entry from serving.
-type death struct {
+// entryFault is a fault that keeps an entry from serving, with the functions that begin and end it.
+type entryFault struct {
 	entry      int
 	begin, end func() error
 }
 
-func (b *bench) deaths() []death {
-	none := func() error { return nil }
+func (b *bench) entryFaults() []entryFault {
+	noop := func() error { return nil }
 	cut := func(mode relayer.Mode) func() error {
 		return func() error {
 			b.relays[cutEntry].Set(mode)
 			return nil
 		}
 	}
-	return []death{
-		{entry: 0, begin: b.entry(0).Kill, end: none},
-		{entry: 1, begin: b.entry(1).Kill, end: none},
+	return []entryFault{
+		{entry: 0, begin: b.entry(0).Kill, end: noop},
+		{entry: 1, begin: b.entry(1).Kill, end: noop},
 		{entry: 2, begin: b.entry(2).Freeze, end: b.entry(2).Thaw},
 		{entry: 3, begin: b.entry(3).Freeze, end: b.entry(3).Thaw},
 		{entry: 6, begin: cut(relayer.Stalled), end: cut(relayer.Open)},
 	}
 }
 
-// isHandedOut tells whether any other entry names an entry as one that serves.
+// isHandedOut reports whether any other entry lists the entry as live.
 func (b *bench) isHandedOut(ctx context.Context, i int) bool {
 	name := b.entry(i).Name()
 	for j := range b.fleet.Entries() {
@@ -254,9 +256,9 @@
 	return false
 }
 
-// falseDeaths counts, in the entries' logs, entries taken for dead that were well; a frozen entry's own words
-// count like all others.
-func (b *bench) falseDeaths(bad map[string]bool) (int, error) {
+// falseDeaths counts the log lines in which an entry declares a healthy entry dead. The lines of an entry that was suspended
+// count as well. faulty holds the names of the entries that had a fault.
+func (b *bench) falseDeaths(faulty map[string]bool) (int, error) {
 	type line struct {
 		Subject string `json:"subject"`
 		To      string `json:"to"`
@@ -270,7 +272,7 @@
 		lines := bufio.NewScanner(file)
 		for lines.Scan() {
 			var l line
-			if json.Unmarshal(lines.Bytes(), &l) == nil && l.To == "dead" && !bad[l.Subject] {
+			if json.Unmarshal(lines.Bytes(), &l) == nil && l.To == "dead" && !faulty[l.Subject] {
 				n++
 			}
 		}
--- a/prover/prover.go
+++ b/prover/prover.go
@@ -1,5 +1,5 @@
-// Package prover proves what must always hold on real processes: each proof starts a fleet on loopback, injects
-// its faults, and counts at the endpoints' own ledgers.
+// Package prover checks on real processes the properties that must always hold. Each proof starts a fleet on loopback,
+// injects its faults, and compares the outcomes that callers received with the endpoints' own ledgers.
 package prover
 
 import (
@@ -15,26 +15,27 @@
 	"geraniumline/starter"
 )
 
-// Config says where the programs are, where logs and reports go, and which proofs run.
+// Config holds the directory of the programs (Bin), the one for logs (Dir), the output for the report and the selection of
+// proofs.
 type Config struct {
 	Bin, Dir string
 	Out      io.Writer
-	// Only is the name of one proof; all run when it is empty.
+	// Only is the name of the proof to run. If it is empty, all proofs run.
 	Only string
 }
 
-// Proof is one property under one kind of failure.
+// Proof checks the properties under one kind of failure.
 type Proof struct {
 	Name   string
 	Faults string
-	// Entries is how many entries the fleet has.
+	// Entries is the number of entries in the fleet.
 	Entries int
-	// ConfigureFleet changes the fleet's configuration before it starts.
+	// ConfigureFleet changes the fleet's configuration before the fleet starts. It may be nil.
 	ConfigureFleet func(*bench, *starter.Config)
 	Run            func(context.Context, *bench) error
 }
 
-// Result is what one proof showed.
+// Result is the result of one proof.
 type Result struct {
 	Proof   Proof
 	Counts  Counts
@@ -43,22 +44,22 @@
 	Err     error
 }
 
-// Passed tells whether the proof holds.
+// Passed reports whether the proof ended without an error and without lost, doubled or untrue requests.
 func (r Result) Passed() bool {
 	return r.Err == nil && r.Counts.Lost+r.Counts.Doubled+r.Counts.Untrue == 0
 }
 
-// FailedError tells that some proofs do not hold.
+// FailedError reports how many proofs failed.
 type FailedError struct{ Failed int }
 
 func (e *FailedError) Error() string { return fmt.Sprintf("%d proofs failed", e.Failed) }
 
-// UnknownProofError tells that no proof has a name.
+// UnknownProofError reports that no proof has the requested name.
 type UnknownProofError struct{ Name string }
 
 func (e *UnknownProofError) Error() string { return fmt.Sprintf("there is no proof %q", e.Name) }
 
-// Proofs are all proofs, in the order in which they run.
+// Proofs returns all proofs in the order in which they run.
 func Proofs() []Proof {
 	var all []Proof
 	all = append(all, entryProofs()...)
@@ -67,7 +68,8 @@
 	return append(all, configProofs()...)
 }
 
-// Run runs the proofs one after another and prints their table.
+// Run runs the selected proofs one after another, prints their progress and a table of the results, and returns a
+// FailedError if any of them failed.
 func Run(ctx context.Context, cfg Config) error {
 	var results []Result
 	for _, proof := range Proofs() {
@@ -76,7 +78,7 @@
 		}
 		result := runProof(ctx, cfg, proof)
 		results = append(results, result)
-		say(cfg.Out, "%s", progress(result))
+		printLine(cfg.Out, "%s", progress(result))
 	}
 	if len(results) == 0 {
 		return &UnknownProofError{Name: cfg.Only}
@@ -84,7 +86,7 @@
 	return report(cfg.Out, results)
 }
 
-func say(w io.Writer, format string, args ...any) {
+func printLine(w io.Writer, format string, args ...any) {
 	_, _ = fmt.Fprintf(w, "faults: "+format+"\n", args...)
 }
 
@@ -113,7 +115,7 @@
 	return result
 }
 
-// report prints the table and the closing line.
+// report prints the table of results and the summary line.
 func report(w io.Writer, results []Result) error {
 	table := tabwriter.NewWriter(w, 0, 0, 2, ' ', 0)
 	_, _ = fmt.Fprintln(table, "proof\tfaults injected\trequests\tanswered\tnotRun\tunknown\tlost\tdoubled\tuntrue\tseconds\t")
@@ -131,7 +133,7 @@
 		}
 	}
 	_ = table.Flush()
-	say(w, "proofs=%d passed=%d failed=%d lost=%d doubled=%d untrue=%d", len(results), len(results)-failed, failed, total.Lost, total.Doubled, total.Untrue)
+	printLine(w, "proofs=%d passed=%d failed=%d lost=%d doubled=%d untrue=%d", len(results), len(results)-failed, failed, total.Lost, total.Doubled, total.Untrue)
 	if failed > 0 {
 		return &FailedError{Failed: failed}
 	}
--- a/prover/prover_test.go
+++ b/prover/prover_test.go
@@ -9,9 +9,9 @@
 	"github.com/stretchr/testify/require"
 )
 
-// TestProofs runs the proofs that are short and whose only bounds in time are wide parts of a promise. Each starts
-// real processes, hurts them, and holds what callers were told against the endpoints' ledgers; see Proofs.
-// The others run by make faults.
+// TestProofs runs the proofs that are short and whose only time bounds are wide and part of a promise. Each starts real
+// processes, injects faults, and compares the outcomes that callers received with the endpoints' ledgers; see Proofs.
+// The other proofs run with make faults.
 func TestProofs(t *testing.T) {
 	bin := t.TempDir()
 	build := exec.Command("go", "build", "-o", bin, "./cmd/geraniumline", "./cmd/standin")
@@ -35,7 +35,7 @@
 	}
 }
 
-// A proof that fails makes the whole run fail, and the closing line counts it.
+// TestReportCountsFailures checks that a failed proof makes the whole run fail and is counted in the summary line.
 func TestReportCountsFailures(t *testing.T) {
 	results := []Result{
 		{Proof: Proof{Name: "a"}, Counts: Counts{Requests: 3, Answered: 3}},
--- a/prover/traffic.go
+++ b/prover/traffic.go
@@ -15,7 +15,7 @@
 
 const (
 	defaultDeadline = 4 * time.Second
-	// attemptTimeout is how long a caller waits for one entry before it sends the key to another.
+	// attemptTimeout is how long a caller waits for a response of one entry before it sends the key to another.
 	attemptTimeout = 1500 * time.Millisecond
 	maxAttempts    = 6
 	outcomeNotRun  = "notRun"
@@ -23,7 +23,7 @@
 	codeNotReady   = "notReady"
 )
 
-// sent is one request and what became of it.
+// sent is one request and its outcome.
 type sent struct {
 	pipeline, key, input string
 	at                   time.Time
@@ -32,6 +32,7 @@
 	err                  error
 }
 
+// failure returns the failure that the service reported for the request, or nil if there is none.
 func (s *sent) failure() *caller.FailedError {
 	var failed *caller.FailedError
 	if errors.As(s.err, &failed) {
@@ -40,22 +41,22 @@
 	return nil
 }
 
-// Counts is what became of a proof's requests.
+// Counts holds the numbers of a proof's requests by outcome.
 type Counts struct {
 	Requests, Answered, NotRun, Unknown int
-	// Lost counts requests without a truthful end, and answers that no ledger shows.
+	// Lost counts requests without a definite outcome and answers without an execution in any ledger.
 	Lost int
-	// Doubled counts stages that must not be repeated and ran more than once.
+	// Doubled counts non-repeatable stages that ran more than once.
 	Doubled int
-	// Untrue counts requests told notRun of which a ledger shows anything, and answers that are not whole or
-	// not the request's own.
+	// Untrue counts requests that ended with notRun but have an execution in a ledger, and answers that are incomplete or
+	// belong to another request.
 	Untrue int
 }
 
 func ticket() string  { return demonstrator.Ticket().Name }
 func summary() string { return demonstrator.Summary().Name }
 
-// request makes a request with a key and an input of its own.
+// request records a new request with a unique key and input.
 func (b *bench) request(pipeline string) (*sent, error) {
 	key, err := caller.NewKey()
 	if err != nil {
@@ -69,28 +70,28 @@
 	return s, nil
 }
 
-// send sends a request as a careful caller does: when a connection breaks, or an entry is silent or stopping, the
-// same key goes to the next address. The first truthful end is kept.
+// send sends a request as a careful caller does: if the connection breaks, or the entry does not respond, is stopping or is
+// not ready, it sends the same key to the next address. It keeps the first definite outcome.
 func (b *bench) send(ctx context.Context, s *sent, deadline, perAttempt time.Duration) {
 	defer func() { s.took = time.Since(s.at) }()
-	until := time.Now().Add(deadline)
+	deadlineAt := time.Now().Add(deadline)
 	var addresses []string
 	for attempt := range maxAttempts {
-		asked, err := b.client.Addresses(ctx)
+		current, err := b.client.Addresses(ctx)
 		if err != nil {
 			s.err = err
 			continue
 		}
 		if attempt == 0 {
-			addresses = asked
+			addresses = current
 		}
-		// An address that failed is tried last.
-		for _, address := range asked {
+		// New addresses are appended, so that an address that failed is tried again only after all others.
+		for _, address := range current {
 			if !slices.Contains(addresses, address) {
 				addresses = append(addresses, address)
 			}
 		}
-		s.answer, s.err = b.sendOnce(ctx, s, addresses[attempt%len(addresses)], time.Until(until), perAttempt)
+		s.answer, s.err = b.sendOnce(ctx, s, addresses[attempt%len(addresses)], time.Until(deadlineAt), perAttempt)
 		if failed := s.failure(); s.err == nil || failed != nil && failed.Code != codeStopping && failed.Code != codeNotReady {
 			return
 		}
@@ -103,7 +104,7 @@
 	return b.client.SendTo(ctx, address, caller.Request{Pipeline: s.pipeline, Key: s.key, Input: s.input, Deadline: max(deadline, time.Second)})
 }
 
-// traffic sends requests at an even rate until its stop is called, which waits for the last of them.
+// traffic sends requests at a constant rate, in the background, until stop is called. stop waits for the last of them.
 func (b *bench) traffic(ctx context.Context, pipeline string, perSecond int) (stop func()) {
 	done := make(chan struct{})
 	var group sync.WaitGroup
@@ -129,49 +130,50 @@
 	}
 }
 
-// between gives the requests of a pipeline that were sent in a span of time.
+// between returns the requests of a pipeline that were created at from or later and before to.
 func (b *bench) between(pipeline string, from, to time.Time) []*sent {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	var all []*sent
+	var requests []*sent
 	for _, s := range b.sent {
 		if s.pipeline == pipeline && !s.at.Before(from) && s.at.Before(to) {
-			all = append(all, s)
+			requests = append(requests, s)
 		}
 	}
-	return all
+	return requests
 }
 
-// attainment is the share of requests that were answered in time, in percent.
-func attainment(all []*sent) float64 {
-	if len(all) == 0 {
+// attainment returns the share of requests, in percent, that were answered within the default deadline. It is 100 if there
+// are none.
+func attainment(requests []*sent) float64 {
+	if len(requests) == 0 {
 		return 100
 	}
-	n := 0
-	for _, s := range all {
+	answered := 0
+	for _, s := range requests {
 		if s.err == nil && s.took <= defaultDeadline {
-			n++
+			answered++
 		}
 	}
-	return 100 * float64(n) / float64(len(all))
+	return 100 * float64(answered) / float64(len(requests))
 }
 
-// quantiles gives the median, the 99th percentile and the greatest of some times.
-func quantiles(all []time.Duration) (p50, p99, worst time.Duration) {
-	if len(all) == 0 {
+// quantiles returns the median, the 99th percentile and the maximum of some durations, which it sorts in place.
+func quantiles(durations []time.Duration) (p50, p99, worst time.Duration) {
+	if len(durations) == 0 {
 		return 0, 0, 0
 	}
-	slices.Sort(all)
-	last := len(all) - 1
-	return all[last/2], all[last*99/100], all[last]
+	slices.Sort(durations)
+	last := len(durations) - 1
+	return durations[last/2], durations[last*99/100], durations[last]
 }
 
-// count holds what callers were told against the endpoints' ledgers.
+// count compares the outcomes that callers received with the endpoints' ledgers.
 func (b *bench) count(ctx context.Context) Counts {
 	executions, err := b.fleet.Executions(ctx)
-	ran := map[string]bool{}
+	executed := map[string]bool{}
 	for _, execution := range executions {
-		ran[execution.IdempotencyKey] = true
+		executed[execution.IdempotencyKey] = true
 	}
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -181,17 +183,17 @@
 		return counts
 	}
 	for _, s := range b.sent {
-		counts.add(s, ran[s.key])
+		counts.add(s, executed[s.key])
 	}
 	return counts
 }
 
-func (c *Counts) add(s *sent, ran bool) {
+func (c *Counts) add(s *sent, executed bool) {
 	failed := s.failure()
 	switch {
 	case s.err == nil:
 		c.Answered++
-		if !ran {
+		if !executed {
 			c.Lost++
 		}
 		if !demonstrator.IsOwnAnswer(s.pipeline, s.input, s.answer.Text) {
@@ -201,7 +203,7 @@
 		c.Lost++
 	case failed.Outcome == outcomeNotRun:
 		c.NotRun++
-		if ran {
+		if executed {
 			c.Untrue++
 		}
 	default:
