--- a/soaker/notice.go
+++ b/soaker/notice.go
@@ -63,8 +63,8 @@
 }
 
 // applyNotice makes an endpoint include a notice in its responses for the duration of the step.
-func (w *planRunner) applyNotice(ctx context.Context, step Step) {
-	endpoints := w.fleet.site.Endpoints
+func (r *planRunner) applyNotice(ctx context.Context, step Step) {
+	endpoints := r.fleet.site.Endpoints
 	switch f := step.Fault.(type) {
 	case EndpointLimited:
 		endpoints[f.Endpoint].SetLimit(f.PerSecond)
@@ -74,7 +74,7 @@
 		endpoints[f.Endpoint].SayLeaving()
 		_ = sleep(ctx, step.Duration+leaveExtraDuration)
 		endpoints[f.Endpoint].StartAgain()
-		w.setState(f.Endpoint, "in_service")
+		r.setState(f.Endpoint, "in_service")
 	case EndpointRests:
 		endpoints[f.Endpoint].AskForRest(f.RetryAfter)
 		_ = sleep(ctx, step.Duration)
--- a/soaker/soaker.go
+++ b/soaker/soaker.go
@@ -55,16 +55,16 @@
 			f.site.Move(e.ID, serviceOf(e), evacuatedZone)
 		}
 	}
-	w := &planRunner{cfg: cfg, fleet: f, traffic: &traffic{fleet: f}, disturbed: make(map[int][]Span)}
-	w.writeConfiguration()
-	if err := w.awaitReady(ctx); err != nil {
+	runner := &planRunner{cfg: cfg, fleet: f, traffic: &traffic{fleet: f}, disturbed: make(map[int][]Span)}
+	runner.writeConfiguration()
+	if err := runner.awaitReady(ctx); err != nil {
 		return Result{}, err
 	}
-	w.traffic.startedAt = time.Now()
-	w.run(ctx, plan)
-	record := w.traffic.record(w.newestVersion)
-	record.ProcessErrors, record.Evacuations, record.Disturbed = w.processErrors, w.evacuations, w.disturbed
-	record.Endpoints = endpointRecords(f.site, w.traffic.startedAt)
+	runner.traffic.startedAt = time.Now()
+	runner.run(ctx, plan)
+	record := runner.traffic.record(runner.newestVersion)
+	record.ProcessErrors, record.Evacuations, record.Disturbed = runner.processErrors, runner.evacuations, runner.disturbed
+	record.Endpoints = endpointRecords(f.site, runner.traffic.startedAt)
 	r := Result{Seed: cfg.Seed, Faults: len(plan.Steps) + 1, Requests: len(record.Attempts), Violations: Check(record)}
 	for i := range record.Attempts {
 		if record.Attempts[i].Status == http.StatusOK {
--- a/soaker/world.go
+++ b/soaker/world.go
@@ -58,21 +58,21 @@
 }
 
 // writeConfiguration writes the next version of the configuration.
-func (w *planRunner) writeConfiguration() {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	site := w.fleet.site
+func (r *planRunner) writeConfiguration() {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	site := r.fleet.site
 	site.Tenants = []map[string]any{{
-		"Name": fmt.Sprintf("%s%d", accountPrefix, w.newestVersion+1), "ApiKeys": []string{imitator.Key},
+		"Name": fmt.Sprintf("%s%d", accountPrefix, r.newestVersion+1), "ApiKeys": []string{imitator.Key},
 	}}
-	w.newestVersion++
+	r.newestVersion++
 	site.Configure()
 }
 
-func (w *planRunner) awaitReady(ctx context.Context) error {
+func (r *planRunner) awaitReady(ctx context.Context) error {
 	ctx, cancel := context.WithTimeout(ctx, startTimeout)
 	defer cancel()
-	for _, e := range w.fleet.entries {
+	for _, e := range r.fleet.entries {
 		for !imitator.Ready(ctx, e.listening.Ready) {
 			if ctx.Err() != nil {
 				return &StartError{Entry: e.name}
@@ -84,211 +84,211 @@
 }
 
 // run injects the plan's faults while callers send requests, and then sends the final requests to each entry.
-func (w *planRunner) run(ctx context.Context, plan Plan) {
+func (r *planRunner) run(ctx context.Context, plan Plan) {
 	sending, stop := context.WithCancel(ctx)
 	var background, faults sync.WaitGroup
-	background.Go(func() { w.traffic.run(sending) })
-	background.Go(func() { w.copyStore(sending) })
+	background.Go(func() { r.traffic.run(sending) })
+	background.Go(func() { r.copyStore(sending) })
 	for _, step := range plan.Steps {
-		if sleep(ctx, time.Until(w.traffic.startedAt.Add(step.At))) != nil {
+		if sleep(ctx, time.Until(r.traffic.startedAt.Add(step.At))) != nil {
 			break
 		}
-		faults.Go(func() { w.inject(ctx, step) })
+		faults.Go(func() { r.inject(ctx, step) })
 	}
 	faults.Wait()
-	for _, e := range w.fleet.site.Endpoints {
+	for _, e := range r.fleet.site.Endpoints {
 		e.Fail(imitator.Sound, 0)
 	}
-	w.writeConfiguration()
+	r.writeConfiguration()
 	_ = sleep(ctx, finalFaultDelay)
-	w.inject(ctx, plan.Last)
+	r.inject(ctx, plan.Last)
 	faultsEndedAt := time.Now()
 	// The sleeps fail only if the context ends, which ends the run as well.
 	_ = sleep(ctx, finalConfigDelay)
-	w.writeConfiguration()
-	_ = sleep(ctx, w.cfg.ConfigTime)
-	w.sendFinalRequests(phaseConfigured)
-	_ = sleep(ctx, time.Until(faultsEndedAt.Add(w.cfg.SettleTime)))
+	r.writeConfiguration()
+	_ = sleep(ctx, r.cfg.ConfigTime)
+	r.sendFinalRequests(phaseConfigured)
+	_ = sleep(ctx, time.Until(faultsEndedAt.Add(r.cfg.SettleTime)))
 	stop()
 	background.Wait()
-	w.sendFinalRequests(phaseSettled)
+	r.sendFinalRequests(phaseSettled)
 }
 
 // sendFinalRequests sends requests of all kinds to each entry.
-func (w *planRunner) sendFinalRequests(phase Phase) {
+func (r *planRunner) sendFinalRequests(phase Phase) {
 	client := &http.Client{Transport: &http.Transport{DisableKeepAlives: true}}
-	for i := range w.fleet.entries {
+	for i := range r.fleet.entries {
 		for n := range finalRequests {
-			w.traffic.send(client, i, n, fmt.Sprintf("last-%d-%d-%d", phase, i, n), phase)
+			r.traffic.send(client, i, n, fmt.Sprintf("last-%d-%d-%d", phase, i, n), phase)
 		}
 	}
 }
 
 // copyStore copies the store at regular intervals until the context ends.
-func (w *planRunner) copyStore(ctx context.Context) {
+func (r *planRunner) copyStore(ctx context.Context) {
 	for sleep(ctx, copyInterval) == nil {
-		w.mu.Lock()
-		w.storeCopy, w.copiedAt = w.fleet.site.Store.TakeCopy(), time.Now()
-		w.mu.Unlock()
+		r.mu.Lock()
+		r.storeCopy, r.copiedAt = r.fleet.site.Store.TakeCopy(), time.Now()
+		r.mu.Unlock()
 	}
 }
 
 // inject injects the fault of a step and ends it after its duration.
-func (w *planRunner) inject(ctx context.Context, step Step) {
+func (r *planRunner) inject(ctx context.Context, step Step) {
 	waitForEnd := func() { _ = sleep(ctx, step.Duration) }
 	switch f := step.Fault.(type) {
 	case KillEntry:
-		w.injectIntoProcess(f.Entry, w.restart)
+		r.injectIntoProcess(f.Entry, r.restart)
 	case PauseEntry:
-		w.injectIntoProcess(f.Entry, func(_ *entry, process *starter.Process) {
+		r.injectIntoProcess(f.Entry, func(_ *entry, process *starter.Process) {
 			if process.Freeze() == nil {
 				waitForEnd()
 				_ = process.Thaw()
 			}
 		})
 	case StopEntry:
-		w.injectIntoProcess(f.Entry, w.stop)
+		r.injectIntoProcess(f.Entry, r.stop)
 	case StoreOutage:
-		w.beginStoreFault(f.How)
+		r.beginStoreFault(f.How)
 		waitForEnd()
-		w.endStoreFault()
+		r.endStoreFault()
 	case StoreReturn:
-		w.returnStore(waitForEnd)
+		r.returnStore(waitForEnd)
 	case StoreForgets:
-		w.mu.Lock()
-		w.fleet.site.ForgetOperator()
-		w.mu.Unlock()
+		r.mu.Lock()
+		r.fleet.site.ForgetOperator()
+		r.mu.Unlock()
 	case CutStore:
-		w.fleet.entries[f.Entry].storeRelay.Set(f.How)
+		r.fleet.entries[f.Entry].storeRelay.Set(f.How)
 		waitForEnd()
-		w.fleet.entries[f.Entry].storeRelay.Set(relayer.Open)
+		r.fleet.entries[f.Entry].storeRelay.Set(relayer.Open)
 	case CutCallers:
-		w.fleet.entries[f.Entry].callerRelay.Set(f.How)
+		r.fleet.entries[f.Entry].callerRelay.Set(f.How)
 		waitForEnd()
-		w.fleet.entries[f.Entry].callerRelay.Set(relayer.Open)
+		r.fleet.entries[f.Entry].callerRelay.Set(relayer.Open)
 	case EndpointFails:
-		w.fleet.site.Endpoints[f.Endpoint].Fail(f.How, f.Requests)
+		r.fleet.site.Endpoints[f.Endpoint].Fail(f.How, f.Requests)
 	case EndpointDrains:
-		w.setState(f.Endpoint, "draining")
+		r.setState(f.Endpoint, "draining")
 		waitForEnd()
-		w.setState(f.Endpoint, "in_service")
+		r.setState(f.Endpoint, "in_service")
 	case EndpointLimited, EndpointLeaves, EndpointRests:
-		w.applyNotice(ctx, step)
+		r.applyNotice(ctx, step)
 	case EvacuateZone:
-		w.beginEvacuation(f.Zone)
+		r.beginEvacuation(f.Zone)
 		_ = sleep(ctx, step.Duration+evacuationTimeout)
-		w.endEvacuation(f.Zone)
+		r.endEvacuation(f.Zone)
 	case ConfigChange:
-		w.writeConfiguration()
+		r.writeConfiguration()
 	}
 }
 
 // beginEvacuation begins an evacuation. The zone is used again after the last active evacuation has ended.
-func (w *planRunner) beginEvacuation(zone string) {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	w.activeEvacuations++
-	if w.activeEvacuations == 1 {
-		w.fleet.site.Evacuate(zone)
-		w.evacuationStartedAt = time.Now()
+func (r *planRunner) beginEvacuation(zone string) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	r.activeEvacuations++
+	if r.activeEvacuations == 1 {
+		r.fleet.site.Evacuate(zone)
+		r.evacuationStartedAt = time.Now()
 	}
 }
 
-func (w *planRunner) endEvacuation(zone string) {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	w.activeEvacuations--
-	if w.activeEvacuations > 0 {
+func (r *planRunner) endEvacuation(zone string) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	r.activeEvacuations--
+	if r.activeEvacuations > 0 {
 		return
 	}
-	startedAt := w.traffic.startedAt
-	w.evacuations = append(w.evacuations, Span{From: w.evacuationStartedAt.Add(evacuationTimeout).Sub(startedAt), To: time.Since(startedAt)})
-	w.fleet.site.TakeBack(zone)
+	startedAt := r.traffic.startedAt
+	r.evacuations = append(r.evacuations, Span{From: r.evacuationStartedAt.Add(evacuationTimeout).Sub(startedAt), To: time.Since(startedAt)})
+	r.fleet.site.TakeBack(zone)
 }
 
 // beginStoreFault begins a fault of the store. The store serves again after the last active fault has ended.
-func (w *planRunner) beginStoreFault(how imitator.Outage) {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	w.activeStoreFaults++
-	w.fleet.site.Store.SetOutage(how)
+func (r *planRunner) beginStoreFault(how imitator.Outage) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	r.activeStoreFaults++
+	r.fleet.site.Store.SetOutage(how)
 }
 
-func (w *planRunner) endStoreFault() {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	if w.activeStoreFaults--; w.activeStoreFaults == 0 {
-		w.fleet.site.Store.SetOutage(imitator.Up)
+func (r *planRunner) endStoreFault() {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	if r.activeStoreFaults--; r.activeStoreFaults == 0 {
+		r.fleet.site.Store.SetOutage(imitator.Up)
 	}
 }
 
 // returnStore makes the store return from the last copy and then rewrites the records that the copy lacks.
-func (w *planRunner) returnStore(waitForEnd func()) {
-	w.beginStoreFault(imitator.Silent)
+func (r *planRunner) returnStore(waitForEnd func()) {
+	r.beginStoreFault(imitator.Silent)
 	waitForEnd()
-	w.mu.Lock()
-	if !w.copiedAt.IsZero() {
-		w.fleet.site.Store.ReturnFrom(w.storeCopy)
+	r.mu.Lock()
+	if !r.copiedAt.IsZero() {
+		r.fleet.site.Store.ReturnFrom(r.storeCopy)
 	}
-	w.mu.Unlock()
-	w.endStoreFault()
+	r.mu.Unlock()
+	r.endStoreFault()
 	time.Sleep(rewriteDelay)
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	w.fleet.site.WriteAgain()
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	r.fleet.site.WriteAgain()
 }
 
-func (w *planRunner) setState(endpoint int, state string) {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	e := w.fleet.site.Endpoints[endpoint]
-	w.fleet.site.Enter(e, serviceOf(e), state)
+func (r *planRunner) setState(endpoint int, state string) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	e := r.fleet.site.Endpoints[endpoint]
+	r.fleet.site.Enter(e, serviceOf(e), state)
 }
 
 // serviceOf returns the service that is part of an endpoint's ID.
 func serviceOf(e *imitator.Endpoint) string { return strings.Split(e.ID, "-")[1] }
 
 // injectIntoProcess injects a fault into an entry's process unless another fault of the process is active.
-func (w *planRunner) injectIntoProcess(index int, injectFault func(e *entry, process *starter.Process)) {
-	e := w.fleet.entries[index]
+func (r *planRunner) injectIntoProcess(index int, injectFault func(e *entry, process *starter.Process)) {
+	e := r.fleet.entries[index]
 	if !e.tryAcquire() {
 		return
 	}
 	defer e.release()
-	from := time.Since(w.traffic.startedAt)
+	from := time.Since(r.traffic.startedAt)
 	process, _ := e.current()
 	injectFault(e, process)
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	w.disturbed[index] = append(w.disturbed[index], Span{From: from, To: time.Since(w.traffic.startedAt)})
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	r.disturbed[index] = append(r.disturbed[index], Span{From: from, To: time.Since(r.traffic.startedAt)})
 }
 
 // stop stops an entry's process as planned and restarts it.
-func (w *planRunner) stop(e *entry, process *starter.Process) {
+func (r *planRunner) stop(e *entry, process *starter.Process) {
 	// A process that has already ended is detected by the Wait below.
 	_ = process.Terminate()
 	if _, ended := process.Wait(stopTimeout); !ended {
-		w.addProcessError(e.name + " did not end in time")
+		r.addProcessError(e.name + " did not end in time")
 	}
-	w.restart(e, process)
+	r.restart(e, process)
 }
 
 // restart kills an entry's process if it still runs, and starts a new one.
-func (w *planRunner) restart(e *entry, process *starter.Process) {
+func (r *planRunner) restart(e *entry, process *starter.Process) {
 	if err := process.Kill(); err != nil {
-		w.addProcessError(err.Error())
+		r.addProcessError(err.Error())
 	}
 	time.Sleep(restartDelay)
 	if err := e.start(); err != nil {
-		w.addProcessError(err.Error())
+		r.addProcessError(err.Error())
 	}
 }
 
 // addProcessError records what went wrong with a process.
-func (w *planRunner) addProcessError(text string) {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	w.processErrors = append(w.processErrors, text)
+func (r *planRunner) addProcessError(text string) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	r.processErrors = append(r.processErrors, text)
 }
 
 func sleep(ctx context.Context, d time.Duration) error {
