--- a/assembler/explain_test.go
+++ b/assembler/explain_test.go
@@ -74,7 +74,7 @@
 	require.Equal(t, http.StatusServiceUnavailable, f.call(refused).Status)
 	require.Equal(t, "noEndpoint", explain(t, logs, "refused-1").Cause)
 
-	f.fail("rank", imitator.Broken, -1)
+	f.fail("rank", imitator.Aborting, -1)
 	lost := f.ask(1, imitator.StagesPath, "lost-1")
 	lost.Pieces = "2,3"
 	require.Equal(t, http.StatusServiceUnavailable, f.call(lost).Status)
@@ -88,7 +88,7 @@
 	require.Equal(t, 1, steps["stage completed"])
 	require.Positive(t, steps["call for pieces failed"])
 
-	f.fail("plain", imitator.Broken, -1)
+	f.fail("plain", imitator.Aborting, -1)
 	require.Equal(t, http.StatusBadGateway, f.call(f.ask(0, imitator.OncePath, "maybe-1")).Status)
 	require.Equal(t, "endpointBroke", explain(t, logs, "maybe-1").Cause)
 
--- a/assembler/fleet_test.go
+++ b/assembler/fleet_test.go
@@ -134,11 +134,11 @@
 }
 
 // ask gives a request of the account to an entry.
-func (f *fleet) ask(entry int, path, id string) imitator.Ask {
-	return imitator.Ask{Address: f.nodes[entry].callers, Path: path, ID: id, Key: imitator.Key}
+func (f *fleet) ask(entry int, path, id string) imitator.Request {
+	return imitator.Request{Address: f.nodes[entry].callers, Path: path, ID: id, Key: imitator.Key}
 }
 
-func (f *fleet) call(a imitator.Ask) imitator.Reply {
+func (f *fleet) call(a imitator.Request) imitator.Response {
 	f.t.Helper()
 	reply, err := a.Call(f.t.Context())
 	require.NoError(f.t, err)
@@ -161,7 +161,7 @@
 // fail lets both endpoints of a service fail.
 func (f *fleet) fail(service string, fault imitator.Fault, n int) {
 	for i := range 2 {
-		f.site.Endpoint(fmt.Sprintf("i-%s-%d", service, i)).Fail(fault, n)
+		f.site.Endpoint(fmt.Sprintf("i-%s-%d", service, i)).InjectFault(fault, n)
 	}
 }
 
--- a/assembler/forwarding_test.go
+++ b/assembler/forwarding_test.go
@@ -42,11 +42,11 @@
 		require.Equal(t, runs[0].Endpoint, runs[0].Instance())
 		require.Equal(t, "1", runs[0].Header.Get("X-Mine"))
 		require.Empty(t, runs[0].Header.Get("Authorization"))
-		require.NotEmpty(t, runs[0].Patience())
+		require.NotEmpty(t, runs[0].Timeout())
 	})
 	t.Run("stream", func(t *testing.T) {
 		reply := f.call(f.ask(1, imitator.StreamPath, "stream-1"))
-		require.False(t, reply.Cut)
+		require.False(t, reply.Truncated)
 		require.Equal(t, stream("stream-1", 5), reply.Body)
 	})
 	t.Run("stages", func(t *testing.T) {
@@ -68,7 +68,7 @@
 		require.Eventually(t, func() bool {
 			held := 0
 			for _, e := range f.site.Endpoints {
-				held += e.Held()
+				held += e.HeldResults()
 			}
 			return held == 0
 		}, forwardPatience, 10*time.Millisecond, "results are freed")
@@ -86,14 +86,14 @@
 	for _, tc := range []struct {
 		name   string
 		status int
-		change func(a *imitator.Ask)
+		change func(a *imitator.Request)
 	}{
-		{"no route", http.StatusNotFound, func(a *imitator.Ask) { a.Path = "/nowhere/" }},
-		{"unknown key", http.StatusUnauthorized, func(a *imitator.Ask) { a.Key = "guess" }},
-		{"no key", http.StatusUnauthorized, func(a *imitator.Ask) { a.Key = "" }},
-		{"no attempt", http.StatusBadRequest, func(a *imitator.Ask) { a.ID = "" }},
-		{"body too large", http.StatusRequestEntityTooLarge, func(a *imitator.Ask) { a.Body = strings.Repeat("x", 70_000) }},
-		{"bad header", http.StatusBadRequest, func(a *imitator.Ask) { a.Pieces = "many" }},
+		{"no route", http.StatusNotFound, func(a *imitator.Request) { a.Path = "/nowhere/" }},
+		{"unknown key", http.StatusUnauthorized, func(a *imitator.Request) { a.Key = "guess" }},
+		{"no key", http.StatusUnauthorized, func(a *imitator.Request) { a.Key = "" }},
+		{"no attempt", http.StatusBadRequest, func(a *imitator.Request) { a.ID = "" }},
+		{"body too large", http.StatusRequestEntityTooLarge, func(a *imitator.Request) { a.Body = strings.Repeat("x", 70_000) }},
+		{"bad header", http.StatusBadRequest, func(a *imitator.Request) { a.Pieces = "many" }},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			a := f.ask(0, imitator.PlainPath, "bad")
@@ -110,11 +110,11 @@
 // Both endpoints run the request and break off. The caller hears that it may have run, and it is not sent again.
 func TestARequestThatMayHaveRunIsNotSentAgain(t *testing.T) {
 	f := newFleet(t, 1)
-	f.fail("plain", imitator.Broken, -1)
+	f.fail("plain", imitator.Aborting, -1)
 	reply := f.call(f.ask(0, imitator.OncePath, "once"))
 	require.Equal(t, http.StatusBadGateway, reply.Status)
 	require.Len(t, f.runs("once"), 1)
-	f.fail("model", imitator.Broken, -1)
+	f.fail("model", imitator.Aborting, -1)
 	reply = f.call(f.ask(0, imitator.StreamPath, "stream"))
 	require.Equal(t, http.StatusBadGateway, reply.Status)
 	require.Len(t, f.runs("stream"), 1)
@@ -123,11 +123,11 @@
 // An idempotent request meets an endpoint that breaks off, fails, or hangs, and is answered by the other one.
 func TestAnIdempotentRequestIsTriedElsewhere(t *testing.T) {
 	for name, fault := range map[string]imitator.Fault{
-		"broken": imitator.Broken, "erring": imitator.Erring, "hanging": imitator.Hanging,
+		"broken": imitator.Aborting, "erring": imitator.ServerError, "hanging": imitator.Hanging,
 	} {
 		t.Run(name, func(t *testing.T) {
 			f := newFleet(t, 1)
-			f.site.Endpoint("i-plain-0").Fail(fault, -1)
+			f.site.Endpoint("i-plain-0").InjectFault(fault, -1)
 			for i := range 4 {
 				id := fmt.Sprint(i)
 				reply := f.call(f.ask(0, imitator.PlainPath, id))
@@ -148,7 +148,7 @@
 	require.NotEmpty(t, reply.RetryAfter)
 	require.Empty(t, f.runs("full"))
 	require.Less(t, time.Since(began), 2*time.Second)
-	f.fail("plain", imitator.Sound, 0)
+	f.fail("plain", imitator.Healthy, 0)
 	require.Equal(t, http.StatusOK, f.call(f.ask(0, imitator.OncePath, "full")).Status)
 }
 
@@ -156,20 +156,20 @@
 // each event; else it sees that it is not whole.
 func TestABrokenStream(t *testing.T) {
 	f := newFleet(t, 1)
-	f.site.Endpoint("i-model-0").Fail(imitator.Halved, -1)
+	f.site.Endpoint("i-model-0").InjectFault(imitator.Truncated, -1)
 	resumed := 0
 	for i := range 10 {
 		id := fmt.Sprintf("resumed-%d", i)
 		reply := f.call(f.ask(0, imitator.ResumePath, id))
-		require.False(t, reply.Cut)
+		require.False(t, reply.Truncated)
 		require.Equal(t, stream(id, 5), reply.Body)
 		resumed += len(f.runs(id)) - 1
 	}
 	require.Positive(t, resumed)
 
-	f.fail("model", imitator.Halved, -1)
+	f.fail("model", imitator.Truncated, -1)
 	reply := f.call(f.ask(0, imitator.StreamPath, "cut"))
-	require.True(t, reply.Cut)
+	require.True(t, reply.Truncated)
 	require.Equal(t, stream("cut", 2), reply.Body)
 	require.Len(t, f.runs("cut"), 1)
 }
@@ -179,14 +179,14 @@
 // be left with the beginning.
 func TestABrokenStreamWithStagesGoesOn(t *testing.T) {
 	f := newFleet(t, 2)
-	f.site.Endpoint("i-model-0").Fail(imitator.Halved, -1)
+	f.site.Endpoint("i-model-0").InjectFault(imitator.Truncated, -1)
 	resumed := 0
 	for i := range 10 {
 		id := fmt.Sprintf("resumed-%d", i)
 		a := f.ask(i%2, imitator.ResumeStagesPath, id)
 		a.Pieces = "3,5"
 		reply := f.call(a)
-		require.False(t, reply.Cut)
+		require.False(t, reply.Truncated)
 		require.Equal(t, stream(id, 5), reply.Body)
 		runs := f.runs(id)
 		for _, run := range runs {
@@ -200,7 +200,7 @@
 // An endpoint answers twice, or without a length. Each caller gets its own whole answer.
 func TestOddAnswersReachTheirOwnCaller(t *testing.T) {
 	f := newFleet(t, 1)
-	for name, fault := range map[string]imitator.Fault{"twice": imitator.Doubling, "no length": imitator.Unframed} {
+	for name, fault := range map[string]imitator.Fault{"twice": imitator.Duplicating, "no length": imitator.Unframed} {
 		f.fail("plain", fault, -1)
 		for i := range 6 {
 			id := fmt.Sprintf("%s-%d", name, i)
@@ -218,7 +218,7 @@
 	_, err := f.ask(0, imitator.StreamPath, "left").Call(ctx)
 	require.ErrorIs(t, err, context.DeadlineExceeded)
 	require.Eventually(t, func() bool {
-		return f.site.Endpoint("i-model-0").Gone()+f.site.Endpoint("i-model-1").Gone() == 1
+		return f.site.Endpoint("i-model-0").CanceledRuns()+f.site.Endpoint("i-model-1").CanceledRuns() == 1
 	}, forwardPatience, 5*time.Millisecond)
 }
 
@@ -227,7 +227,7 @@
 	f := newFleet(t, 1)
 	f.fail("plain", imitator.Hanging, -1)
 	a := f.ask(0, imitator.OncePath, "deadline")
-	a.Patience = 300 * time.Millisecond
+	a.Timeout = 300 * time.Millisecond
 	require.Equal(t, http.StatusGatewayTimeout, f.call(a).Status)
 	require.Len(t, f.runs("deadline"), 1)
 }
@@ -235,7 +235,7 @@
 // An endpoint reports that it is leaving, another one's entry is taken away: neither gets new work.
 func TestLeavingEndpointsGetNoWork(t *testing.T) {
 	f := newFleet(t, 2)
-	f.site.Enter(f.site.Endpoint("i-plain-0"), "plain", "draining")
+	f.site.Register(f.site.Endpoint("i-plain-0"), "plain", "draining")
 	f.site.Remove(f.site.Endpoint("i-model-0"))
 	time.Sleep(time.Second) // one reading of the store and its pause
 	for i := range 10 {
@@ -245,7 +245,7 @@
 	}
 }
 
-func firstRun(t *testing.T, f *fleet, a imitator.Ask) string {
+func firstRun(t *testing.T, f *fleet, a imitator.Request) string {
 	t.Helper()
 	require.Equal(t, http.StatusOK, f.call(a).Status)
 	return f.runs(a.ID)[0].Endpoint
@@ -286,11 +286,11 @@
 	for _, e := range f.site.Endpoints {
 		e.Events = 1500
 	}
-	replies := make(chan imitator.Reply, 1)
+	replies := make(chan imitator.Response, 1)
 	go func() {
 		reply, err := f.ask(0, imitator.StreamPath, "long").Call(context.Background())
 		if err != nil {
-			reply.Cut = true
+			reply.Truncated = true
 		}
 		replies <- reply
 	}()
@@ -311,7 +311,7 @@
 	require.Equal(t, http.StatusOK, reply.Status)
 	require.True(t, reply.Closing, "the next request is to go elsewhere")
 	long := <-replies
-	require.False(t, long.Cut)
+	require.False(t, long.Truncated)
 	require.Equal(t, stream("long", 1500), long.Body)
 	require.NoError(t, <-f.nodes[0].done)
 	f.nodes[0].done <- nil
@@ -363,10 +363,10 @@
 	f.site.Configure()
 	a := f.ask(0, imitator.StagesPath, "waits")
 	a.Pieces = "1,1"
-	a.Patience = time.Minute
+	a.Timeout = time.Minute
 	require.Eventually(t, func() bool {
 		for _, nd := range f.nodes {
-			if f.call(imitator.Ask{Address: nd.callers, Path: "/none/", ID: "x"}).Status != http.StatusNotFound {
+			if f.call(imitator.Request{Address: nd.callers, Path: "/none/", ID: "x"}).Status != http.StatusNotFound {
 				return false
 			}
 		}
@@ -389,7 +389,7 @@
 	f.site.Configure()
 	a := f.ask(0, imitator.StagesPath, "waits")
 	a.Pieces = "1,1"
-	a.Patience = time.Minute
+	a.Timeout = time.Minute
 	ctx, leave := context.WithTimeout(t.Context(), 10*time.Second)
 	defer leave()
 	reply, err := a.Call(ctx)
@@ -405,16 +405,16 @@
 	f := newFleet(t, 1)
 	for i := range 2 {
 		e := f.site.Endpoint(fmt.Sprintf("i-model-%d", i))
-		e.Events, e.Pause, e.Padding = 1_000_000, 0, 4<<10
+		e.Events, e.EventInterval, e.Padding = 1_000_000, 0, 4<<10
 	}
 	conn, err := net.Dial("tcp", f.nodes[0].callers)
 	require.NoError(t, err)
 	defer func() { _ = conn.Close() }()
 	a := f.ask(0, imitator.StreamPath, "unread")
-	a.Patience = 500 * time.Millisecond
+	a.Timeout = 500 * time.Millisecond
 	require.NoError(t, a.Send(t.Context(), conn))
 	require.Eventually(t, func() bool {
-		return f.site.Endpoint("i-model-0").Gone()+f.site.Endpoint("i-model-1").Gone() == 1
+		return f.site.Endpoint("i-model-0").CanceledRuns()+f.site.Endpoint("i-model-1").CanceledRuns() == 1
 	}, forwardPatience, 20*time.Millisecond)
 	require.Eventually(t, func() bool {
 		return f.metric(0, "geraniumline_forward_in_flight") == "0"
--- a/assembler/notice_test.go
+++ b/assembler/notice_test.go
@@ -74,7 +74,7 @@
 func TestEndpointsWhoseAnswersSayThatTheyLeaveGetNothing(t *testing.T) {
 	f := newFleet(t, 3)
 	for _, service := range services {
-		f.site.Endpoint(fmt.Sprintf("i-%s-0", service)).SayLeaving()
+		f.site.Endpoint(fmt.Sprintf("i-%s-0", service)).AnnounceLeaving()
 	}
 	require.Eventually(t, func() bool {
 		for entry := range f.nodes {
@@ -90,8 +90,8 @@
 	}
 	for _, service := range services {
 		e := f.site.Endpoint(fmt.Sprintf("i-%s-0", service))
-		e.StartAgain()
-		f.site.Enter(e, service, "in_service")
+		e.Restart()
+		f.site.Register(e, service, "in_service")
 	}
 	for entry := range f.nodes {
 		require.Eventually(t, func() bool { return !f.idle(entry, 0) }, forwardPatience, 20*time.Millisecond, "a new start is used")
@@ -103,7 +103,7 @@
 func TestAnEndpointThatAsksForRestGetsIt(t *testing.T) {
 	f := newFleet(t, 3)
 	for _, service := range services {
-		f.site.Endpoint(fmt.Sprintf("i-%s-0", service)).AskForRest(time.Minute)
+		f.site.Endpoint(fmt.Sprintf("i-%s-0", service)).RequestRest(time.Minute)
 	}
 	for entry := range f.nodes {
 		f.serveAll(entry, fmt.Sprintf("first-%d", entry))
@@ -127,13 +127,13 @@
 func TestARestingServiceRefusesAtOnceAndSaysUntilWhen(t *testing.T) {
 	f := newFleet(t, 1)
 	for i := range 2 {
-		f.site.Endpoint(fmt.Sprintf("i-plain-%d", i)).AskForRest(4 * time.Second)
-		f.site.Endpoint(fmt.Sprintf("i-model-%d", i)).AskForRest(4 * time.Second)
-		f.site.Endpoint(fmt.Sprintf("i-rank-%d", i)).AskForRest(4 * time.Second)
+		f.site.Endpoint(fmt.Sprintf("i-plain-%d", i)).RequestRest(4 * time.Second)
+		f.site.Endpoint(fmt.Sprintf("i-model-%d", i)).RequestRest(4 * time.Second)
+		f.site.Endpoint(fmt.Sprintf("i-rank-%d", i)).RequestRest(4 * time.Second)
 	}
 	paths := []string{imitator.PlainPath, imitator.OncePath, imitator.StreamPath, imitator.StagesPath}
-	refuse := func(round string) []imitator.Reply {
-		var replies []imitator.Reply
+	refuse := func(round string) []imitator.Response {
+		var replies []imitator.Response
 		for _, path := range paths {
 			a := f.ask(0, path, round+path)
 			a.Pieces = "3,5"
--- a/assembler/openness_test.go
+++ b/assembler/openness_test.go
@@ -68,13 +68,13 @@
 	}
 	// A newer configuration and a forgotten history change nothing of it.
 	f.site.Configure()
-	f.site.ForgetOperator()
+	f.site.CompactOperator()
 	time.Sleep(200 * time.Millisecond)
 	for entry := range 3 {
 		require.True(t, f.idle(entry, 1))
 	}
-	f.site.TakeBack(imitator.ZoneB)
-	f.site.ForgetOperator()
+	f.site.EndEvacuation(imitator.ZoneB)
+	f.site.CompactOperator()
 	for entry := range 3 {
 		require.Eventually(t, func() bool { return !f.idle(entry, 1) }, forwardPatience, 20*time.Millisecond)
 	}
@@ -101,7 +101,7 @@
 	f.site.Evacuate(imitator.ZoneB)
 	f.site.Evacuate(imitator.ZoneA)
 	for _, path := range []string{imitator.PlainPath, imitator.OncePath, imitator.StreamPath, imitator.StagesPath} {
-		var reply imitator.Reply
+		var reply imitator.Response
 		id := "all" + path
 		require.Eventually(t, func() bool {
 			began := time.Now()
@@ -112,7 +112,7 @@
 		}, forwardPatience, 20*time.Millisecond)
 		require.NotEmpty(t, reply.RetryAfter, path)
 	}
-	f.site.TakeBack(imitator.ZoneA)
+	f.site.EndEvacuation(imitator.ZoneA)
 	require.Eventually(t, func() bool {
 		return f.call(f.ask(0, imitator.PlainPath, "again")).Status == http.StatusOK
 	}, forwardPatience, 20*time.Millisecond)
@@ -127,7 +127,7 @@
 	f.site.Configure()
 	require.Eventually(t, func() bool { return f.idle(0, 1) }, forwardPatience, 20*time.Millisecond)
 	f.site.Evacuate(imitator.ZoneA)
-	var reply imitator.Reply
+	var reply imitator.Response
 	require.Eventually(t, func() bool {
 		reply = f.call(f.ask(0, imitator.OncePath, "home"))
 		return reply.Status == http.StatusServiceUnavailable
@@ -146,11 +146,11 @@
 func TestAColdEndpointIsNotOverrun(t *testing.T) {
 	f := newFleet(t, 3)
 	const cold = "i-model-1"
-	f.site.Chill(cold, "model", forwardPatience)
+	f.site.MakeCold(cold, "model", forwardPatience)
 	for entry := range 3 {
 		require.Eventually(t, func() bool { return f.metric(entry, "geraniumline_endpoints_cold") == "1" }, forwardPatience, 20*time.Millisecond)
 	}
-	f.site.Endpoint(cold).Chill(forwardPatience)
+	f.site.Endpoint(cold).MakeCold(forwardPatience)
 	var callers sync.WaitGroup
 	for i := range 120 {
 		callers.Go(func() {
--- a/soaker/fleet.go
+++ b/soaker/fleet.go
@@ -25,7 +25,7 @@
 	settings  string
 	binary    string
 	dir       string
-	listening imitator.Listening
+	listening imitator.ListenAddresses
 	// store and callers relay its connections to the store and those of callers.
 	store, callers *relayer.Relay
 
@@ -66,7 +66,7 @@
 	e := &entry{name: name, binary: filepath.Join(cfg.Bin, "geraniumline"), dir: cfg.Dir}
 	f.entries = append(f.entries, e)
 	var err error
-	if e.listening, err = imitator.FreeListening(); err != nil {
+	if e.listening, err = imitator.FreeListenAddresses(); err != nil {
 		return nil, err
 	}
 	if e.store, err = relayer.New(f.site.Store.Address()); err != nil {
@@ -76,7 +76,7 @@
 		return nil, err
 	}
 	e.settings, err = f.site.WriteSettings(cfg.Dir, imitator.EntrySettings{
-		Name: name, Seeds: seeds, StoreAddress: e.store.Address(), Listening: e.listening,
+		Name: name, Seeds: seeds, StoreAddress: e.store.Address(), Listen: e.listening,
 	})
 	if err != nil {
 		return nil, err
--- a/soaker/notice.go
+++ b/soaker/notice.go
@@ -69,14 +69,14 @@
 		_ = sleep(ctx, step.For+limitTime)
 		endpoints[f.Endpoint].SetLimit(0)
 	case EndpointLeaves:
-		endpoints[f.Endpoint].SayLeaving()
+		endpoints[f.Endpoint].AnnounceLeaving()
 		_ = sleep(ctx, step.For+leaveTime)
-		endpoints[f.Endpoint].StartAgain()
+		endpoints[f.Endpoint].Restart()
 		w.setState(f.Endpoint, "in_service")
 	case EndpointRests:
-		endpoints[f.Endpoint].AskForRest(f.Rest)
+		endpoints[f.Endpoint].RequestRest(f.Rest)
 		_ = sleep(ctx, step.For)
-		endpoints[f.Endpoint].AskForRest(0)
+		endpoints[f.Endpoint].RequestRest(0)
 	}
 }
 
--- a/soaker/plan.go
+++ b/soaker/plan.go
@@ -128,9 +128,9 @@
 	outageNames = map[imitator.Outage]string{imitator.Busy: "busy", imitator.Silent: "silent", imitator.Reset: "reset"}
 	modeNames   = map[relayer.Mode]string{relayer.Closed: "closed", relayer.Stalled: "stalled", relayer.NoReplies: "no replies"}
 	faultNames  = map[imitator.Fault]string{
-		imitator.Full: "refused", imitator.Broken: "broken off", imitator.Hanging: "never answered", imitator.Erring: "failed",
-		imitator.Doubling: "answered twice", imitator.Unframed: "answered without a length",
-		imitator.Halved: "broken off in an event",
+		imitator.Full: "refused", imitator.Aborting: "broken off", imitator.Hanging: "never answered", imitator.ServerError: "failed",
+		imitator.Duplicating: "answered twice", imitator.Unframed: "answered without a length",
+		imitator.Truncated: "broken off in an event",
 	}
 )
 
@@ -235,8 +235,8 @@
 		return EndpointDrains{Endpoint: endpoint}
 	case 10, 11:
 		how := []imitator.Fault{
-			imitator.Full, imitator.Broken, imitator.Hanging, imitator.Erring, imitator.Doubling, imitator.Unframed,
-			imitator.Halved,
+			imitator.Full, imitator.Aborting, imitator.Hanging, imitator.ServerError, imitator.Duplicating, imitator.Unframed,
+			imitator.Truncated,
 		}[rnd.IntN(7)]
 		return EndpointFails{Endpoint: endpoint, How: how, Requests: 1 + rnd.IntN(maxFailing)}
 	case 12, 13:
--- a/soaker/traffic.go
+++ b/soaker/traffic.go
@@ -80,11 +80,11 @@
 	a := Attempt{ID: id, Entry: i, Boot: boot, Once: k.once, Sent: time.Since(t.began), Want: k.want(id), Phase: phase}
 	ctx, cancel := context.WithTimeout(context.Background(), 2*callerPatience)
 	defer cancel()
-	ask := imitator.Ask{
+	ask := imitator.Request{
 		Address: e.callers.Address(), Path: k.path, ID: id, Key: imitator.Key, Body: "body of " + id,
-		Patience: callerPatience, Pieces: k.pieces,
+		Timeout: callerPatience, Pieces: k.pieces,
 	}
-	if reply, err := ask.CallWith(ctx, client); err == nil && !reply.Cut {
+	if reply, err := ask.CallWith(ctx, client); err == nil && !reply.Truncated {
 		a.Status, a.Body, a.Stamp = reply.Status, reply.Body, reply.Stamp
 	}
 	a.Ended = time.Since(t.began)
--- a/soaker/world.go
+++ b/soaker/world.go
@@ -42,7 +42,7 @@
 	// newest is the version of the configuration written last.
 	newest int
 	// older is a copy of the store, taken at copied.
-	older   imitator.Copy
+	older   imitator.Snapshot
 	copied  time.Time
 	overdue []string
 	// evacuated counts the evacuations under way, evacuations are the spans of those that have ended.
@@ -95,7 +95,7 @@
 	}
 	faults.Wait()
 	for _, e := range w.fleet.site.Endpoints {
-		e.Fail(imitator.Sound, 0)
+		e.InjectFault(imitator.Healthy, 0)
 	}
 	w.configure()
 	_ = sleep(ctx, lastPause)
@@ -126,7 +126,7 @@
 func (w *world) takeCopies(ctx context.Context) {
 	for sleep(ctx, copyEvery) == nil {
 		w.mu.Lock()
-		w.older, w.copied = w.fleet.site.Store.TakeCopy(), time.Now()
+		w.older, w.copied = w.fleet.site.Store.Snapshot(), time.Now()
 		w.mu.Unlock()
 	}
 }
@@ -154,7 +154,7 @@
 		w.returnStore(last)
 	case StoreForgets:
 		w.mu.Lock()
-		w.fleet.site.ForgetOperator()
+		w.fleet.site.CompactOperator()
 		w.mu.Unlock()
 	case CutStore:
 		w.fleet.entries[f.Entry].store.Set(f.How)
@@ -165,7 +165,7 @@
 		last()
 		w.fleet.entries[f.Entry].callers.Set(relayer.Open)
 	case EndpointFails:
-		w.fleet.site.Endpoints[f.Endpoint].Fail(f.How, f.Requests)
+		w.fleet.site.Endpoints[f.Endpoint].InjectFault(f.How, f.Requests)
 	case EndpointDrains:
 		w.setState(f.Endpoint, "draining")
 		last()
@@ -201,7 +201,7 @@
 	}
 	began := w.traffic.began
 	w.evacuations = append(w.evacuations, Span{From: w.evacuatedAt.Add(evacuateTime).Sub(began), To: time.Since(began)})
-	w.fleet.site.TakeBack(zone)
+	w.fleet.site.EndEvacuation(zone)
 }
 
 // storeAway begins a fault of the store; the store serves again when the last one has ended.
@@ -226,21 +226,21 @@
 	last()
 	w.mu.Lock()
 	if !w.copied.IsZero() {
-		w.fleet.site.Store.ReturnFrom(w.older)
+		w.fleet.site.Store.Restore(w.older)
 	}
 	w.mu.Unlock()
 	w.storeBack()
 	time.Sleep(rewriteAfter)
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.fleet.site.WriteAgain()
+	w.fleet.site.RewriteAll()
 }
 
 func (w *world) setState(endpoint int, state string) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	e := w.fleet.site.Endpoints[endpoint]
-	w.fleet.site.Enter(e, serviceOf(e), state)
+	w.fleet.site.Register(e, serviceOf(e), state)
 }
 
 // serviceOf gives the service that an endpoint's id names.
