--- a/assembler/fleet_test.go
+++ b/assembler/fleet_test.go
@@ -134,11 +134,11 @@
 }
 
 // newRequest returns a request of the test account to an entry.
-func (f *fleet) newRequest(entry int, path, id string) imitator.Ask {
-	return imitator.Ask{Address: f.nodes[entry].callers, Path: path, ID: id, Key: imitator.Key}
+func (f *fleet) newRequest(entry int, path, id string) imitator.Request {
+	return imitator.Request{Address: f.nodes[entry].callers, Path: path, ID: id, Key: imitator.Key}
 }
 
-func (f *fleet) call(request imitator.Ask) imitator.Reply {
+func (f *fleet) call(request imitator.Request) imitator.Response {
 	f.t.Helper()
 	reply, err := request.Call(f.t.Context())
 	require.NoError(f.t, err)
@@ -161,7 +161,7 @@
 // injectFault makes both endpoints of a service fail the next n requests, or all if n is negative.
 func (f *fleet) injectFault(service string, fault imitator.Fault, n int) {
 	for i := range 2 {
-		f.site.Endpoint(fmt.Sprintf("i-%s-%d", service, i)).Fail(fault, n)
+		f.site.Endpoint(fmt.Sprintf("i-%s-%d", service, i)).InjectFault(fault, n)
 	}
 }
 
--- a/soaker/notice.go
+++ b/soaker/notice.go
@@ -71,14 +71,14 @@
 		_ = sleep(ctx, step.Duration+limitExtraDuration)
 		endpoints[f.Endpoint].SetLimit(0)
 	case EndpointLeaves:
-		endpoints[f.Endpoint].SayLeaving()
+		endpoints[f.Endpoint].AnnounceLeaving()
 		_ = sleep(ctx, step.Duration+leaveExtraDuration)
-		endpoints[f.Endpoint].StartAgain()
+		endpoints[f.Endpoint].Restart()
 		r.setState(f.Endpoint, "in_service")
 	case EndpointRests:
-		endpoints[f.Endpoint].AskForRest(f.RetryAfter)
+		endpoints[f.Endpoint].RequestRest(f.RetryAfter)
 		_ = sleep(ctx, step.Duration)
-		endpoints[f.Endpoint].AskForRest(0)
+		endpoints[f.Endpoint].RequestRest(0)
 	}
 }
 
--- a/soaker/traffic.go
+++ b/soaker/traffic.go
@@ -81,11 +81,11 @@
 	a := Attempt{ID: id, Entry: i, Incarnation: incarnation, AtMostOnce: k.atMostOnce, Sent: time.Since(t.startedAt), ExpectedBody: k.expectedBody(id), Phase: phase}
 	ctx, cancel := context.WithTimeout(context.Background(), 2*callerDeadline)
 	defer cancel()
-	ask := imitator.Ask{
+	ask := imitator.Request{
 		Address: e.callerRelay.Address(), Path: k.path, ID: id, Key: imitator.Key, Body: "body of " + id,
-		Patience: callerDeadline, Pieces: k.pieces,
+		Timeout: callerDeadline, Pieces: k.pieces,
 	}
-	if reply, err := ask.CallWith(ctx, client); err == nil && !reply.Cut {
+	if reply, err := ask.CallWith(ctx, client); err == nil && !reply.Truncated {
 		a.Status, a.Body, a.Stamp = reply.Status, reply.Body, reply.Stamp
 	}
 	a.Ended = time.Since(t.startedAt)
--- a/soaker/world.go
+++ b/soaker/world.go
@@ -43,7 +43,7 @@
 	// newestVersion is the version of the configuration that was written last.
 	newestVersion int
 	// storeCopy is a copy of the store, taken at copiedAt.
-	storeCopy imitator.Copy
+	storeCopy imitator.Snapshot
 	copiedAt  time.Time
 	// processErrors are the texts for Record.ProcessErrors.
 	processErrors []string
@@ -97,7 +97,7 @@
 	}
 	faults.Wait()
 	for _, e := range r.fleet.site.Endpoints {
-		e.Fail(imitator.Sound, 0)
+		e.InjectFault(imitator.Healthy, 0)
 	}
 	r.writeConfiguration()
 	_ = sleep(ctx, finalFaultDelay)
@@ -128,7 +128,7 @@
 func (r *planRunner) copyStore(ctx context.Context) {
 	for sleep(ctx, copyInterval) == nil {
 		r.mu.Lock()
-		r.storeCopy, r.copiedAt = r.fleet.site.Store.TakeCopy(), time.Now()
+		r.storeCopy, r.copiedAt = r.fleet.site.Store.Snapshot(), time.Now()
 		r.mu.Unlock()
 	}
 }
@@ -156,7 +156,7 @@
 		r.returnStore(waitForEnd)
 	case StoreForgets:
 		r.mu.Lock()
-		r.fleet.site.ForgetOperator()
+		r.fleet.site.CompactOperator()
 		r.mu.Unlock()
 	case CutStore:
 		r.fleet.entries[f.Entry].storeRelay.Set(f.How)
@@ -167,7 +167,7 @@
 		waitForEnd()
 		r.fleet.entries[f.Entry].callerRelay.Set(relayer.Open)
 	case EndpointFails:
-		r.fleet.site.Endpoints[f.Endpoint].Fail(f.How, f.Requests)
+		r.fleet.site.Endpoints[f.Endpoint].InjectFault(f.How, f.Requests)
 	case EndpointDrains:
 		r.setState(f.Endpoint, "draining")
 		waitForEnd()
@@ -203,7 +203,7 @@
 	}
 	startedAt := r.traffic.startedAt
 	r.evacuations = append(r.evacuations, Span{From: r.evacuationStartedAt.Add(evacuationTimeout).Sub(startedAt), To: time.Since(startedAt)})
-	r.fleet.site.TakeBack(zone)
+	r.fleet.site.EndEvacuation(zone)
 }
 
 // beginStoreFault begins a fault of the store. The store serves again after the last active fault has ended.
@@ -228,21 +228,21 @@
 	waitForEnd()
 	r.mu.Lock()
 	if !r.copiedAt.IsZero() {
-		r.fleet.site.Store.ReturnFrom(r.storeCopy)
+		r.fleet.site.Store.Restore(r.storeCopy)
 	}
 	r.mu.Unlock()
 	r.endStoreFault()
 	time.Sleep(rewriteDelay)
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.fleet.site.WriteAgain()
+	r.fleet.site.RewriteAll()
 }
 
 func (r *planRunner) setState(endpoint int, state string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	e := r.fleet.site.Endpoints[endpoint]
-	r.fleet.site.Enter(e, serviceOf(e), state)
+	r.fleet.site.Register(e, serviceOf(e), state)
 }
 
 // serviceOf returns the service that is part of an endpoint's ID.
