--- a/reducer/config.go
+++ b/reducer/config.go
@@ -15,16 +15,16 @@
 )
 
 const (
-	// recordsKept bounds the configuration records that are passed on to peers one by one.
-	recordsKept = 1024
-	// changeTimeout is how long an operator waits for the verdict on a change.
+	// maxConfigRecords bounds the configuration records that are kept to send to peers.
+	maxConfigRecords = 1024
+	// changeTimeout bounds an operator's wait for the verdict on a change.
 	changeTimeout = 5 * time.Second
 )
 
-// recordRing keeps the newest configuration records, to pass on to peers.
+// recordRing keeps the newest configuration records to send to peers.
 type recordRing struct {
 	limit int
-	// floor is the offset past which every record is kept.
+	// floor is the offset after which every record is kept.
 	floor   int64
 	records []recorder.Record
 }
@@ -33,6 +33,7 @@
 	return &recordRing{limit: limit}
 }
 
+// add appends a record and drops the oldest above the limit. Records that are not newer than the last are ignored.
 func (r *recordRing) add(record recorder.Record) {
 	if n := len(r.records); n > 0 && record.Offset <= r.records[n-1].Offset {
 		return
@@ -44,31 +45,31 @@
 	}
 }
 
-// restart forgets all records: those past the floor that are added from now on are whole again.
-func (r *recordRing) restart(floor int64) {
+// reset drops all records. From then on, every record after floor is expected to be added.
+func (r *recordRing) reset(floor int64) {
 	r.floor = floor
 	r.records = nil
 }
 
-// after gives the records past an offset, or false if some of them are no longer kept.
+// after returns the records after an offset, or false if some of them are no longer kept.
 func (r *recordRing) after(offset int64) ([]recorder.Record, bool) {
 	if offset < r.floor {
 		return nil, false
 	}
-	at, _ := slices.BinarySearchFunc(r.records, offset+1, func(record recorder.Record, from int64) int {
+	index, _ := slices.BinarySearchFunc(r.records, offset+1, func(record recorder.Record, from int64) int {
 		return cmp.Compare(record.Offset, from)
 	})
-	return r.records[at:], true
+	return r.records[index:], true
 }
 
-// pendingChange is an operator's change whose verdict has not been read back.
+// pendingChange is an operator's change whose verdict has not been read back from the log.
 type pendingChange struct {
-	asks    []uint64
+	waiters []uint64
 	change  publisher.Change
 	batchID uint64
 }
 
-func limitsOf(contract *publisher.Contract) limiter.Limits {
+func contractLimits(contract *publisher.Contract) limiter.Limits {
 	return limiter.Limits{
 		RatePerSecond: contract.RatePerSecond,
 		Burst:         contract.Burst,
@@ -77,14 +78,14 @@
 	}
 }
 
-// takeChange checks an operator's change and appends it. The log's order decides about it.
-func (c *Core) takeChange(e ChangeAsked, now time.Time) {
+// handleChangeRequested checks an operator's change and appends it. Its verdict follows from the order in the log.
+func (c *Core) handleChangeRequested(e ChangeRequested, now time.Time) {
 	if verdict, decided := c.fold.Verdict(e.Change.OperationID); decided {
-		c.emit(SendVerdict{ID: e.ID, Verdict: verdictOf(verdict)})
+		c.emit(SendVerdict{ID: e.ID, Verdict: verdictToAPI(verdict)})
 		return
 	}
-	if pending, waiting := c.publishes[e.Change.OperationID]; waiting {
-		pending.asks = append(pending.asks, e.ID)
+	if pending, waiting := c.pendingChanges[e.Change.OperationID]; waiting {
+		pending.waiters = append(pending.waiters, e.ID)
 		return
 	}
 	if faults := c.fold.CheckChange(e.Change); len(faults) > 0 {
@@ -97,48 +98,48 @@
 		c.emit(SendRefusal{ID: e.ID, Code: "invalidConfiguration", Message: err.Error()})
 		return
 	}
-	c.nextBatch++
-	c.publishes[e.Change.OperationID] = &pendingChange{asks: []uint64{e.ID}, change: e.Change, batchID: c.nextBatch}
-	c.emit(Append{Stream: StreamConfig, BatchID: c.nextBatch, Data: data})
+	c.lastBatchID++
+	c.pendingChanges[e.Change.OperationID] = &pendingChange{waiters: []uint64{e.ID}, change: e.Change, batchID: c.lastBatchID}
+	c.emit(Append{Stream: StreamConfig, BatchID: c.lastBatchID, Data: data})
 	c.schedule(timer{at: now.Add(changeTimeout), kind: timerChange, name: e.Change.OperationID})
 }
 
-// takeVerdict answers the operators that wait for the verdict.
-func (c *Core) takeVerdict(verdict publisher.Verdict) {
-	pending, waiting := c.publishes[verdict.OperationID]
+// answerVerdict answers the operators that wait for the verdict.
+func (c *Core) answerVerdict(verdict publisher.Verdict) {
+	pending, waiting := c.pendingChanges[verdict.OperationID]
 	if !waiting {
 		return
 	}
-	delete(c.publishes, verdict.OperationID)
-	for _, id := range pending.asks {
-		c.emit(SendVerdict{ID: id, Verdict: verdictOf(verdict)})
+	delete(c.pendingChanges, verdict.OperationID)
+	for _, id := range pending.waiters {
+		c.emit(SendVerdict{ID: id, Verdict: verdictToAPI(verdict)})
 	}
 }
 
-// takeConfigAppended refuses a change that surely is not in the log. One that may be in it waits on.
-func (c *Core) takeConfigAppended(e Appended, _ time.Time) {
+// handleConfigAppended refuses a change whose append the log refused. A change that may be in the log keeps waiting.
+func (c *Core) handleConfigAppended(e Appended, _ time.Time) {
 	if _, refused := e.Result.(claimer.AppendRefused); !refused {
 		return
 	}
-	for operation, pending := range c.publishes {
+	for operation, pending := range c.pendingChanges {
 		if pending.batchID != e.BatchID {
 			continue
 		}
-		delete(c.publishes, operation)
-		for _, id := range pending.asks {
+		delete(c.pendingChanges, operation)
+		for _, id := range pending.waiters {
 			c.emit(SendRefusal{ID: id, Code: string(CodeLogUnavailable), Message: "the log refused the change; nothing was published"})
 		}
 	}
 }
 
-// passChangeTimeout tells the operator that the verdict is not known yet.
-func (c *Core) passChangeTimeout(operation string, _ time.Time) {
-	pending, waiting := c.publishes[operation]
+// handleChangeTimeout answers the operators that the verdict is still pending.
+func (c *Core) handleChangeTimeout(operation string, _ time.Time) {
+	pending, waiting := c.pendingChanges[operation]
 	if !waiting {
 		return
 	}
-	delete(c.publishes, operation)
-	for _, id := range pending.asks {
+	delete(c.pendingChanges, operation)
+	for _, id := range pending.waiters {
 		c.emit(SendVerdict{ID: id, Verdict: operatorserver.ConfigVerdict{
 			OperationId: operation,
 			Verdict:     operatorserver.ConfigVerdictVerdictPending,
@@ -149,16 +150,18 @@
 	}
 }
 
-func (c *Core) takeOperationAsked(e OperationAsked) {
+// handleOperationRequested sends the verdict on an earlier change, or refuses an operation id that was not read.
+func (c *Core) handleOperationRequested(e OperationRequested) {
 	verdict, decided := c.fold.Verdict(e.OperationID)
 	if !decided {
 		c.emit(SendRefusal{ID: e.ID, Code: "unknownOperation", Message: "no change with this operation id has been read from the log"})
 		return
 	}
-	c.emit(SendVerdict{ID: e.ID, Verdict: verdictOf(verdict)})
+	c.emit(SendVerdict{ID: e.ID, Verdict: verdictToAPI(verdict)})
 }
 
-func (c *Core) takeConfigAsked(e ConfigAsked) {
+// handleConfigRequested sends the configuration objects in force that match.
+func (c *Core) handleConfigRequested(e ConfigRequested) {
 	view := operatorserver.ConfigView{Offset: c.fold.Offset(), Objects: []operatorserver.ConfigObject{}}
 	for _, object := range c.fold.Objects(e.ObjectKind, e.Name) {
 		view.Objects = append(view.Objects, operatorserver.ConfigObject{
@@ -171,18 +174,19 @@
 	c.emit(SendConfig{ID: e.ID, View: view})
 }
 
-func (c *Core) takeHistoryAsked(e HistoryAsked) {
+// handleHistoryRequested sends the verdicts on recent changes.
+func (c *Core) handleHistoryRequested(e HistoryRequested) {
 	history := operatorserver.ConfigHistory{Changes: []operatorserver.ConfigVerdict{}}
 	for _, verdict := range c.fold.History(e.Limit) {
-		history.Changes = append(history.Changes, verdictOf(verdict))
+		history.Changes = append(history.Changes, verdictToAPI(verdict))
 	}
 	c.emit(SendHistory{ID: e.ID, History: history})
 }
 
-func verdictOf(verdict publisher.Verdict) operatorserver.ConfigVerdict {
+func verdictToAPI(verdict publisher.Verdict) operatorserver.ConfigVerdict {
 	answer := operatorserver.ConfigVerdict{
 		OperationId: verdict.OperationID,
-		Verdict:     verdictStateOf(verdict.State),
+		Verdict:     verdictStateToAPI(verdict.State),
 		Kind:        verdict.Kind,
 		Name:        verdict.Name,
 		Version:     verdict.Version,
@@ -195,7 +199,7 @@
 	return answer
 }
 
-func verdictStateOf(state publisher.VerdictState) operatorserver.ConfigVerdictVerdict {
+func verdictStateToAPI(state publisher.VerdictState) operatorserver.ConfigVerdictVerdict {
 	switch state {
 	case publisher.Accepted:
 		return operatorserver.ConfigVerdictVerdictAccepted
