--- a/carrier/message.go
+++ b/carrier/message.go
@@ -10,86 +10,86 @@
 type Message interface {
 	msgp.Marshaler
 	msgp.Unmarshaler
-	// Kind tells which message it is, for the frame's first byte.
+	// Kind returns the message's kind, which is sent in the frame's kind byte.
 	Kind() Kind
 }
 
-// UnknownKindError tells of a frame whose first byte names no message.
+// UnknownKindError reports a frame whose kind byte is not the kind of any message.
 type UnknownKindError struct {
 	Value Kind
 }
 
 func (e *UnknownKindError) Error() string {
-	return fmt.Sprintf("frame of unknown kind %d", e.Value)
+	return fmt.Sprintf("unknown frame kind %d", e.Value)
 }
 
-// Kind tells that c is a challenge.
+// Kind returns KindChallenge.
 func (c *Challenge) Kind() Kind { return KindChallenge }
 
-// Kind tells that p is a proof.
+// Kind returns KindProof.
 func (p *Proof) Kind() Kind { return KindProof }
 
-// Kind tells that h is a heartbeat.
+// Kind returns KindHeartbeat.
 func (h *Heartbeat) Kind() Kind { return KindHeartbeat }
 
-// Kind tells that c is a call for records.
+// Kind returns KindRecordsCall.
 func (c *RecordsCall) Kind() Kind { return KindRecordsCall }
 
-// Kind tells that r answers a call for records.
+// Kind returns KindRecords.
 func (r *Records) Kind() Kind { return KindRecords }
 
-// Kind tells that c is a call for an outcome.
+// Kind returns KindOutcomeCall.
 func (c *OutcomeCall) Kind() Kind { return KindOutcomeCall }
 
-// Kind tells that o answers a call for an outcome.
+// Kind returns KindOutcome.
 func (o *Outcome) Kind() Kind { return KindOutcome }
 
-// Kind tells that h hands outcomes over.
+// Kind returns KindHandover.
 func (h *Handover) Kind() Kind { return KindHandover }
 
-// Kind tells that b are bills.
+// Kind returns KindBills.
 func (b *Bills) Kind() Kind { return KindBills }
 
-// Kind tells that d is demand by model.
+// Kind returns KindDemand.
 func (d *Demand) Kind() Kind { return KindDemand }
 
-// Kind tells that m asks for pieces.
+// Kind returns KindPieceRequest.
 func (m *PieceRequest) Kind() Kind { return KindPieceRequest }
 
-// Kind tells that m acknowledges an ask for pieces.
+// Kind returns KindPieceAccepted.
 func (m *PieceAccepted) Kind() Kind { return KindPieceAccepted }
 
-// Kind tells that m brings results of pieces.
+// Kind returns KindPieceResults.
 func (m *PieceResults) Kind() Kind { return KindPieceResults }
 
-// Kind tells that m withdraws pieces.
+// Kind returns KindPieceWithdraw.
 func (m *PieceWithdraw) Kind() Kind { return KindPieceWithdraw }
 
-// Kind tells that m frees results.
+// Kind returns KindPieceFree.
 func (m *PieceFree) Kind() Kind { return KindPieceFree }
 
-// Kind tells that m tells the sender's work under way.
+// Kind returns KindLoadReport.
 func (m *LoadReport) Kind() Kind { return KindLoadReport }
 
-// Kind tells that m calls for the configuration.
+// Kind returns KindConfigCall.
 func (m *ConfigCall) Kind() Kind { return KindConfigCall }
 
-// Kind tells that m brings a configuration.
+// Kind returns KindConfigReply.
 func (m *ConfigReply) Kind() Kind { return KindConfigReply }
 
-// Kind tells that m calls for the list of endpoints.
+// Kind returns KindEndpointsCall.
 func (m *EndpointsCall) Kind() Kind { return KindEndpointsCall }
 
-// Kind tells that m brings a list of endpoints.
+// Kind returns KindEndpointsReply.
 func (m *EndpointsReply) Kind() Kind { return KindEndpointsReply }
 
-// Kind tells that m brings changes of endpoints.
+// Kind returns KindEndpointsNews.
 func (m *EndpointsNews) Kind() Kind { return KindEndpointsNews }
 
-// Kind tells that m says that inputs were fetched.
+// Kind returns KindPieceRead.
 func (m *PieceRead) Kind() Kind { return KindPieceRead }
 
-// NewMessage gives an empty message of the kind, to decode a frame into.
+// NewMessage returns an empty message of the kind, to decode a frame into, or an *UnknownKindError.
 func NewMessage(kind Kind) (Message, error) {
 	switch kind {
 	case KindChallenge:
--- a/carrier/schema.go
+++ b/carrier/schema.go
@@ -1,4 +1,4 @@
-// Package carrier holds the messages that entries send to each other.
+// Package carrier defines the messages that entries send to each other.
 // This file is the schema; schema_gen.go is generated from it by scripts/generate.sh.
 package carrier
 
@@ -6,10 +6,10 @@
 
 //msgp:tuple EndpointRefusal EndpointLeave EndpointLimit PieceResult MadeResult EndpointWork StageWait EndpointEntry ModelDemand AccountBill StageBill Member Pulse EndpointLoad AccountUse Record CrashLoss
 
-// Kind tells which message a frame carries.
+// Kind identifies the type of the message in a frame.
 type Kind uint8
 
-// The kinds of frame between entries.
+// The kinds of frames that entries exchange.
 const (
 	KindChallenge Kind = iota + 1
 	KindProof
@@ -35,18 +35,18 @@
 	KindPieceRead
 )
 
-// Challenge opens a connection in both directions: the peer must prove that it knows the shared key.
+// Challenge is the first message of a connection in each direction: the peer must prove that it knows the shared key.
 type Challenge struct {
 	Nonce []byte `msg:"nonce,limit=64"`
 	Entry string `msg:"entry,limit=128"`
 }
 
-// Proof answers a Challenge with an HMAC-SHA256 over both nonces and the sender's name.
+// Proof answers a Challenge with an HMAC-SHA256 over a label for the sender's side, both nonces and both entries' names.
 type Proof struct {
 	Mac []byte `msg:"mac,limit=64"`
 }
 
-// Member is what an entry believes of another entry.
+// Member is the state of an entry as known to the sender.
 type Member struct {
 	Name          string
 	Zone          string
@@ -56,15 +56,16 @@
 	State         uint8
 	ConfigOffset  int64
 	InFlight      int32
-	// Capacity is what the member's VM can carry, its processor and link as one figure, in thousandths of a core.
+	// Capacity is the load that the member's VM can carry, with its processor and link combined in one figure, in
+	// thousandths of a core.
 	Capacity int32
-	// Sequence counts the steps of the member's own loop in this incarnation; only the member itself raises it.
+	// Sequence counts the steps of the member's own loop in this incarnation; only the member itself increments it.
 	Sequence uint64
-	// AgeMillis is how long ago the sender of the message last saw Sequence rise.
+	// AgeMillis is the sender's estimate of the time since Sequence last increased.
 	AgeMillis uint32
 }
 
-// Pulse is the short form of a Member that the receiver already knows.
+// Pulse is the short form of a Member, sent if the receiver already knows the member.
 type Pulse struct {
 	// ID is a hash of the member's name and incarnation.
 	ID        uint32
@@ -73,7 +74,7 @@
 	State     uint8
 }
 
-// EndpointLoad is one entry's calls in flight and its opinion of an endpoint.
+// EndpointLoad is one entry's number of calls in flight to an endpoint and its view of the endpoint's state.
 type EndpointLoad struct {
 	Address  string
 	InFlight int32
@@ -81,33 +82,33 @@
 	Leaving  bool
 }
 
-// AccountUse is one entry's share of one client account's use since its last heartbeats.
+// AccountUse is one entry's share of one client account's usage since the entry's previous report on the account.
 type AccountUse struct {
 	Account string
-	// Rate is admitted requests a second, Demand is offered requests a second.
+	// Rate is the number of admitted requests per second, Demand the number of offered requests per second.
 	Rate   float32
 	Demand float32
-	// CostRate is endpoint milliseconds a second.
+	// CostRate is the work in endpoint milliseconds per second.
 	CostRate float32
 	InFlight int32
 	Backlog  int32
 }
 
-// CrashLoss is the loss of one endpoint. Entries that saw the same loss tell the same address and
-// nearly the same age.
+// CrashLoss is the loss of one endpoint. Entries that observed the same loss report the same address and nearly the
+// same age.
 type CrashLoss struct {
 	Address   string
 	AgeMillis int64
 }
 
-// CrashMark names the endpoints that were lost while a request with this digest ran there. They are named,
-// and not counted, so that losses seen by several entries add up and those told on do not.
+// CrashMark lists the endpoints that were lost while a request with this digest ran there. The losses are listed
+// rather than counted, so that those observed by different entries add up and those passed on are not counted again.
 type CrashMark struct {
 	Digest []byte      `msg:"digest,limit=32"`
 	Losses []CrashLoss `msg:"losses,limit=16"`
 }
 
-// Heartbeat is what an entry tells its peers, several times a second.
+// Heartbeat is the state that an entry sends to its peers several times per second.
 type Heartbeat struct {
 	From      Member         `msg:"from"`
 	Sequence  uint64         `msg:"sequence"`
@@ -116,37 +117,38 @@
 	Endpoints []EndpointLoad `msg:"endpoints,limit=16384"`
 	Accounts  []AccountUse   `msg:"accounts,limit=65536"`
 	Crashes   []CrashMark    `msg:"crashes,limit=1024"`
-	// Stages are the newest waits that the sender knows.
+	// Stages are the newest loads of stage pools known to the sender.
 	Stages []StageWait `msg:"stages,limit=1024"`
-	// Limits are those that endpoints have named, by the newest word that the sender knows.
+	// Limits are the newest limits stated by endpoints that the sender knows.
 	Limits []EndpointLimit `msg:"limits,omitempty,limit=16384"`
-	// Refusing are the endpoints that refuse the sender's calls in a row. It is not told on.
+	// Refusing lists the endpoints that have refused consecutive calls of the sender. Receivers don't pass it on.
 	Refusing []EndpointRefusal `msg:"refusing,omitempty,limit=16384"`
-	// Leaving are the endpoints that have said in an answer that they leave.
+	// Leaving lists the endpoints that have stated in a response that they are leaving.
 	Leaving []EndpointLeave `msg:"leaving,omitempty,limit=16384"`
-	// ConfigAgeMillis is how long ago the store last answered a reading of the configuration, by the newest word that the
+	// ConfigAgeMillis is the time since the store last answered a read of the configuration by any entry, as far as the
 	// sender knows.
 	ConfigAgeMillis int64 `msg:"configAgeMillis"`
-	// Evacuated are the availability zones whose endpoints get no new work, by the operator's records up to the offset
-	// EvacuatedNext in the era EvacuatedEra of the store; both are 0 where the sender knows none. EvacuationsHeld are zones
-	// evacuated in the era before, which the store does not name in this one.
+	// Evacuated lists the availability zones whose endpoints receive no new work, according to the operator's records up
+	// to the offset EvacuatedNext in the era EvacuatedEra of the store; both are 0 if the sender knows no records.
+	// EvacuationsHeld lists further zones that were evacuated in the previous era and that the store doesn't mention in
+	// this one.
 	EvacuatedEra    int64    `msg:"evacuatedEra"`
 	EvacuatedNext   int64    `msg:"evacuatedNext"`
 	Evacuated       []string `msg:"evacuated,limit=4096"`
 	EvacuationsHeld []string `msg:"evacuationsHeld,limit=4096"`
-	// StoreEra is the newest era of the store that the sender knows, EndpointsEra that of its list of endpoints.
+	// StoreEra is the newest era of the store known to the sender, EndpointsEra the era of its list of endpoints.
 	StoreEra     int64 `msg:"storeEra"`
 	EndpointsEra int64 `msg:"endpointsEra"`
 }
 
-// Record is one log record that a peer passes on.
+// Record is one log record that an entry passes on to a peer.
 type Record struct {
 	Offset   int64
 	AtMillis int64
 	Data     []byte
 }
 
-// RecordsCall asks a peer for records of a log stream that this entry has not seen.
+// RecordsCall requests records of a log stream that the sender has not read, starting at offset From.
 type RecordsCall struct {
 	CallID uint64 `msg:"callId"`
 	Stream string `msg:"stream,limit=64"`
@@ -160,20 +162,20 @@
 	First   int64    `msg:"first"`
 	Next    int64    `msg:"next"`
 	Records []Record `msg:"records,limit=10000"`
-	// Snapshot holds the parts of a snapshot when the records are no longer kept one by one.
+	// Snapshot holds the parts of a snapshot if the records are no longer kept individually or if From of the call is 0.
 	Snapshot [][]byte `msg:"snapshot,limit=4096"`
 }
 
-// OutcomeCall asks a peer for the outcome of a request by account and idempotency key.
+// OutcomeCall requests the outcome of a request, identified by account and idempotency key.
 type OutcomeCall struct {
 	CallID  uint64 `msg:"callId"`
 	Account string `msg:"account,limit=128"`
 	Key     string `msg:"key,limit=128"`
-	// Wait asks for the reply to be held until the request has ended.
+	// WaitMillis requests that the reply be held until a running request has ended, unless it is 0.
 	WaitMillis int32 `msg:"waitMillis"`
 }
 
-// Outcome answers an OutcomeCall, and hands over a result in a Handover.
+// Outcome answers an OutcomeCall. A Handover also consists of Outcomes.
 type Outcome struct {
 	CallID  uint64 `msg:"callId"`
 	Account string `msg:"account,limit=128"`
@@ -183,36 +185,36 @@
 	Parts   int32  `msg:"parts"`
 	Code    string `msg:"code,limit=64"`
 	Message string `msg:"message,limit=1024"`
-	// AgeMillis is how long ago the request ended.
+	// AgeMillis is the time since the request ended.
 	AgeMillis int64 `msg:"ageMillis"`
-	// Digest is that of the request, so that a key used for another request is noticed.
+	// Digest is the digest of the request. It reveals the reuse of a key for a different request.
 	Digest []byte `msg:"digest,limit=32"`
 }
 
-// Handover gives the outcomes that callers may still ask for to a peer, before the sender exits.
+// Handover transfers the outcomes that callers may still request to a peer before the sender exits.
 type Handover struct {
 	CallID   uint64    `msg:"callId"`
 	Outcomes []Outcome `msg:"outcomes,limit=100000"`
 }
 
-// StageBill is the work of one stage in endpoint milliseconds.
+// StageBill is the work of one stage, in endpoint milliseconds.
 type StageBill struct {
 	Stage  string
 	Cost   float64
 	Wasted float64
 }
 
-// AccountBill is one account's running total at one incarnation of an entry.
+// AccountBill is the running total of one account at one incarnation of an entry.
 type AccountBill struct {
 	Account string
-	// Urgent, Normal and Relaxed count requests in time, late, not run and unknown.
+	// Urgent, Normal and Relaxed count requests by outcome, in this order: in time, late, not run, unknown.
 	Urgent  [4]uint64
 	Normal  [4]uint64
 	Relaxed [4]uint64
 	Stages  []StageBill
 }
 
-// Bills are the running totals of one incarnation of an entry. They only grow, so that they may come twice,
+// Bills holds the running totals of one incarnation of an entry. Totals only increase, so a message may arrive twice,
 // late or by way of another entry.
 type Bills struct {
 	Entry       string        `msg:"entry,limit=128"`
@@ -220,19 +222,19 @@
 	Accounts    []AccountBill `msg:"accounts,limit=4096"`
 }
 
-// ModelDemand is the work that waits for a model, in endpoint milliseconds.
+// ModelDemand is the work waiting for a model, in endpoint milliseconds.
 type ModelDemand struct {
 	Model  string
 	Millis int64
 }
 
-// Demand tells a pool's orderer what waits at the sender for the pool's models.
+// Demand reports the work that waits at the sender for the models of a pool. It is sent to the pool's orderer.
 type Demand struct {
 	Pool   string        `msg:"pool,limit=128"`
 	Models []ModelDemand `msg:"models,limit=4096"`
 }
 
-// PieceRequest asks the entry that collects for a stage's service for pieces of a request.
+// PieceRequest requests pieces of one stage of a request from the entry that collects for the stage's service.
 type PieceRequest struct {
 	Service string   `msg:"service,limit=128"`
 	Request string   `msg:"request,limit=128"`
@@ -240,7 +242,7 @@
 	Numbers []int32  `msg:"numbers,limit=4096"`
 	Key     string   `msg:"key,limit=256"`
 	Inputs  []string `msg:"inputs,limit=4096"`
-	// DueMillis and DeadlineMillis are counted from the sending: clocks of entries differ.
+	// DueMillis, LatestMillis and DeadlineMillis are relative to the time of sending, since the clocks of entries differ.
 	DueMillis      int64  `msg:"dueMillis"`
 	LatestMillis   int64  `msg:"latestMillis"`
 	DeadlineMillis int64  `msg:"deadlineMillis"`
@@ -249,31 +251,32 @@
 	ResultBytes    int64  `msg:"resultBytes"`
 	Zone           string `msg:"zone,limit=128"`
 	FarBytes       int64  `msg:"farBytes"`
-	// Regions are those where the pieces may be made; empty where all are.
+	// Regions are the regions where the pieces may be processed; empty allows all.
 	Regions []string `msg:"regions,limit=256"`
-	// Kept tells that the entry with the duty left the sender without a word: the receiver does not give the pieces back to it.
+	// Kept is set if another entry that had the duty did not respond to the sender: the receiver must not return the
+	// pieces, even if it considers that entry the owner.
 	Kept    bool `msg:"kept"`
 	Holding bool `msg:"holding"`
-	// InputBytes is the size of all inputs of one piece. TellRead asks for a PieceRead.
+	// InputBytes is the total size of the inputs of one piece. TellRead requests a PieceRead.
 	InputBytes int64 `msg:"inputBytes"`
 	TellRead   bool  `msg:"tellRead"`
 }
 
-// PieceRead tells that the endpoints have fetched the inputs of all pieces of a PieceRequest.
+// PieceRead reports that the endpoints have fetched the inputs of all pieces of a PieceRequest.
 type PieceRead struct {
 	Service string `msg:"service,limit=128"`
 	Request string `msg:"request,limit=128"`
 	Stage   int32  `msg:"stage"`
 }
 
-// PieceAccepted tells that a PieceRequest has come to an entry that collects.
+// PieceAccepted acknowledges the arrival of a PieceRequest at a collecting entry.
 type PieceAccepted struct {
 	Service string `msg:"service,limit=128"`
 	Request string `msg:"request,limit=128"`
 	Stage   int32  `msg:"stage"`
 }
 
-// PieceResult is a piece's result, or the reason why there is none.
+// PieceResult is the result of a piece, or the reason why there is none.
 type PieceResult struct {
 	Number  int32
 	Reason  uint8
@@ -282,7 +285,7 @@
 	Zone    string
 }
 
-// PieceResults brings the results of pieces.
+// PieceResults contains the results of pieces of one stage of a request.
 type PieceResults struct {
 	Service string        `msg:"service,limit=128"`
 	Request string        `msg:"request,limit=128"`
@@ -290,98 +293,101 @@
 	Results []PieceResult `msg:"results,limit=4096"`
 }
 
-// PieceWithdraw tells that pieces of a request's stage are not needed any more.
+// PieceWithdraw reports that the pieces of one stage of a request are no longer needed.
 type PieceWithdraw struct {
 	Service string `msg:"service,limit=128"`
 	Request string `msg:"request,limit=128"`
 	Stage   int32  `msg:"stage"`
 }
 
-// MadeResult is a result and the endpoint where it lies.
+// MadeResult is a result and the address of the endpoint that holds it.
 type MadeResult struct {
 	Handle  string
 	Address string
 }
 
-// PieceFree names results that are not needed any more.
+// PieceFree lists results that are no longer needed.
 type PieceFree struct {
 	Service string       `msg:"service,limit=128"`
 	Results []MadeResult `msg:"results,limit=4096"`
 }
 
-// EndpointWork is the work that an entry has under way at an endpoint, in prompt tokens.
+// EndpointWork is the work that an entry has in flight at an endpoint, in prompt tokens.
 type EndpointWork struct {
 	ID     string
 	Tokens int32
 }
 
-// StageWait is how long a piece would wait at the entry that collects for the service, and how long groups of pieces take
-// there from their arrival to their last result. Entries tell it on.
+// StageWait is the load of a service's pool at the entry that collects for it. Entries pass it on.
 type StageWait struct {
-	Service          string
+	Service string
+	// Millis is how long a piece that arrives now would wait. TurnaroundMillis is how long groups of pieces take from
+	// their arrival to their last result.
 	Millis           int32
 	TurnaroundMillis int32
-	// Short tells that space for results, and not time, holds calls back.
+	// Short is set if calls are held back by a lack of space for results rather than of time.
 	Short bool
-	// OverMillis is for how long more has come than can be made.
+	// OverMillis is how long more pieces have been arriving than can be processed.
 	OverMillis int32
-	// AgeMillis is how long ago the collecting entry said so.
+	// AgeMillis is the time since the collecting entry reported this load.
 	AgeMillis uint32
 }
 
-// EndpointLimit is a limit that an endpoint has named in an answer. Entries tell it on.
+// EndpointLimit is a limit that an endpoint has stated in a response. Entries pass it on.
 type EndpointLimit struct {
 	ID string
-	// StartedMillis is when the start of the endpoint began that named it, in Unix milliseconds; 0 where it does not say.
+	// StartedMillis is the start time of the endpoint process that stated the limit, in Unix milliseconds; 0 if the
+	// endpoint does not report one.
 	StartedMillis int64
-	// PerSecond is the calls a second that the endpoint takes from all entries together; 0 where the limit has ended.
+	// PerSecond is the number of calls per second that the endpoint accepts from all entries together; 0 if the limit
+	// has ended.
 	PerSecond float64
-	// AgeMillis is how long ago the endpoint said so.
+	// AgeMillis is the time since the endpoint stated the limit.
 	AgeMillis uint32
 }
 
-// EndpointLeave names an endpoint that leaves, and when the start of it began that said so, in Unix milliseconds; 0 where it
-// does not say. Entries tell it on.
+// EndpointLeave is an endpoint that is leaving, with the start time of the process that stated so, in Unix milliseconds;
+// 0 if the endpoint does not report one. Entries pass it on.
 type EndpointLeave struct {
 	ID            string
 	StartedMillis int64
 }
 
-// EndpointRefusal names an endpoint that refuses calls, the start of it in Unix milliseconds (0 where it does not say), and how
-// long ago it last refused one.
+// EndpointRefusal is an endpoint that refuses calls, with its start time in Unix milliseconds (0 if it does not report
+// one) and the time since its last refusal.
 type EndpointRefusal struct {
 	ID            string
 	StartedMillis int64
 	AgeMillis     uint32
 }
 
-// LoadReport is what an entry has under way. It replaces the sender's earlier one.
+// LoadReport is the work that an entry has in flight. It replaces the sender's previous report.
 type LoadReport struct {
 	Endpoints []EndpointWork `msg:"endpoints,limit=16384"`
 }
 
-// ConfigCall asks a peer for the newest configuration that it knows.
+// ConfigCall requests the newest configuration that the peer knows.
 type ConfigCall struct{}
 
-// ConfigReply brings a configuration as the operator wrote it.
+// ConfigReply contains a configuration as the operator wrote it.
 type ConfigReply struct {
 	Version int64  `msg:"version"`
 	Data    []byte `msg:"data,limit=8388608"`
 }
 
-// EndpointsCall asks a peer for the list of endpoints, if it has newer word of the store than the sender.
+// EndpointsCall requests the list of endpoints. A peer replies only if it has newer data from the store than the sender.
 type EndpointsCall struct {
-	// Next is the offset in the era Era up to which the sender's own list is whole, below 0 if it has none. AgeMillis is how
-	// long ago the store's word was read that it goes by.
+	// Next is the offset in the era Era up to which the sender's own list is complete, below 0 if it has none. AgeMillis
+	// is the time since the read of the store that the list is based on.
 	Era       int64 `msg:"era"`
 	Next      int64 `msg:"next"`
 	AgeMillis int64 `msg:"ageMillis"`
 }
 
-// EndpointEntry is the newest entry of one endpoint.
+// EndpointEntry is the newest registration record of one endpoint.
 type EndpointEntry struct {
 	ID string
-	// Era and Offset are the position of the record, Sequence counts the endpoint's records by its own word.
+	// Era and Offset are the position of the record. Sequence is the endpoint's own count of its records.
 	Era      int64
 	Offset   int64
 	Sequence int64
@@ -390,31 +396,34 @@
 	Zone     string
 	Slots    int32
 	Draining bool
-	// Removed and unusable entries have only their ID and offset.
+	// Removed is set if the registration was removed or its record can't be read, Unusable only in the latter case. Such
+	// an entry has only its ID, position and Sequence.
 	Removed  bool
 	Unusable bool
-	// StartedMillis is when the endpoint started, by its own word in Unix milliseconds; 0 where it does not say.
+	// StartedMillis is when the endpoint started, as reported by itself in Unix milliseconds; 0 if not reported.
 	StartedMillis int64
-	// ColdLeftMillis is how much longer the endpoint is in its slow start, counted from the sending.
+	// ColdLeftMillis is the remaining duration of the endpoint's slow start, relative to the time of sending.
 	ColdLeftMillis int64
 }
 
-// EndpointsNews brings the changes of endpoints' entries that the entry which reads the store for all has just read.
+// EndpointsNews contains the changes of registrations that were just read by the entry that reads the store for all.
 type EndpointsNews struct {
-	// From is the offset of the first change that may be among them, Next that after the last one, both in the era Era.
+	// From is the offset of the first change that may be included, Next the offset after the last one, both in the era
+	// Era.
 	Era     int64           `msg:"era"`
 	From    int64           `msg:"from"`
 	Next    int64           `msg:"next"`
 	Entries []EndpointEntry `msg:"entries,limit=65536"`
 }
 
-// EndpointsReply brings the list of endpoints as the sender knows it.
+// EndpointsReply contains the list of endpoints as known to the sender.
 type EndpointsReply struct {
-	// Next is the offset in the era Era up to which the list is whole, AgeMillis how long ago the store's word was read.
+	// Next is the offset in the era Era up to which the list is complete, AgeMillis the time since the read of the store
+	// that it is based on.
 	Era       int64 `msg:"era"`
 	Next      int64 `msg:"next"`
 	AgeMillis int64 `msg:"ageMillis"`
-	// Unchanged tells that the asking entry's list is the same; Entries is empty then.
+	// Unchanged is set if the list of the requesting entry is the same; Entries is then empty.
 	Unchanged bool            `msg:"unchanged"`
 	Entries   []EndpointEntry `msg:"entries,limit=65536"`
 }
--- a/recorder/schema.go
+++ b/recorder/schema.go
@@ -1,6 +1,6 @@
-// Package recorder holds the records that entries keep in the platform's log.
+// Package recorder defines the records that entries store in the platform's log.
 // This file is the schema; schema_gen.go is generated from it by scripts/generate.sh.
-// Limits bound lists and byte fields. The generator has none for strings, which the record's own size bounds.
+// Limits bound lists and byte fields. The generator supports none for strings, which are bounded by the record's size.
 package recorder
 
 //go:generate msgp -file schema.go -o schema_gen.go -tests=false
@@ -8,15 +8,15 @@
 //msgp:tuple Claim Release Outcome Closed Change Object Verdict Lease
 //msgp:ignore Record
 
-// Record is one record of a log stream, as the log gave it out.
+// Record is one record of a log stream, as the log returned it.
 type Record struct {
 	Offset int64
-	// AtMillis is the log's own time of the append, in Unix milliseconds.
+	// AtMillis is the time of the append by the log's clock, in Unix milliseconds.
 	AtMillis int64
 	Data     []byte
 }
 
-// Claim says that one incarnation of an entry wants to be the only one that dispatches a key's request.
+// Claim states that one incarnation of an entry wants to be the only one that dispatches the request of a key.
 type Claim struct {
 	Account string
 	Key     string
@@ -25,14 +25,14 @@
 	ClaimID uint64
 }
 
-// Release says that the claim's owner dispatched nothing under it and never will.
+// Release states that the claim's owner dispatched nothing under it and never will.
 type Release struct {
 	Account string
 	Key     string
 	ClaimID uint64
 }
 
-// Outcome says how the request of a claim ended.
+// Outcome states how the request of a claim ended.
 type Outcome struct {
 	Account string
 	Key     string
@@ -44,14 +44,14 @@
 	Message string
 }
 
-// Closed says that later claims of an entry's incarnation are void.
+// Closed states that claims of an entry's incarnation that come later in the log are void.
 type Closed struct {
 	Entry       string
 	Incarnation uint64
 }
 
-// ClaimBatch is one append to the claims stream. A reader takes the releases first,
-// then the outcomes, the closed incarnations and the claims.
+// ClaimBatch is one append to the claims stream. A reader applies the releases first, then the outcomes, the closed
+// incarnations and the claims.
 type ClaimBatch struct {
 	Entry       string    `msg:"entry"`
 	Incarnation uint64    `msg:"incarnation"`
@@ -60,11 +60,12 @@
 	Outcomes    []Outcome `msg:"outcomes,limit=8192,omitempty"`
 	Closed      []Closed  `msg:"closed,limit=8192,omitempty"`
 	Claims      []Claim   `msg:"claims,limit=8192,omitempty"`
-	// EraMark is the era of the log that the writer knew of when it appended the batch to mark that era's beginning; else 0.
+	// EraMark is the era of the log known to the writer, if it appended the batch to mark the beginning of that era; 0
+	// otherwise.
 	EraMark int64 `msg:"eraMark,omitempty"`
 }
 
-// Change is one operator's change of one configuration object.
+// Change is an operator's change of one configuration object.
 type Change struct {
 	OperationID string
 	Operator    string
@@ -72,7 +73,7 @@
 	Name        string
 	BaseVersion int64
 	Remove      bool
-	// Body is the object as JSON.
+	// Body is the object encoded as JSON.
 	Body     []byte `msg:",limit=262144"`
 	AtMillis int64
 }
@@ -85,7 +86,7 @@
 	Body    []byte `msg:",limit=262144"`
 }
 
-// Verdict is the fold's decision on one change.
+// Verdict is the decision on one change, made when the change is applied to the configuration.
 type Verdict struct {
 	OperationID string
 	Operator    string
@@ -97,14 +98,14 @@
 	AtMillis    int64
 }
 
-// SnapshotPart is one of the records that together hold the whole configuration.
+// SnapshotPart is one of the records that together contain the whole configuration.
 type SnapshotPart struct {
 	// SnapshotID is the same in all parts of one snapshot.
 	SnapshotID string `msg:"snapshotId"`
 	Part       int    `msg:"part"`
 	Parts      int    `msg:"parts"`
-	// ThroughOffset is the offset up to which changes are in the snapshot. It is below the part's own offset,
-	// and changes of others may lie between the two.
+	// ThroughOffset is the offset up to which the snapshot includes changes. It is lower than the part's own offset, and
+	// changes by other entries may lie between the two.
 	ThroughOffset int64     `msg:"throughOffset"`
 	Objects       []Object  `msg:"objects,limit=8192"`
 	Verdicts      []Verdict `msg:"verdicts,limit=2048"`
@@ -116,17 +117,17 @@
 	Snapshot *SnapshotPart `msg:"snapshot,omitempty"`
 }
 
-// Lease is one append to the leases stream: an incarnation of an entry wants to be the one orderer of a pool, or to
-// stay it. The record's offset is the fencing number of the orders given under it.
+// Lease is one append to the leases stream: an incarnation of an entry wants to become or remain the only orderer of a
+// pool. The record's offset is the fencing number of the orders issued under it.
 type Lease struct {
 	Pool        string
 	Entry       string
 	Incarnation uint64
 	// LeaseID is unique within the incarnation.
 	LeaseID uint64
-	// Millis is how long the lease lasts from the log's own time of the append.
+	// Millis is the duration of the lease, counted from the time of the append by the log's clock.
 	Millis int64
-	// Base is the offset of the pool's newest valid record that the sender knew of, 0 for none. It decides nothing,
-	// but proves that record's validity to a reader that has not the ones before it.
+	// Base is the offset of the pool's newest valid record known to the sender, 0 if there is none. It does not affect who
+	// holds the lease, but proves that record's validity to a reader that lacks the records before it.
 	Base int64
 }
