--- a/reducer/request.go
+++ b/reducer/request.go
@@ -16,22 +16,22 @@
 	"geraniumline/scheduler"
 )
 
-// phase tells how far a request has come.
+// phase is the progress of a request.
 type phase uint8
 
 const (
-	// phaseClaiming waits for the request's own claim to be read back.
+	// phaseClaiming means that the request waits for its claim to be read back.
 	phaseClaiming phase = iota
-	// phaseQueued waits for an endpoint of the present stage's pool.
+	// phaseQueued means that the current stage waits for an endpoint of its pool.
 	phaseQueued
-	// phaseRunning has a stage call in flight.
+	// phaseRunning means that a call of the current stage is in flight.
 	phaseRunning
 )
 
-// request is one request that this entry serves.
+// request is a request that this entry serves.
 type request struct {
 	id uint64
-	// name is what endpoints see: unique over all entries and incarnations.
+	// name is the request id sent to endpoints. It is unique among all entries and incarnations.
 	name     string
 	key      claimer.Key
 	digest   [32]byte
@@ -49,53 +49,54 @@
 
 	stage int
 	input string
-	// prefix is that of input, for the choice of an endpoint.
-	prefix   router.Prefix
-	attempts int
-	tried    []string
-	// announced is the cost of each stage to come that the scheduler was told of; 0 for none.
-	announced [publisher.MaxStages]float64
-	calls     []call
-	// firstCall is the memory of calls while there is but one.
-	firstCall [1]call
-	queuedAt  time.Time
-	// possible counts the calls that an endpoint may have acted on.
-	possible int
-	// sent is the text of the last stage that the caller has been sent already.
-	sent      string
-	estimated float64
-	cost      float64
-	resumes   int
+	// prefix is the prompt prefix of input, which the choice of an endpoint uses.
+	prefix         router.Prefix
+	attempts       int
+	triedAddresses []string
+	// announcedCosts are the costs of later stages that were announced to the scheduler; 0 for none.
+	announcedCosts [publisher.MaxStages]float64
+	calls          []callState
+	// inlineCall is the backing array of calls while there is at most one, which saves an allocation.
+	inlineCall [1]callState
+	queuedAt   time.Time
+	// possibleRuns counts the calls that an endpoint may have acted on.
+	possibleRuns int
+	// sentText is the text of the last stage that has already been sent to the caller.
+	sentText      string
+	estimatedCost float64
+	measuredCost  float64
+	resumes       int
 
-	// callerGone tells that nobody listens at id any more.
-	callerGone bool
-	joined     []uint64
-	peers      []peerWaiter
+	// callerGone is set if the first caller has disconnected.
+	callerGone  bool
+	joined      []uint64
+	peerWaiters []peerWaiter
 }
 
-// peerWaiter is an entry that waits for a request's end on behalf of a caller.
+// peerWaiter is a peer that waits for a request's end on behalf of a caller.
 type peerWaiter struct {
 	address string
 	callID  uint64
 }
 
-func (r *request) stageConfig() *publisher.Stage {
+// currentStage returns the configuration of the current stage.
+func (r *request) currentStage() *publisher.Stage {
 	return &r.plan.pipeline.Stages[r.stage]
 }
 
-func (r *request) last() bool {
+func (r *request) onLastStage() bool {
 	return r.stage == len(r.plan.pipeline.Stages)-1
 }
 
-// takeRequest admits a request or answers it at once.
-func (c *Core) takeRequest(e *RequestArrived, now time.Time) {
+// handleRequest admits a request or answers it immediately.
+func (c *Core) handleRequest(e *RequestArrived, now time.Time) {
 	contract, failure := c.authenticate(e.Credentials)
 	if failure != nil {
-		c.refuse(e.ID, e.Key, notKnown(*failure, e.Key))
+		c.refuse(e.ID, e.Key, qualifyNotReady(*failure, e.Key))
 		return
 	}
 	key := claimer.Key{Account: e.Credentials.Account, Key: e.Key}
-	plan, failure := c.planOf(contract, e.Pipeline)
+	plan, failure := c.findPlan(contract, e.Pipeline)
 	if failure == nil {
 		failure = c.checkDeadline(e.Deadline)
 	}
@@ -103,20 +104,20 @@
 		c.refuse(e.ID, e.Key, *failure)
 		return
 	}
-	if c.answerKnown(e, key, plan, now) {
+	if c.answerFromKey(e, key, plan, now) {
 		return
 	}
 	if failure := c.checkAdmission(e, contract, plan, now); failure != nil {
-		c.refuseAdmission(e, key, plan, urgencyOf(contract, e.Pipeline), *failure, now)
+		c.refuseAdmission(e, key, plan, contractUrgency(contract, e.Pipeline), *failure, now)
 		return
 	}
 	c.admit(e, key, contract, plan, now)
 }
 
-// notKnown makes the refusal of an entry that has no configuration yet true of the key too: it can't tell whether
-// the pipeline has side effects, nor whether another entry has run them under a key that allows them.
-func notKnown(failure Failure, key string) Failure {
-	if _, err := claimer.Birth(key); failure.Code == CodeNotReady && err == nil {
+// qualifyNotReady changes the refusal of an entry without configuration from notRun to unknown if the key is valid
+// for side effects: this entry can't tell whether the pipeline has any, nor whether another entry has run them.
+func qualifyNotReady(failure Failure, key string) Failure {
+	if _, err := claimer.KeyTime(key); failure.Code == CodeNotReady && err == nil {
 		failure.State = StateUnknown
 		failure.Message += "; this attempt did not run"
 	}
@@ -129,13 +130,13 @@
 		c.refuseKey([]uint64{e.ID}, refusedKey{key: key, digest: e.Digest, urgency: urgency}, failure, now)
 		return
 	}
-	c.biller.Outcome(key.Account, urgency, biller.NotRun)
+	c.biller.CountOutcome(key.Account, urgency, biller.NotRun)
 	c.refuse(e.ID, e.Key, failure)
 }
 
-// authenticate finds the contract that the credentials prove.
+// authenticate returns the contract of the client account, or a failure if the credentials do not match.
 func (c *Core) authenticate(credentials Credentials) (*publisher.Contract, *Failure) {
-	if !c.ready() {
+	if !c.hasConfig() {
 		return nil, &Failure{Code: CodeNotReady, Message: "this entry has no configuration yet", State: StateNotRun, RetryAfter: time.Second}
 	}
 	contract, known := c.fold.Contract(credentials.Account)
@@ -148,11 +149,12 @@
 	return contract, nil
 }
 
-func (c *Core) ready() bool {
+// hasConfig reports whether this entry has read any configuration.
+func (c *Core) hasConfig() bool {
 	return c.fold.Offset() > 0
 }
 
-// checkDeadline refuses a deadline that no request can have.
+// checkDeadline returns a failure for a deadline that is not positive or exceeds MaxDeadline.
 func (c *Core) checkDeadline(deadline time.Duration) *Failure {
 	if deadline <= 0 || deadline > c.cfg.MaxDeadline {
 		return &Failure{
@@ -164,21 +166,22 @@
 	return nil
 }
 
-// answerKnown answers a request whose key is known already, and tells whether it was.
-func (c *Core) answerKnown(e *RequestArrived, key claimer.Key, plan *plan, now time.Time) bool {
+// answerFromKey answers a request whose key is already known and reports whether it did: the request joins a running
+// one, or is answered from a stored outcome or by the entry that holds the claim.
+func (c *Core) answerFromKey(e *RequestArrived, key claimer.Key, plan *plan, now time.Time) bool {
 	if r, running := c.running[key]; running {
 		if r.digest != e.Digest {
-			c.refuse(e.ID, e.Key, keyReused())
+			c.refuse(e.ID, e.Key, keyReusedFailure())
 			return true
 		}
 		c.counters.RequestsJoined++
 		r.joined = append(r.joined, e.ID)
-		c.joined[e.ID] = r.id
+		c.joinedCallers[e.ID] = r.id
 		return true
 	}
 	if outcome, known := c.outcomes.get(key); known && (outcome.State == StateAnswered || plan.sideEffect && outcome.State != StateNotRun) {
 		if outcome.Digest != e.Digest {
-			c.refuse(e.ID, e.Key, keyReused())
+			c.refuse(e.ID, e.Key, keyReusedFailure())
 			return true
 		}
 		c.sendOutcome(e.ID, key, outcome)
@@ -191,15 +194,15 @@
 	if !known || !holding.Held {
 		return false
 	}
-	c.answerHeld(e.ID, key, e.Digest, holding, now.Add(e.Deadline), now)
+	c.answerClaimed(e.ID, key, e.Digest, holding, now.Add(e.Deadline), now)
 	return true
 }
 
-func keyReused() Failure {
+func keyReusedFailure() Failure {
 	return Failure{Code: CodeKeyReused, Message: "the key was used for another request; nothing ran for this one", State: StateNotRun}
 }
 
-// checkAdmission refuses what cannot or may not be served now.
+// checkAdmission returns a failure for a request that can't or may not be served now.
 func (c *Core) checkAdmission(e *RequestArrived, contract *publisher.Contract, plan *plan, now time.Time) *Failure {
 	if !c.drainer.AcceptsWork(now) {
 		return &Failure{Code: CodeStopping, Message: "this entry is stopping; ask for addresses again", State: StateNotRun}
@@ -212,11 +215,11 @@
 			return failure
 		}
 	}
-	asks := c.asks(plan, contract, 0, now)
-	if refused, no := c.admitter.Admit(asks, now.Add(e.Deadline), now).(admitter.Refused); no {
+	stages := c.pendingStages(plan, contract, 0, now)
+	if refused, isRefused := c.admitter.Admit(stages, now.Add(e.Deadline), now).(admitter.Refused); isRefused {
 		return &Failure{Code: CodeCannotFinish, Message: "the stages cannot end by the deadline", State: StateNotRun, RetryAfter: refused.RetryAfter}
 	}
-	if refused, no := c.limiter.Admit(contract.Account, c.expectedCost(plan), now).(limiter.Refused); no {
+	if refused, isRefused := c.limiter.Admit(contract.Account, c.expectedCost(plan), now).(limiter.Refused); isRefused {
 		return &Failure{Code: limitCode(refused.Reason), Message: "the contract's limit is reached", State: StateNotRun, RetryAfter: refused.RetryAfter}
 	}
 	return nil
@@ -235,19 +238,19 @@
 	}
 }
 
-// checkClaimable refuses a request with side effects whose key could not be claimed in time.
+// checkClaimable returns a failure for a request with side effects whose key can't be claimed in time.
 func (c *Core) checkClaimable(e *RequestArrived, now time.Time) *Failure {
-	birth, err := claimer.Birth(e.Key)
+	birth, err := claimer.KeyTime(e.Key)
 	if err != nil {
 		return &Failure{Code: CodeUnsupportedKey, Message: "a request with side effects needs a UUIDv7 as its key", State: StateNotRun}
 	}
 	if err := claimer.CheckAge(birth, now, c.cfg.KeyHorizon); err != nil {
-		return ageFailure(err)
+		return keyAgeFailure(err)
 	}
-	if !c.claimsReady(now) {
+	if !c.canClaim(now) {
 		return &Failure{Code: CodeLogUnavailable, Message: "the log can't be read, so the request can't be claimed", State: StateNotRun, RetryAfter: logRetryAfter}
 	}
-	if err := c.table.CheckProvable(birth); err != nil {
+	if err := c.table.CheckVerifiable(birth); err != nil {
 		return &Failure{Code: CodeNotReady, Message: "this entry has not read the claims from the time of the key", State: StateNotRun, RetryAfter: logRetryAfter}
 	}
 	if wait, available := c.batcher.Available(now); !available {
@@ -259,34 +262,35 @@
 	return nil
 }
 
-// admit starts a request.
+// admit starts an admitted request: with its claim if it has side effects, and otherwise with its first stage.
 func (c *Core) admit(e *RequestArrived, key claimer.Key, contract *publisher.Contract, plan *plan, now time.Time) {
 	r := &request{
-		id:        e.ID,
-		name:      c.requestName(e.ID),
-		key:       key,
-		digest:    e.Digest,
-		plan:      plan,
-		contract:  contract,
-		urgency:   urgencyOf(contract, plan.pipeline.Name),
-		arrived:   now,
-		deadline:  now.Add(e.Deadline),
-		stream:    e.Stream,
-		input:     e.Input,
-		estimated: c.expectedCost(plan),
+		id:            e.ID,
+		name:          c.requestName(e.ID),
+		key:           key,
+		digest:        e.Digest,
+		plan:          plan,
+		contract:      contract,
+		urgency:       contractUrgency(contract, plan.pipeline.Name),
+		arrived:       now,
+		deadline:      now.Add(e.Deadline),
+		stream:        e.Stream,
+		input:         e.Input,
+		estimatedCost: c.expectedCost(plan),
 	}
-	r.calls = r.firstCall[:0]
+	r.calls = r.inlineCall[:0]
 	c.requests[r.id] = r
 	c.running[key] = r
 	c.schedule(timer{at: r.deadline, kind: timerDeadline, subject: r.id})
-	c.announce(r)
+	c.announceStages(r)
 	if plan.sideEffect {
-		c.claim(r, now)
+		c.appendClaim(r, now)
 		return
 	}
 	c.enqueue(r, now)
 }
 
+// requestName returns the request id that endpoints receive: entry, incarnation and id, separated by dots.
 func (c *Core) requestName(id uint64) string {
 	var b strings.Builder
 	b.Grow(len(c.cfg.Entry) + 34)
@@ -298,7 +302,8 @@
 	return b.String()
 }
 
-func urgencyOf(contract *publisher.Contract, pipeline string) scheduler.Urgency {
+// contractUrgency returns the urgency that a contract sets for a pipeline.
+func contractUrgency(contract *publisher.Contract, pipeline string) scheduler.Urgency {
 	name := contract.Urgency
 	if own, set := contract.PipelineUrgency[pipeline]; set {
 		name = own
@@ -313,6 +318,7 @@
 	}
 }
 
-func (r *request) callOf(attempt int) int {
-	return slices.IndexFunc(r.calls, func(k call) bool { return k.attempt == attempt })
+// callIndex returns the index in calls of an attempt, or -1.
+func (r *request) callIndex(attempt int) int {
+	return slices.IndexFunc(r.calls, func(call callState) bool { return call.attempt == attempt })
 }
