--- a/assembler/assembler.go
+++ b/assembler/assembler.go
@@ -121,14 +121,14 @@
 func (e *entry) traceConfig() tracer.Config {
 	s := e.cfg.Settings
 	return tracer.Config{
-		Entry:     s.Name,
-		Zone:      s.Zone,
-		Region:    s.Region,
-		Kept:      int(s.Traces.Kept),
-		OTLPURL:   s.Traces.OTLPURL,
-		QueueSize: int(s.Traces.QueueSize),
-		Dropped:   func(spans int) { e.meter.Counter(meter.SpansDropped).Inc(int64(spans)) },
-		Exported:  func(spans int) { e.meter.Counter(meter.SpansExported).Inc(int64(spans)) },
+		Entry:      s.Name,
+		Zone:       s.Zone,
+		Region:     s.Region,
+		MaxTraces:  int(s.Traces.Kept),
+		OTLPURL:    s.Traces.OTLPURL,
+		QueueSize:  int(s.Traces.QueueSize),
+		OnDropped:  func(spans int) { e.meter.Counter(meter.SpansDropped).Inc(int64(spans)) },
+		OnExported: func(spans int) { e.meter.Counter(meter.SpansExported).Inc(int64(spans)) },
 	}
 }
 
--- a/assembler/refusal_test.go
+++ b/assembler/refusal_test.go
@@ -113,7 +113,7 @@
 	require.NoError(t, err)
 	require.Equal(t, answer.Text, outcome.Answer.Value)
 	_, err = other.OutcomeAt(t.Context(), e.caller, "shared")
-	var failed *caller.FailedError
+	var failed *caller.RequestError
 	require.ErrorAs(t, err, &failed)
 	require.Equal(t, "unknownKey", failed.Code)
 	own, err := other.SendTo(t.Context(), e.caller, caller.Request{Pipeline: "summary", Key: "shared", Input: "theirs", Deadline: 5 * time.Second})
--- a/assembler/sockets.go
+++ b/assembler/sockets.go
@@ -81,14 +81,14 @@
 
 // handlers makes what the sockets serve.
 func (e *entry) handlers() (callers, operators http.Handler, err error) {
-	callers, err = receiver.NewCallers(receiver.CallersConfig{Core: e.performer, Tracer: e.tracer, Meter: e.meter})
+	callers, err = receiver.NewCallerHandler(receiver.CallerAPIConfig{Core: e.performer, Tracer: e.tracer, Meter: e.meter})
 	if err != nil {
 		return nil, nil, err
 	}
-	served := receiver.NewOperators(receiver.OperatorsConfig{
-		Core:   e.performer,
-		Tracer: e.tracer,
-		Hashes: operatorHashes(e.cfg.Settings),
+	served := receiver.NewOperatorAPI(receiver.OperatorAPIConfig{
+		Core:             e.performer,
+		Tracer:           e.tracer,
+		CredentialHashes: operatorHashes(e.cfg.Settings),
 	})
 	api, err := served.Handler()
 	if err != nil {
@@ -99,7 +99,7 @@
 
 // operatorPages adds the status page and the metrics to the operators' interface. All need an operator's
 // credential: metrics name client accounts.
-func (e *entry) operatorPages(operators *receiver.Operators, api http.Handler) http.Handler {
+func (e *entry) operatorPages(operators *receiver.OperatorAPI, api http.Handler) http.Handler {
 	mux := http.NewServeMux()
 	mux.Handle("GET /{$}", operators.Authenticated(presenter.Handler(statusOf(operators), time.Now)))
 	mux.Handle("GET /v1/metrics", operators.Authenticated(e.meter.JSONHandler()))
@@ -108,7 +108,7 @@
 	return mux
 }
 
-func statusOf(operators *receiver.Operators) func(context.Context) (operatorserver.Status, error) {
+func statusOf(operators *receiver.OperatorAPI) func(context.Context) (operatorserver.Status, error) {
 	return func(ctx context.Context) (operatorserver.Status, error) {
 		status, err := operators.GetStatus(ctx)
 		if err != nil {
--- a/assembler/stream_test.go
+++ b/assembler/stream_test.go
@@ -92,7 +92,7 @@
 	request.Deadline = 20 * time.Second
 	done := make(chan sent, 1)
 	var s sent
-	request.Part = func(text string) {
+	request.OnPart = func(text string) {
 		s.parts = append(s.parts, text)
 		if len(s.parts) == 1 && first != nil {
 			first <- text
--- a/caller/addresses.go
+++ b/caller/addresses.go
@@ -29,7 +29,7 @@
 		}
 		return c.keep(answer), nil
 	}
-	return nil, &NoEntryError{Last: last}
+	return nil, &NoEntryError{Err: last}
 }
 
 // addressesOrEntries gives the entries of the configuration where none answers the question.
--- a/caller/caller.go
+++ b/caller/caller.go
@@ -82,9 +82,9 @@
 	Traceparent string
 	// Stream asks for the answer's parts as they come.
 	Stream bool
-	// Part is called with each part of a streamed answer, and may be nil. Send calls it once for each piece of
+	// OnPart is called with each part of a streamed answer, and may be nil. Send calls it once for each piece of
 	// text, also where a later try streams the answer from its start.
-	Part func(text string)
+	OnPart func(text string)
 }
 
 // Answer is a whole answer.
--- a/caller/caller_test.go
+++ b/caller/caller_test.go
@@ -182,11 +182,11 @@
 			var parts strings.Builder
 			answer, err := client.Send(t.Context(), Request{
 				Pipeline: "digest", Key: "k", Input: "i", Deadline: 5 * time.Second, Traceparent: "tp",
-				Stream: true, Part: func(text string) { parts.WriteString(text + "/") },
+				Stream: true, OnPart: func(text string) { parts.WriteString(text + "/") },
 			})
 			got, tries := answer.Text, answer.Attempts
 			if err != nil {
-				var failed *FailedError
+				var failed *RequestError
 				require.ErrorAs(t, err, &failed)
 				require.Equal(t, "k", failed.Key)
 				got, tries = failed.Outcome+": "+failed.Message, failed.Attempts
@@ -211,7 +211,7 @@
 	for _, entries := range [][]string{nil, {closedPort(t)}, {"no address"}} {
 		c := &clock{now: time.Unix(1_800_000_000, 0)}
 		_, err := New(Config{Entries: entries, Now: c.Now, Wait: c.Wait}).Send(t.Context(), Request{Pipeline: "digest", Deadline: time.Second})
-		var failed *FailedError
+		var failed *RequestError
 		require.ErrorAs(t, err, &failed, entries)
 		require.Equal(t, outcomeNotRun, failed.Outcome)
 		require.Equal(t, "no entry could be reached", failed.Message)
--- a/caller/errors.go
+++ b/caller/errors.go
@@ -10,8 +10,8 @@
 	"geraniumline/callerserver"
 )
 
-// FailedError tells that a request has no answer: Outcome is notRun or unknown.
-type FailedError struct {
+// RequestError tells that a request has no answer: Outcome is notRun or unknown.
+type RequestError struct {
 	Code       string
 	Message    string
 	Outcome    string
@@ -25,7 +25,7 @@
 	Attempts int
 }
 
-func (e *FailedError) Error() string {
+func (e *RequestError) Error() string {
 	if e.Code == "" {
 		return fmt.Sprintf("%s (%s)", e.Message, e.Outcome)
 	}
@@ -33,12 +33,12 @@
 }
 
 // NoEntryError tells that no entry answered the question for addresses.
-type NoEntryError struct{ Last error }
+type NoEntryError struct{ Err error }
 
-func (e *NoEntryError) Error() string { return fmt.Sprintf("no entry answers: %v", e.Last) }
+func (e *NoEntryError) Error() string { return fmt.Sprintf("no entry answers: %v", e.Err) }
 
 // Unwrap gives the last error.
-func (e *NoEntryError) Unwrap() error { return e.Last }
+func (e *NoEntryError) Unwrap() error { return e.Err }
 
 // unsendableError tells of a request that could not be put together, so nothing of it was sent.
 type unsendableError struct{ err error }
@@ -60,7 +60,7 @@
 	if err := json.Unmarshal(body, &failure); err != nil {
 		return fmt.Errorf("status %d: %w", status, err)
 	}
-	return &FailedError{
+	return &RequestError{
 		Code:       failure.Code,
 		Message:    failure.Message,
 		Outcome:    string(failure.Outcome),
--- a/caller/post.go
+++ b/caller/post.go
@@ -25,7 +25,7 @@
 		return Answer{}, err
 	}
 	defer func() { _ = response.Body.Close() }()
-	answer, err := readAnswer(response, request.Part)
+	answer, err := readAnswer(response, request.OnPart)
 	if err != nil {
 		return Answer{}, err
 	}
--- a/caller/send.go
+++ b/caller/send.go
@@ -81,8 +81,8 @@
 }
 
 // tryAll tries the addresses in turn until one gives a final outcome or the time is up.
-func (s *sending) tryAll(ctx context.Context) (Answer, *FailedError) {
-	last := &FailedError{Outcome: outcomeNotRun, Message: "no entry could be reached"}
+func (s *sending) tryAll(ctx context.Context) (Answer, *RequestError) {
+	last := &RequestError{Outcome: outcomeNotRun, Message: "no entry could be reached"}
 	for i := 0; s.attempts < maxAttempts && ctx.Err() == nil && s.left() > 0; i++ {
 		addresses := s.caller.addressesOrEntries(ctx)
 		if len(addresses) == 0 {
@@ -105,12 +105,12 @@
 }
 
 // try sends the request once.
-func (s *sending) try(ctx context.Context, entry string) (Answer, *FailedError) {
+func (s *sending) try(ctx context.Context, entry string) (Answer, *RequestError) {
 	s.attempts++
 	s.tried = ""
 	request := s.request
 	request.Deadline = s.left()
-	request.Part = s.showPart
+	request.OnPart = s.showPart
 	answer, err := s.caller.SendTo(ctx, entry, request)
 	if err == nil {
 		return answer, nil
@@ -125,21 +125,21 @@
 func (s *sending) showPart(text string) {
 	s.tried += text
 	rest, same := strings.CutPrefix(s.tried, s.shown)
-	if s.request.Part == nil || !same || rest == "" {
+	if s.request.OnPart == nil || !same || rest == "" {
 		return
 	}
-	s.request.Part(rest)
+	s.request.OnPart(rest)
 	s.shown = s.tried
 }
 
 // judge tells what a failed try means. Without an outcome from the entry, it is notRun only while no try may
 // have reached one.
-func (s *sending) judge(err error) *FailedError {
-	var failed *FailedError
+func (s *sending) judge(err error) *RequestError {
+	var failed *RequestError
 	if errors.As(err, &failed) {
 		return failed
 	}
-	failed = &FailedError{Outcome: outcomeNotRun, Message: "no entry could be reached"}
+	failed = &RequestError{Outcome: outcomeNotRun, Message: "no entry could be reached"}
 	if !NotSent(err) {
 		s.sent = true
 		failed.Message = "the connection broke: " + err.Error()
@@ -153,7 +153,7 @@
 // mayPass tells whether another try may do better: no entry gave an outcome, or it refused for the moment. An entry
 // that is not ready, or can't read the log, says unknown of the key though it ran nothing; under the same key
 // another try is safe, and may meet an entry that knows.
-func mayPass(failed *FailedError) bool {
+func mayPass(failed *RequestError) bool {
 	if failed.Status == 0 {
 		return true
 	}
@@ -178,8 +178,8 @@
 }
 
 // resolve asks for the outcome by the key until it is known, where the tries have not told it.
-func (s *sending) resolve(ctx context.Context, last *FailedError) (Answer, *FailedError) {
-	found := &FailedError{Outcome: outcomeUnknown, Message: "no entry tells what became of it"}
+func (s *sending) resolve(ctx context.Context, last *RequestError) (Answer, *RequestError) {
+	found := &RequestError{Outcome: outcomeUnknown, Message: "no entry tells what became of it"}
 	for ctx.Err() == nil && s.left() > -s.caller.cfg.Grace {
 		for _, entry := range s.caller.addressesOrEntries(ctx) {
 			outcome, err := s.caller.OutcomeAt(ctx, entry, s.request.Key)
@@ -202,8 +202,8 @@
 }
 
 // failedOutcome is an outcome without an answer. What still runs is unknown to a caller that waits no longer.
-func failedOutcome(outcome *callerserver.Outcome, entry string, last *FailedError) *FailedError {
-	failed := &FailedError{
+func failedOutcome(outcome *callerserver.Outcome, entry string, last *RequestError) *RequestError {
+	failed := &RequestError{
 		Outcome:    outcomeUnknown,
 		Message:    outcome.Message.Or(last.Message),
 		RetryAfter: time.Duration(outcome.RetryAfterMillis.Or(0)) * time.Millisecond,
--- a/demonstrator/report.go
+++ b/demonstrator/report.go
@@ -71,7 +71,7 @@
 		r.countAnswer(result, row, ran)
 		return
 	}
-	var failed *caller.FailedError
+	var failed *caller.RequestError
 	switch {
 	case !errors.As(result.err, &failed):
 		r.Lost++
--- a/launcher/request.go
+++ b/launcher/request.go
@@ -59,7 +59,7 @@
 	a.complain("key " + request.Key)
 	var printed strings.Builder
 	if request.Stream && !cmd.Bool("json") {
-		request.Part = func(text string) {
+		request.OnPart = func(text string) {
 			a.printText(text)
 			printed.WriteString(text)
 		}
@@ -150,7 +150,7 @@
 
 // resultOf takes what Send returns. Its errors but FailedError come before anything is sent.
 func resultOf(answer caller.Answer, err error) result {
-	var failed *caller.FailedError
+	var failed *caller.RequestError
 	switch {
 	case err == nil:
 		return result{
--- a/prover/traffic.go
+++ b/prover/traffic.go
@@ -32,8 +32,8 @@
 	err                  error
 }
 
-func (s *sent) failure() *caller.FailedError {
-	var failed *caller.FailedError
+func (s *sent) failure() *caller.RequestError {
+	var failed *caller.RequestError
 	if errors.As(s.err, &failed) {
 		return failed
 	}
--- a/receiver/callers.go
+++ b/receiver/callers.go
@@ -14,23 +14,23 @@
 	"geraniumline/verifier"
 )
 
-// Callers serves the callers' interface.
-type Callers struct {
+// CallerAPI serves the callers' interface.
+type CallerAPI struct {
 	core   Core
 	tracer *tracer.Tracer
 	meter  *meter.Meter
 }
 
-// CallersConfig holds what the callers' interface needs.
-type CallersConfig struct {
+// CallerAPIConfig holds what the callers' interface needs.
+type CallerAPIConfig struct {
 	Core   Core
 	Tracer *tracer.Tracer
 	Meter  *meter.Meter
 }
 
-// NewCallers makes the handler of the callers' interface.
-func NewCallers(cfg CallersConfig) (http.Handler, error) {
-	callers := &Callers{core: cfg.Core, tracer: cfg.Tracer, meter: cfg.Meter}
+// NewCallerHandler makes the handler of the callers' interface.
+func NewCallerHandler(cfg CallerAPIConfig) (http.Handler, error) {
+	callers := &CallerAPI{core: cfg.Core, tracer: cfg.Tracer, meter: cfg.Meter}
 	return callerserver.NewServer(callers, callers, security{}, callerserver.WithErrorHandler(writeFailure),
 		callerserver.WithNotFound(writeUnknownPath), callerserver.WithMethodNotAllowed(writeWrongMethod))
 }
@@ -52,7 +52,7 @@
 }
 
 // ListAddresses answers which entries the account should use.
-func (c *Callers) ListAddresses(ctx context.Context) (*callerserver.AddressAnswer, error) {
+func (c *CallerAPI) ListAddresses(ctx context.Context) (*callerserver.AddressAnswer, error) {
 	effect, err := ask(ctx, c.core, func(id uint64) reducer.Event {
 		return reducer.AddressesAsked{ID: id, Credentials: credentialsOf(ctx)}
 	})
@@ -72,7 +72,7 @@
 }
 
 // GetOutcome answers what is known of a request by its key.
-func (c *Callers) GetOutcome(ctx context.Context, params callerserver.GetOutcomeParams) (*callerserver.Outcome, error) {
+func (c *CallerAPI) GetOutcome(ctx context.Context, params callerserver.GetOutcomeParams) (*callerserver.Outcome, error) {
 	effect, err := ask(ctx, c.core, func(id uint64) reducer.Event {
 		return reducer.OutcomeAsked{ID: id, Credentials: credentialsOf(ctx), Key: params.Key}
 	})
@@ -118,12 +118,12 @@
 }
 
 // NewError puts an error into the callers' form.
-func (c *Callers) NewError(_ context.Context, err error) *callerserver.FailureStatusCode {
+func (c *CallerAPI) NewError(_ context.Context, err error) *callerserver.FailureStatusCode {
 	return failureOfError(err)
 }
 
 // RunPipeline runs a request and writes its answer, in parts when the caller asked for a stream.
-func (c *Callers) RunPipeline(ctx context.Context, req *callerserver.PipelineRequest, params callerserver.RunPipelineParams, w http.ResponseWriter) error {
+func (c *CallerAPI) RunPipeline(ctx context.Context, req *callerserver.PipelineRequest, params callerserver.RunPipelineParams, w http.ResponseWriter) error {
 	span := c.tracer.Start(params.Traceparent.Value, "request "+params.Pipeline, params.IdempotencyKey, now())
 	known := true
 	defer func() { endKnown(span, known) }()
--- a/receiver/operators.go
+++ b/receiver/operators.go
@@ -14,33 +14,33 @@
 	"geraniumline/verifier"
 )
 
-// Operators serves the operators' interface.
-type Operators struct {
+// OperatorAPI serves the operators' interface.
+type OperatorAPI struct {
 	core   Core
 	tracer *tracer.Tracer
 	hashes map[string]string
 }
 
-// OperatorsConfig holds what the operators' interface needs.
-type OperatorsConfig struct {
+// OperatorAPIConfig holds what the operators' interface needs.
+type OperatorAPIConfig struct {
 	Core   Core
 	Tracer *tracer.Tracer
-	// Hashes are the SHA-256 of the operators' credentials by name.
-	Hashes map[string]string
+	// CredentialHashes are the SHA-256 of the operators' credentials by name.
+	CredentialHashes map[string]string
 }
 
-// NewOperators makes the operators' interface.
-func NewOperators(cfg OperatorsConfig) *Operators {
-	return &Operators{core: cfg.Core, tracer: cfg.Tracer, hashes: cfg.Hashes}
+// NewOperatorAPI makes the operators' interface.
+func NewOperatorAPI(cfg OperatorAPIConfig) *OperatorAPI {
+	return &OperatorAPI{core: cfg.Core, tracer: cfg.Tracer, hashes: cfg.CredentialHashes}
 }
 
 // Handler serves the interface.
-func (o *Operators) Handler() (http.Handler, error) {
+func (o *OperatorAPI) Handler() (http.Handler, error) {
 	return operatorserver.NewServer(o, o, operatorserver.WithErrorHandler(writeRefusal))
 }
 
 // Authenticated lets only known operators pass to a handler of pages that the schema does not have.
-func (o *Operators) Authenticated(handler http.Handler) http.Handler {
+func (o *OperatorAPI) Authenticated(handler http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		name, credential, _ := r.BasicAuth()
 		if hash, known := o.hashes[name]; !known || !verifier.Matches(credential, hash) {
@@ -71,7 +71,7 @@
 type operatorKey struct{}
 
 // HandleBasicAuth lets only known operators pass.
-func (o *Operators) HandleBasicAuth(ctx context.Context, _ operatorserver.OperationName, auth operatorserver.BasicAuth) (context.Context, error) {
+func (o *OperatorAPI) HandleBasicAuth(ctx context.Context, _ operatorserver.OperationName, auth operatorserver.BasicAuth) (context.Context, error) {
 	hash, known := o.hashes[auth.Username]
 	if !known || !verifier.Matches(auth.Password, hash) {
 		return ctx, &WrongCredentialError{Operator: auth.Username}
@@ -80,7 +80,7 @@
 }
 
 // PublishConfig publishes a change and answers with the log's verdict.
-func (o *Operators) PublishConfig(ctx context.Context, req *operatorserver.ConfigChange) (*operatorserver.ConfigVerdict, error) {
+func (o *OperatorAPI) PublishConfig(ctx context.Context, req *operatorserver.ConfigChange) (*operatorserver.ConfigVerdict, error) {
 	operator, _ := ctx.Value(operatorKey{}).(string)
 	change := publisher.Change{
 		OperationID: req.OperationId,
@@ -96,7 +96,7 @@
 }
 
 // GetOperation answers with the verdict on an earlier change.
-func (o *Operators) GetOperation(ctx context.Context, params operatorserver.GetOperationParams) (*operatorserver.ConfigVerdict, error) {
+func (o *OperatorAPI) GetOperation(ctx context.Context, params operatorserver.GetOperationParams) (*operatorserver.ConfigVerdict, error) {
 	effect, err := ask(ctx, o.core, func(id uint64) reducer.Event {
 		return reducer.OperationAsked{ID: id, OperationID: params.OperationId}
 	})
@@ -121,7 +121,7 @@
 }
 
 // GetConfig answers with the objects in force.
-func (o *Operators) GetConfig(ctx context.Context, params operatorserver.GetConfigParams) (*operatorserver.ConfigView, error) {
+func (o *OperatorAPI) GetConfig(ctx context.Context, params operatorserver.GetConfigParams) (*operatorserver.ConfigView, error) {
 	effect, err := ask(ctx, o.core, func(id uint64) reducer.Event {
 		return reducer.ConfigAsked{ID: id, ObjectKind: params.Kind.Value, Name: params.Name.Value}
 	})
@@ -138,7 +138,7 @@
 const defaultHistory = 50
 
 // GetHistory answers with recent changes.
-func (o *Operators) GetHistory(ctx context.Context, params operatorserver.GetHistoryParams) (*operatorserver.ConfigHistory, error) {
+func (o *OperatorAPI) GetHistory(ctx context.Context, params operatorserver.GetHistoryParams) (*operatorserver.ConfigHistory, error) {
 	effect, err := ask(ctx, o.core, func(id uint64) reducer.Event {
 		return reducer.HistoryAsked{ID: id, Limit: params.Limit.Or(defaultHistory)}
 	})
@@ -152,16 +152,16 @@
 }
 
 // StartStop starts a planned stop of this entry.
-func (o *Operators) StartStop(ctx context.Context) (*operatorserver.StopProgress, error) {
+func (o *OperatorAPI) StartStop(ctx context.Context) (*operatorserver.StopProgress, error) {
 	return o.stop(ctx, true)
 }
 
 // GetStop answers with the planned stop's progress.
-func (o *Operators) GetStop(ctx context.Context) (*operatorserver.StopProgress, error) {
+func (o *OperatorAPI) GetStop(ctx context.Context) (*operatorserver.StopProgress, error) {
 	return o.stop(ctx, false)
 }
 
-func (o *Operators) stop(ctx context.Context, begin bool) (*operatorserver.StopProgress, error) {
+func (o *OperatorAPI) stop(ctx context.Context, begin bool) (*operatorserver.StopProgress, error) {
 	effect, err := ask(ctx, o.core, func(id uint64) reducer.Event { return reducer.StopAsked{ID: id, Begin: begin} })
 	if err != nil {
 		return nil, err
@@ -173,7 +173,7 @@
 }
 
 // GetStatus answers with the system as this entry sees it.
-func (o *Operators) GetStatus(ctx context.Context) (*operatorserver.Status, error) {
+func (o *OperatorAPI) GetStatus(ctx context.Context) (*operatorserver.Status, error) {
 	effect, err := ask(ctx, o.core, func(id uint64) reducer.Event { return reducer.StatusAsked{ID: id} })
 	if err != nil {
 		return nil, err
@@ -185,7 +185,7 @@
 }
 
 // GetTrace answers with the spans that are kept of a request.
-func (o *Operators) GetTrace(_ context.Context, params operatorserver.GetTraceParams) (*operatorserver.Trace, error) {
+func (o *OperatorAPI) GetTrace(_ context.Context, params operatorserver.GetTraceParams) (*operatorserver.Trace, error) {
 	trace, found := o.tracer.Find(params.TraceId)
 	if !found {
 		return nil, &RefusalError{Refusal: reducer.SendRefusal{Code: "unknownTrace", Message: "this entry keeps no such trace"}}
@@ -194,7 +194,7 @@
 }
 
 // NewError puts an error into the operators' form.
-func (o *Operators) NewError(_ context.Context, err error) *operatorserver.FailureStatusCode {
+func (o *OperatorAPI) NewError(_ context.Context, err error) *operatorserver.FailureStatusCode {
 	return operatorFailureOf(err)
 }
 
--- a/tracer/queue.go
+++ b/tracer/queue.go
@@ -34,8 +34,8 @@
 func newQueue(cfg Config, exporter sdktrace.SpanExporter) *queue {
 	q := &queue{
 		exporter: exporter,
-		dropped:  orNothing(cfg.Dropped),
-		exported: orNothing(cfg.Exported),
+		dropped:  orNothing(cfg.OnDropped),
+		exported: orNothing(cfg.OnExported),
 		spans:    make(chan sdktrace.ReadOnlySpan, max(cfg.QueueSize, 1)),
 		stop:     make(chan struct{}),
 		done:     make(chan struct{}),
--- a/tracer/tracer.go
+++ b/tracer/tracer.go
@@ -34,17 +34,17 @@
 	Entry  string
 	Zone   string
 	Region string
-	// Kept is how many recent traces are kept for Find.
-	Kept int
+	// MaxTraces is how many recent traces are kept for Find.
+	MaxTraces int
 	// OTLPURL is where spans are sent by OTLP over HTTP.
 	OTLPURL string
 	// QueueSize is how many spans may wait to be sent.
 	QueueSize int
 	// Exporter takes the place of the OTLP exporter where it is set.
 	Exporter sdktrace.SpanExporter
-	// Dropped and Exported are told of spans lost and sent; each may be nil.
-	Dropped  func(spans int)
-	Exported func(spans int)
+	// OnDropped and OnExported are told of spans lost and sent; each may be nil.
+	OnDropped  func(spans int)
+	OnExported func(spans int)
 }
 
 // Tracer makes spans. A nil *Tracer makes nil spans, whose methods do nothing.
@@ -64,7 +64,7 @@
 		}
 		exporter = made
 	}
-	kept := newKeeper(cfg.Kept)
+	kept := newKeeper(cfg.MaxTraces)
 	options := []sdktrace.TracerProviderOption{
 		sdktrace.WithSampler(sdktrace.AlwaysSample()),
 		sdktrace.WithResource(resource.NewSchemaless(
--- a/tracer/tracer_test.go
+++ b/tracer/tracer_test.go
@@ -31,7 +31,7 @@
 		traceID = "4bf92f3577b34da6a3ce929d0e0e4736"
 		parent  = "00f067aa0ba902b7"
 	)
-	tr := newTracer(t, Config{Kept: 4})
+	tr := newTracer(t, Config{MaxTraces: 4})
 	root := tr.Start("00-"+traceID+"-"+parent+"-00", "request", "r-1", start)
 	child := root.Child("stage", start.Add(time.Millisecond))
 	child.Set("attempt", "1")
@@ -53,7 +53,7 @@
 }
 
 func TestIllFormedTraceparentBeginsATrace(t *testing.T) {
-	tr := newTracer(t, Config{Kept: 4})
+	tr := newTracer(t, Config{MaxTraces: 4})
 	for i, header := range []string{"", "junk", "00-00000000000000000000000000000000-0000000000000000-01"} {
 		id := fmt.Sprintf("r-%d", i)
 		span := tr.Start(header, "request", id, start)
@@ -81,7 +81,7 @@
 // the request ids that led to it.
 func TestKeptTracesAreBounded(t *testing.T) {
 	const header = "00-4bf92f3577b34da6a3ce929d0e0e4736-00f067aa0ba902b7-01"
-	tr := newTracer(t, Config{Kept: 3})
+	tr := newTracer(t, Config{MaxTraces: 3})
 	for i := range 1000 {
 		tr.Start(header, "request", fmt.Sprintf("same-%d", i), start).End(start)
 	}
@@ -133,10 +133,10 @@
 	var mu sync.Mutex
 	var dropped, exported int
 	tr := newTracer(t, Config{
-		Exporter:  exporter,
-		QueueSize: 8,
-		Dropped:   func(n int) { mu.Lock(); dropped += n; mu.Unlock() },
-		Exported:  func(n int) { mu.Lock(); exported += n; mu.Unlock() },
+		Exporter:   exporter,
+		QueueSize:  8,
+		OnDropped:  func(n int) { mu.Lock(); dropped += n; mu.Unlock() },
+		OnExported: func(n int) { mu.Lock(); exported += n; mu.Unlock() },
 	})
 	const spans = 1000
 	for range spans {
@@ -165,7 +165,7 @@
 	exported := 0
 	tr := newTracer(t, Config{
 		Entry: "entry-1", Zone: "zone-a", Region: "region-1", OTLPURL: collector.URL + "/v1/traces", QueueSize: 8,
-		Exported: func(n int) { exported += n },
+		OnExported: func(n int) { exported += n },
 	})
 	tr.Start("", "request", "r-1", start).End(start)
 	require.NoError(t, tr.Close(context.Background()))
@@ -177,7 +177,7 @@
 }
 
 func BenchmarkRequestOfFiveSpans(b *testing.B) {
-	tr, err := New(Config{Kept: 256})
+	tr, err := New(Config{MaxTraces: 256})
 	require.NoError(b, err)
 	b.ReportAllocs()
 	for b.Loop() {
