--- a/receiver/callers.go
+++ b/receiver/callers.go
@@ -14,21 +14,21 @@
 	"geraniumline/verifier"
 )
 
-// CallerAPI serves the callers' interface.
+// CallerAPI implements the HTTP API for callers.
 type CallerAPI struct {
 	core   Core
 	tracer *tracer.Tracer
 	meter  *meter.Meter
 }
 
-// CallerAPIConfig holds what the callers' interface needs.
+// CallerAPIConfig configures a CallerAPI.
 type CallerAPIConfig struct {
 	Core   Core
 	Tracer *tracer.Tracer
 	Meter  *meter.Meter
 }
 
-// NewCallerHandler makes the handler of the callers' interface.
+// NewCallerHandler returns the HTTP handler of the caller API.
 func NewCallerHandler(cfg CallerAPIConfig) (http.Handler, error) {
 	callers := &CallerAPI{core: cfg.Core, tracer: cfg.Tracer, meter: cfg.Meter}
 	return callerserver.NewServer(callers, callers, security{}, callerserver.WithErrorHandler(writeFailure),
@@ -37,10 +37,11 @@
 
 type credentialsKey struct{}
 
-// security takes the caller's credentials along; the core judges them.
+// security passes the caller's credentials on in the context; the core verifies them.
 type security struct{}
 
-// HandleBasicAuth hashes the credential, so that it goes no further in the clear.
+// HandleBasicAuth stores the account and the credential's hash in the context, so that the plain-text
+// credential is not passed on.
 func (security) HandleBasicAuth(ctx context.Context, _ callerserver.OperationName, auth callerserver.BasicAuth) (context.Context, error) {
 	credentials := reducer.Credentials{Account: auth.Username, Hash: verifier.HashCredential(auth.Password)}
 	return context.WithValue(ctx, credentialsKey{}, credentials), nil
@@ -51,9 +52,9 @@
 	return credentials
 }
 
-// ListAddresses answers which entries the account should use.
+// ListAddresses returns the entries that the account should use.
 func (c *CallerAPI) ListAddresses(ctx context.Context) (*callerserver.AddressAnswer, error) {
-	effect, err := ask(ctx, c.core, func(id uint64) reducer.Event {
+	effect, err := postAndWait(ctx, c.core, func(id uint64) reducer.Event {
 		return reducer.AddressesAsked{ID: id, Credentials: credentialsOf(ctx)}
 	})
 	if err != nil {
@@ -67,13 +68,13 @@
 		}
 		return answer, nil
 	default:
-		return nil, errorOf(effect)
+		return nil, effectError(effect)
 	}
 }
 
-// GetOutcome answers what is known of a request by its key.
+// GetOutcome returns the known outcome of the request with the given key.
 func (c *CallerAPI) GetOutcome(ctx context.Context, params callerserver.GetOutcomeParams) (*callerserver.Outcome, error) {
-	effect, err := ask(ctx, c.core, func(id uint64) reducer.Event {
+	effect, err := postAndWait(ctx, c.core, func(id uint64) reducer.Event {
 		return reducer.OutcomeAsked{ID: id, Credentials: credentialsOf(ctx), Key: params.Key}
 	})
 	if err != nil {
@@ -83,7 +84,7 @@
 	case reducer.SendOutcome:
 		return outcomeOf(e), nil
 	default:
-		return nil, errorOf(effect)
+		return nil, effectError(effect)
 	}
 }
 
@@ -109,24 +110,24 @@
 	return outcome
 }
 
-// errorOf makes the error for an answer that is none of those expected.
-func errorOf(effect reducer.Effect) error {
+// effectError converts a failure or an unexpected effect to an error.
+func effectError(effect reducer.Effect) error {
 	if failure, failed := effect.(reducer.SendFailure); failed {
 		return &FailureError{Failure: failure.Failure}
 	}
 	return fmt.Errorf("unexpected answer %T", effect)
 }
 
-// NewError puts an error into the callers' form.
+// NewError converts an error to a failure response of the caller API.
 func (c *CallerAPI) NewError(_ context.Context, err error) *callerserver.FailureStatusCode {
-	return failureOfError(err)
+	return failureFromError(err)
 }
 
-// RunPipeline runs a request and writes its answer, in parts when the caller asked for a stream.
+// RunPipeline runs a request and writes its answer, as a stream of parts if the caller asked for one.
 func (c *CallerAPI) RunPipeline(ctx context.Context, req *callerserver.PipelineRequest, params callerserver.RunPipelineParams, w http.ResponseWriter) error {
 	span := c.tracer.Start(params.Traceparent.Value, "request "+params.Pipeline, params.IdempotencyKey, now())
-	known := true
-	defer func() { endKnown(span, known) }()
+	authenticated := true
+	defer func() { endIfAuthenticated(span, authenticated) }()
 	credentials := credentialsOf(ctx)
 	deadline := time.Duration(req.DeadlineMillis) * time.Millisecond
 	span.Set("account", credentials.Account)
@@ -142,7 +143,7 @@
 		Deadline:    deadline,
 		Stream:      req.Stream.Value,
 	})
-	counts := newCounts(c.meter, credentials.Account, deadline, now())
+	metrics := newRequestMetrics(c.meter, credentials.Account, deadline, now())
 	out := newWriter(w, req.Stream.Value, span.TraceID())
 	for {
 		select {
@@ -152,8 +153,8 @@
 		case <-reply.Signal():
 		}
 		for _, effect := range reply.Take() {
-			counts.count(effect, now())
-			known = known && !isUnauthorized(effect)
+			metrics.record(effect, now())
+			authenticated = authenticated && !isUnauthorized(effect)
 			if done, err := out.write(effect); done || err != nil {
 				return err
 			}
@@ -161,15 +162,16 @@
 	}
 }
 
-// endKnown ends the span of a request whose caller has proved its account. One that is not ended is neither
-// kept nor exported: a flood of wrong credentials would else push the traces of real requests out.
-func endKnown(span *tracer.Span, known bool) {
-	if known {
+// endIfAuthenticated ends the span of a request whose caller is authenticated. A span that is not ended is neither
+// kept nor exported; otherwise a flood of wrong credentials would evict the traces of valid requests.
+func endIfAuthenticated(span *tracer.Span, authenticated bool) {
+	if authenticated {
 		span.End(now())
 	}
 }
 
-// digestOf tells two requests under one key apart. A caller may choose both, so the hash must not collide.
+// digestOf returns a hash that distinguishes requests sent under the same key. The caller controls both
+// requests, so the hash must be collision-resistant.
 func digestOf(pipeline, input string) [sha256.Size]byte {
 	h := sha256.New()
 	h.Write([]byte(pipeline))
--- a/receiver/counts.go
+++ b/receiver/counts.go
@@ -7,62 +7,62 @@
 	"geraniumline/reducer"
 )
 
-// counts holds the counts of one request's way through this entry.
-type counts struct {
+// requestMetrics records the metrics of one request on this entry.
+type requestMetrics struct {
 	meter   *meter.Meter
 	account string
 	arrived time.Time
-	// deadline is the time that the caller gave.
+	// deadline is the time after arrival that the caller allows for the answer.
 	deadline time.Duration
 	parts    int
 }
 
-// newCounts begins a request's counts. The account is only a label once the core has known it, since a
-// caller may send any name.
-func newCounts(m *meter.Meter, account string, deadline time.Duration, now time.Time) *counts {
-	return &counts{meter: m, account: account, deadline: deadline, arrived: now}
+// newRequestMetrics returns the metrics of a request that arrived at now. The account is used as a label only
+// after the core has authenticated it, since a caller may send any name.
+func newRequestMetrics(registry *meter.Meter, account string, deadline time.Duration, now time.Time) *requestMetrics {
+	return &requestMetrics{meter: registry, account: account, deadline: deadline, arrived: now}
 }
 
-// count takes one answer to the request.
-func (c *counts) count(effect reducer.Effect, now time.Time) {
+// record updates the metrics for one effect of the request.
+func (m *requestMetrics) record(effect reducer.Effect, now time.Time) {
 	switch e := effect.(type) {
 	case reducer.SendPart:
-		c.part(now)
+		m.recordPart(now)
 	case reducer.SendAnswer:
-		c.end(meter.RequestsAnswered, now)
-		if now.Sub(c.arrived) <= c.deadline {
-			c.meter.Counter(meter.RequestsInTime, c.account).Inc(1)
+		m.recordEnd(meter.RequestsAnswered, now)
+		if now.Sub(m.arrived) <= m.deadline {
+			m.meter.Counter(meter.RequestsInTime, m.account).Inc(1)
 		}
 	case reducer.SendFailure:
 		if !isUnauthorized(e) {
-			c.fail(e.Failure, now)
+			m.recordFailure(e.Failure, now)
 		}
 	}
 }
 
-// isUnauthorized tells whether an answer refuses a caller that has not proved its account.
+// isUnauthorized reports whether an effect rejects the caller's account or credential.
 func isUnauthorized(effect reducer.Effect) bool {
 	e, failed := effect.(reducer.SendFailure)
 	return failed && (e.Failure.Code == reducer.CodeUnknownAccount || e.Failure.Code == reducer.CodeWrongCredential)
 }
 
-func (c *counts) part(now time.Time) {
-	c.parts++
-	if c.parts == 1 {
-		c.meter.Histogram(meter.FirstPartMicros).Update(now.Sub(c.arrived).Microseconds())
+func (m *requestMetrics) recordPart(now time.Time) {
+	m.parts++
+	if m.parts == 1 {
+		m.meter.Histogram(meter.FirstPartMicros).Update(now.Sub(m.arrived).Microseconds())
 	}
 }
 
-func (c *counts) fail(failure reducer.Failure, now time.Time) {
+func (m *requestMetrics) recordFailure(failure reducer.Failure, now time.Time) {
 	if failure.State == reducer.StateUnknown {
-		c.end(meter.RequestsUnknown, now)
+		m.recordEnd(meter.RequestsUnknown, now)
 		return
 	}
-	c.end(meter.RequestsNotRun, now)
+	m.recordEnd(meter.RequestsNotRun, now)
 }
 
-func (c *counts) end(name meter.Name, now time.Time) {
-	c.meter.Counter(meter.RequestsReceived, c.account).Inc(1)
-	c.meter.Counter(name, c.account).Inc(1)
-	c.meter.Histogram(meter.RequestMicros).Update(now.Sub(c.arrived).Microseconds())
+func (m *requestMetrics) recordEnd(name meter.Name, now time.Time) {
+	m.meter.Counter(meter.RequestsReceived, m.account).Inc(1)
+	m.meter.Counter(name, m.account).Inc(1)
+	m.meter.Histogram(meter.RequestMicros).Update(now.Sub(m.arrived).Microseconds())
 }
--- a/receiver/failure.go
+++ b/receiver/failure.go
@@ -13,7 +13,7 @@
 	"geraniumline/reducer"
 )
 
-// The codes of failures that are found before a call reaches the core.
+// Failure codes of calls that are rejected before they reach the core.
 const (
 	codeBadRequest   = "badRequest"
 	codeBodyTooLarge = "bodyTooLarge"
@@ -23,7 +23,7 @@
 	codeWrongMethod  = "wrongMethod"
 )
 
-// FailureError is a core's Failure on its way to the caller.
+// FailureError wraps a failure from the core that is returned to the caller.
 type FailureError struct {
 	Failure reducer.Failure
 }
@@ -32,7 +32,7 @@
 	return string(e.Failure.Code) + ": " + e.Failure.Message
 }
 
-// statusOf gives the HTTP status for a code.
+// statusOf returns the HTTP status for a failure code.
 func statusOf(code reducer.Code) int {
 	switch code {
 	case reducer.CodeUnknownAccount, reducer.CodeWrongCredential:
@@ -58,7 +58,7 @@
 	}
 }
 
-// failureOf puts a core's failure into the callers' form.
+// failureOf converts a failure from the core to a response of the caller API.
 func failureOf(failure reducer.Failure) *callerserver.FailureStatusCode {
 	response := callerserver.Failure{
 		Code:    string(failure.Code),
@@ -80,26 +80,26 @@
 	return &callerserver.FailureStatusCode{StatusCode: statusOf(failure.Code), Response: response}
 }
 
-// failureOfError puts any error of a handler into the callers' form. What goes wrong before the core
-// has the request has run nothing.
-func failureOfError(err error) *callerserver.FailureStatusCode {
-	var failed *FailureError
-	if errors.As(err, &failed) {
-		return failureOf(failed.Failure)
+// failureFromError converts any handler error to a response of the caller API. The outcome of errors that occur
+// before the core has received the request is notRun.
+func failureFromError(err error) *callerserver.FailureStatusCode {
+	var failureErr *FailureError
+	if errors.As(err, &failureErr) {
+		return failureOf(failureErr.Failure)
 	}
 	status, code := classify(err)
 	return notRunFailure(status, code, err.Error())
 }
 
-// classify names what is wrong with a call that the core has not seen.
+// classify returns the HTTP status and the failure code for a call that did not reach the core.
 func classify(err error) (status int, code string) {
 	var tooLarge *http.MaxBytesError
 	if errors.As(err, &tooLarge) {
 		return http.StatusRequestEntityTooLarge, codeBodyTooLarge
 	}
 	var security *ogenerrors.SecurityError
-	var wrong *WrongCredentialError
-	if errors.As(err, &security) || errors.As(err, &wrong) {
+	var wrongCredential *WrongCredentialError
+	if errors.As(err, &security) || errors.As(err, &wrongCredential) {
 		return http.StatusUnauthorized, codeNoCredential
 	}
 	if status := ogenerrors.ErrorCode(err); status != http.StatusInternalServerError {
@@ -108,15 +108,15 @@
 	return http.StatusInternalServerError, codeInternal
 }
 
-// writeUnknownPath answers a call to a path that the interface does not have.
+// writeUnknownPath responds to a call to a path that the API does not define.
 func writeUnknownPath(w http.ResponseWriter, _ *http.Request) {
-	write(w, notRunFailure(http.StatusNotFound, codeUnknownPath, "the interface has no such path"))
+	writeResponse(w, notRunFailure(http.StatusNotFound, codeUnknownPath, "the interface has no such path"))
 }
 
-// writeWrongMethod answers a call by a method that the path does not have.
+// writeWrongMethod responds to a call with a method that the path does not allow.
 func writeWrongMethod(w http.ResponseWriter, _ *http.Request, allowed string) {
 	w.Header().Set("Allow", allowed)
-	write(w, notRunFailure(http.StatusMethodNotAllowed, codeWrongMethod, "the path takes "+allowed))
+	writeResponse(w, notRunFailure(http.StatusMethodNotAllowed, codeWrongMethod, "the path takes "+allowed))
 }
 
 func notRunFailure(status int, code, message string) *callerserver.FailureStatusCode {
@@ -127,12 +127,12 @@
 	}}
 }
 
-// writeFailure answers calls that fail before their handler.
+// writeFailure responds to calls that fail before their handler runs.
 func writeFailure(_ context.Context, w http.ResponseWriter, _ *http.Request, err error) {
-	write(w, failureOfError(err))
+	writeResponse(w, failureFromError(err))
 }
 
-func write(w http.ResponseWriter, failure *callerserver.FailureStatusCode) {
+func writeResponse(w http.ResponseWriter, failure *callerserver.FailureStatusCode) {
 	w.Header().Set("Content-Type", "application/json; charset=utf-8")
 	if millis, set := failure.Response.RetryAfterMillis.Get(); set {
 		w.Header().Set("Retry-After", strconv.FormatInt((millis+999)/1000, 10))
--- a/receiver/failure_test.go
+++ b/receiver/failure_test.go
@@ -16,10 +16,11 @@
 	"geraniumline/reducer"
 )
 
-// constantsOf gives the string constants of a folder's files whose names begin with the prefix.
-func constantsOf(t *testing.T, folder, prefix string) map[string]string {
+// constantsOf returns the values of the string constants in a directory's non-test files whose names begin
+// with the prefix.
+func constantsOf(t *testing.T, dir, prefix string) map[string]string {
 	t.Helper()
-	files, err := filepath.Glob(filepath.Join(folder, "*.go"))
+	files, err := filepath.Glob(filepath.Join(dir, "*.go"))
 	require.NoError(t, err)
 	found := map[string]string{}
 	for _, file := range files {
@@ -43,8 +44,8 @@
 	return found
 }
 
-// A caller that meets a code looks it up on the page. Each code has a row there that begins with it, and the
-// status that the code is served with stands in that row.
+// Callers look up failure codes in docs/ERRORS.md. Every code must have a row there, and the row must name the HTTP
+// status that is sent with the code.
 func TestEveryCodeStandsOnThePage(t *testing.T) {
 	page, err := os.ReadFile("../docs/ERRORS.md")
 	require.NoError(t, err)
@@ -65,8 +66,8 @@
 	}
 }
 
-// An operator who sees an alarm looks up what to do. Each text that the status can show stands in the operators' page.
-func TestEveryAlarmStandsOnThePage(t *testing.T) {
+// Operators look up alarms in docs/OPERATING.md. Every alarm text that the status can show must be on that page.
+func TestEveryAlarmIsDocumented(t *testing.T) {
 	page, err := os.ReadFile("../docs/OPERATING.md")
 	require.NoError(t, err)
 	tree, err := parser.ParseFile(token.NewFileSet(), "../reducer/status.go", nil, 0)
--- a/receiver/operators.go
+++ b/receiver/operators.go
@@ -14,36 +14,36 @@
 	"geraniumline/verifier"
 )
 
-// OperatorAPI serves the operators' interface.
+// OperatorAPI implements the HTTP API for operators.
 type OperatorAPI struct {
-	core   Core
-	tracer *tracer.Tracer
-	hashes map[string]string
+	core             Core
+	tracer           *tracer.Tracer
+	credentialHashes map[string]string
 }
 
-// OperatorAPIConfig holds what the operators' interface needs.
+// OperatorAPIConfig configures an OperatorAPI.
 type OperatorAPIConfig struct {
 	Core   Core
 	Tracer *tracer.Tracer
-	// CredentialHashes are the SHA-256 of the operators' credentials by name.
+	// CredentialHashes maps an operator's name to the SHA-256 of its credential.
 	CredentialHashes map[string]string
 }
 
-// NewOperatorAPI makes the operators' interface.
+// NewOperatorAPI returns an operator API.
 func NewOperatorAPI(cfg OperatorAPIConfig) *OperatorAPI {
-	return &OperatorAPI{core: cfg.Core, tracer: cfg.Tracer, hashes: cfg.CredentialHashes}
+	return &OperatorAPI{core: cfg.Core, tracer: cfg.Tracer, credentialHashes: cfg.CredentialHashes}
 }
 
-// Handler serves the interface.
+// Handler returns the HTTP handler of the API.
 func (o *OperatorAPI) Handler() (http.Handler, error) {
 	return operatorserver.NewServer(o, o, operatorserver.WithErrorHandler(writeRefusal))
 }
 
-// Authenticated lets only known operators pass to a handler of pages that the schema does not have.
+// Authenticated requires an operator's credential for a handler of pages that are not in the API schema.
 func (o *OperatorAPI) Authenticated(handler http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		name, credential, _ := r.BasicAuth()
-		if hash, known := o.hashes[name]; !known || !verifier.Matches(credential, hash) {
+		if hash, known := o.credentialHashes[name]; !known || !verifier.Matches(credential, hash) {
 			w.Header().Set("WWW-Authenticate", `Basic realm="geraniumline"`)
 			writeRefusal(r.Context(), w, r, &WrongCredentialError{Operator: name})
 			return
@@ -52,7 +52,7 @@
 	})
 }
 
-// WrongCredentialError tells that an operator did not prove its name.
+// WrongCredentialError reports an unknown operator or a wrong credential.
 type WrongCredentialError struct {
 	Operator string
 }
@@ -61,7 +61,7 @@
 	return "operator " + e.Operator + " is not known by this credential"
 }
 
-// RefusalError is a core's refusal on its way to the operator.
+// RefusalError wraps a refusal from the core that is returned to the operator.
 type RefusalError struct {
 	Refusal reducer.SendRefusal
 }
@@ -70,16 +70,17 @@
 
 type operatorKey struct{}
 
-// HandleBasicAuth lets only known operators pass.
+// HandleBasicAuth authenticates the operator and stores its name in the context. It returns a
+// WrongCredentialError if that fails.
 func (o *OperatorAPI) HandleBasicAuth(ctx context.Context, _ operatorserver.OperationName, auth operatorserver.BasicAuth) (context.Context, error) {
-	hash, known := o.hashes[auth.Username]
+	hash, known := o.credentialHashes[auth.Username]
 	if !known || !verifier.Matches(auth.Password, hash) {
 		return ctx, &WrongCredentialError{Operator: auth.Username}
 	}
 	return context.WithValue(ctx, operatorKey{}, auth.Username), nil
 }
 
-// PublishConfig publishes a change and answers with the log's verdict.
+// PublishConfig publishes a change and returns the log's verdict.
 func (o *OperatorAPI) PublishConfig(ctx context.Context, req *operatorserver.ConfigChange) (*operatorserver.ConfigVerdict, error) {
 	operator, _ := ctx.Value(operatorKey{}).(string)
 	change := publisher.Change{
@@ -91,13 +92,13 @@
 		Remove:      req.Remove.Value,
 		Body:        json.RawMessage(req.Body),
 	}
-	effect, err := ask(ctx, o.core, func(id uint64) reducer.Event { return reducer.ChangeAsked{ID: id, Change: change} })
+	effect, err := postAndWait(ctx, o.core, func(id uint64) reducer.Event { return reducer.ChangeAsked{ID: id, Change: change} })
 	return verdictOf(effect, err)
 }
 
-// GetOperation answers with the verdict on an earlier change.
+// GetOperation returns the verdict on an earlier change.
 func (o *OperatorAPI) GetOperation(ctx context.Context, params operatorserver.GetOperationParams) (*operatorserver.ConfigVerdict, error) {
-	effect, err := ask(ctx, o.core, func(id uint64) reducer.Event {
+	effect, err := postAndWait(ctx, o.core, func(id uint64) reducer.Event {
 		return reducer.OperationAsked{ID: id, OperationID: params.OperationId}
 	})
 	return verdictOf(effect, err)
@@ -110,19 +111,19 @@
 	if e, ok := effect.(reducer.SendVerdict); ok {
 		return &e.Verdict, nil
 	}
-	return nil, refusalOf(effect)
+	return nil, refusalError(effect)
 }
 
-func refusalOf(effect reducer.Effect) error {
+func refusalError(effect reducer.Effect) error {
 	if e, ok := effect.(reducer.SendRefusal); ok {
 		return &RefusalError{Refusal: e}
 	}
 	return fmt.Errorf("unexpected answer %T", effect)
 }
 
-// GetConfig answers with the objects in force.
+// GetConfig returns the configuration objects in force.
 func (o *OperatorAPI) GetConfig(ctx context.Context, params operatorserver.GetConfigParams) (*operatorserver.ConfigView, error) {
-	effect, err := ask(ctx, o.core, func(id uint64) reducer.Event {
+	effect, err := postAndWait(ctx, o.core, func(id uint64) reducer.Event {
 		return reducer.ConfigAsked{ID: id, ObjectKind: params.Kind.Value, Name: params.Name.Value}
 	})
 	if err != nil {
@@ -131,16 +132,16 @@
 	if e, ok := effect.(reducer.SendConfig); ok {
 		return &e.View, nil
 	}
-	return nil, refusalOf(effect)
+	return nil, refusalError(effect)
 }
 
-// defaultHistory is how many changes are shown when the operator does not say.
-const defaultHistory = 50
+// defaultHistoryLimit is the number of changes returned if the operator sets no limit.
+const defaultHistoryLimit = 50
 
-// GetHistory answers with recent changes.
+// GetHistory returns recent changes.
 func (o *OperatorAPI) GetHistory(ctx context.Context, params operatorserver.GetHistoryParams) (*operatorserver.ConfigHistory, error) {
-	effect, err := ask(ctx, o.core, func(id uint64) reducer.Event {
-		return reducer.HistoryAsked{ID: id, Limit: params.Limit.Or(defaultHistory)}
+	effect, err := postAndWait(ctx, o.core, func(id uint64) reducer.Event {
+		return reducer.HistoryAsked{ID: id, Limit: params.Limit.Or(defaultHistoryLimit)}
 	})
 	if err != nil {
 		return nil, err
@@ -148,43 +149,43 @@
 	if e, ok := effect.(reducer.SendHistory); ok {
 		return &e.History, nil
 	}
-	return nil, refusalOf(effect)
+	return nil, refusalError(effect)
 }
 
 // StartStop starts a planned stop of this entry.
 func (o *OperatorAPI) StartStop(ctx context.Context) (*operatorserver.StopProgress, error) {
-	return o.stop(ctx, true)
+	return o.stopProgress(ctx, true)
 }
 
-// GetStop answers with the planned stop's progress.
+// GetStop returns the progress of the planned stop.
 func (o *OperatorAPI) GetStop(ctx context.Context) (*operatorserver.StopProgress, error) {
-	return o.stop(ctx, false)
+	return o.stopProgress(ctx, false)
 }
 
-func (o *OperatorAPI) stop(ctx context.Context, begin bool) (*operatorserver.StopProgress, error) {
-	effect, err := ask(ctx, o.core, func(id uint64) reducer.Event { return reducer.StopAsked{ID: id, Begin: begin} })
+func (o *OperatorAPI) stopProgress(ctx context.Context, begin bool) (*operatorserver.StopProgress, error) {
+	effect, err := postAndWait(ctx, o.core, func(id uint64) reducer.Event { return reducer.StopAsked{ID: id, Begin: begin} })
 	if err != nil {
 		return nil, err
 	}
 	if e, ok := effect.(reducer.SendStop); ok {
 		return &e.Progress, nil
 	}
-	return nil, refusalOf(effect)
+	return nil, refusalError(effect)
 }
 
-// GetStatus answers with the system as this entry sees it.
+// GetStatus returns the state of the system as seen by this entry.
 func (o *OperatorAPI) GetStatus(ctx context.Context) (*operatorserver.Status, error) {
-	effect, err := ask(ctx, o.core, func(id uint64) reducer.Event { return reducer.StatusAsked{ID: id} })
+	effect, err := postAndWait(ctx, o.core, func(id uint64) reducer.Event { return reducer.StatusAsked{ID: id} })
 	if err != nil {
 		return nil, err
 	}
 	if e, ok := effect.(reducer.SendStatus); ok {
 		return &e.Status, nil
 	}
-	return nil, refusalOf(effect)
+	return nil, refusalError(effect)
 }
 
-// GetTrace answers with the spans that are kept of a request.
+// GetTrace returns the spans of a request that this entry has kept.
 func (o *OperatorAPI) GetTrace(_ context.Context, params operatorserver.GetTraceParams) (*operatorserver.Trace, error) {
 	trace, found := o.tracer.Find(params.TraceId)
 	if !found {
@@ -193,17 +194,17 @@
 	return traceOf(trace), nil
 }
 
-// NewError puts an error into the operators' form.
+// NewError converts an error to a failure response of the operator API.
 func (o *OperatorAPI) NewError(_ context.Context, err error) *operatorserver.FailureStatusCode {
-	return operatorFailureOf(err)
+	return operatorFailureFromError(err)
 }
 
-func operatorFailureOf(err error) *operatorserver.FailureStatusCode {
-	var refused *RefusalError
-	if errors.As(err, &refused) {
+func operatorFailureFromError(err error) *operatorserver.FailureStatusCode {
+	var refusal *RefusalError
+	if errors.As(err, &refusal) {
 		return &operatorserver.FailureStatusCode{
-			StatusCode: refusalStatus(refused.Refusal.Code),
-			Response:   operatorserver.Failure{Code: refused.Refusal.Code, Message: refused.Refusal.Message, Faults: refused.Refusal.Faults},
+			StatusCode: refusalStatus(refusal.Refusal.Code),
+			Response:   operatorserver.Failure{Code: refusal.Refusal.Code, Message: refusal.Refusal.Message, Faults: refusal.Refusal.Faults},
 		}
 	}
 	status, code := classify(err)
@@ -222,13 +223,13 @@
 }
 
 func writeRefusal(_ context.Context, w http.ResponseWriter, _ *http.Request, err error) {
-	failure := operatorFailureOf(err)
+	failure := operatorFailureFromError(err)
 	w.Header().Set("Content-Type", "application/json; charset=utf-8")
 	w.WriteHeader(failure.StatusCode)
 	_ = json.NewEncoder(w).Encode(&failure.Response)
 }
 
-// traceOf puts the kept spans of a request into the operators' form.
+// traceOf converts a trace to the operator API's type.
 func traceOf(trace tracer.Trace) *operatorserver.Trace {
 	answer := &operatorserver.Trace{TraceId: trace.TraceID, Spans: []operatorserver.Span{}}
 	for _, record := range trace.Spans {
--- a/receiver/receiver.go
+++ b/receiver/receiver.go
@@ -1,5 +1,5 @@
-// Package receiver serves the callers' and the operators' HTTP interfaces: it turns calls into events
-// for the core and the core's answers into replies. It decides nothing.
+// Package receiver serves the HTTP APIs for callers and operators: it converts calls to events for the core
+// and the core's effects to responses. All decisions are made in the core.
 package receiver
 
 import (
@@ -11,18 +11,19 @@
 	"geraniumline/tracer"
 )
 
-// Core takes events and leads the answers back.
+// Core processes events and returns the effects that answer them.
 type Core interface {
 	Post(event reducer.Event)
 	Open(span *tracer.Span) (uint64, *performer.Reply)
 	Close(id uint64)
 }
 
-// ask posts the event that the id belongs to and waits for its one answer.
-func ask(ctx context.Context, core Core, event func(id uint64) reducer.Event) (reducer.Effect, error) {
+// postAndWait posts the event built for a new id and returns the first effect that answers it. It returns
+// ctx's error if ctx ends first.
+func postAndWait(ctx context.Context, core Core, newEvent func(id uint64) reducer.Event) (reducer.Effect, error) {
 	id, reply := core.Open(nil)
 	defer core.Close(id)
-	core.Post(event(id))
+	core.Post(newEvent(id))
 	for {
 		select {
 		case <-ctx.Done():
@@ -36,5 +37,5 @@
 	}
 }
 
-// now is the handlers' clock; only spans need it.
+// now returns the current time for spans and request metrics.
 func now() time.Time { return time.Now() }
--- a/receiver/writer.go
+++ b/receiver/writer.go
@@ -9,57 +9,58 @@
 	"geraniumline/reducer"
 )
 
-// traceHeader names the trace of a request in its reply.
+// traceHeader is the response header with the trace id of the request.
 const traceHeader = "Trace-Id"
 
-// writer writes the answers to one request: one JSON object, or server-sent events.
+// writer writes the response to one request, as one JSON object or as server-sent events.
 type writer struct {
-	w       http.ResponseWriter
-	flusher *http.ResponseController
-	stream  bool
-	started bool
-	traceID string
+	w          http.ResponseWriter
+	controller *http.ResponseController
+	stream     bool
+	started    bool
+	traceID    string
 }
 
 func newWriter(w http.ResponseWriter, stream bool, traceID string) *writer {
-	return &writer{w: w, flusher: http.NewResponseController(w), stream: stream, traceID: traceID}
+	return &writer{w: w, controller: http.NewResponseController(w), stream: stream, traceID: traceID}
 }
 
-// part is the data of a "part" event.
+// part is the payload of a "part" event.
 type part struct {
 	Text string `json:"text"`
 }
 
-// write writes one answer and tells whether it was the last.
+// write writes one effect and reports whether it was the last one of the request.
 func (o *writer) write(effect reducer.Effect) (done bool, err error) {
 	switch e := effect.(type) {
 	case reducer.SendPart:
-		return false, o.event("part", part{Text: e.Text})
+		return false, o.writeEvent("part", part{Text: e.Text})
 	case reducer.SendAnswer:
 		answer := callerserver.Answer{RequestId: e.Request, Key: e.Key, Answer: e.Answer, TotalParts: e.Parts}
 		if o.stream {
-			return true, o.event("answer", &answer)
+			return true, o.writeEvent("answer", &answer)
 		}
-		o.start("application/json; charset=utf-8")
+		o.setHeaders("application/json; charset=utf-8")
 		return true, json.NewEncoder(o.w).Encode(&answer)
 	case reducer.SendFailure:
-		return true, o.failure(e.Failure)
+		return true, o.writeFailure(e.Failure)
 	default:
 		return false, nil
 	}
 }
 
-// failure ends the reply. Once parts have been sent the status can't change, so an event tells it.
-func (o *writer) failure(failure reducer.Failure) error {
+// writeFailure ends the response with a failure. After parts have been sent the HTTP status can't change, so the
+// failure is sent as an event.
+func (o *writer) writeFailure(failure reducer.Failure) error {
 	if o.started {
-		return o.event("failure", &failureOf(failure).Response)
+		return o.writeEvent("failure", &failureOf(failure).Response)
 	}
 	o.w.Header().Set(traceHeader, o.traceID)
-	write(o.w, failureOf(failure))
+	writeResponse(o.w, failureOf(failure))
 	return nil
 }
 
-func (o *writer) start(contentType string) {
+func (o *writer) setHeaders(contentType string) {
 	if o.started {
 		return
 	}
@@ -68,9 +69,9 @@
 	o.w.Header().Set(traceHeader, o.traceID)
 }
 
-// event writes one server-sent event and flushes it, so that the first token is not held in a buffer.
-func (o *writer) event(name string, data any) error {
-	o.start("text/event-stream")
+// writeEvent writes one server-sent event and flushes it, so that the first token is not delayed by buffering.
+func (o *writer) writeEvent(name string, data any) error {
+	o.setHeaders("text/event-stream")
 	body, err := json.Marshal(data)
 	if err != nil {
 		return err
@@ -78,5 +79,5 @@
 	if _, err := io.WriteString(o.w, "event: "+name+"\ndata: "+string(body)+"\n\n"); err != nil {
 		return err
 	}
-	return o.flusher.Flush()
+	return o.controller.Flush()
 }
