--- a/caller/addresses.go
+++ b/caller/addresses.go
@@ -9,30 +9,32 @@
 	"geraniumline/callerserver"
 )
 
-// askTimeout bounds the question for addresses to one entry, so that a silent one does not use up a deadline.
-const askTimeout = time.Second
+// addressTimeout bounds an address request to one entry, so that an unresponsive entry does not use up the
+// deadline of a request.
+const addressTimeout = time.Second
 
-// Addresses gives the entries to use, best first, from the last answer or a new one.
+// Addresses returns the addresses of the entries to use, best first. It returns the cached list until that expires,
+// then requests a new one. It returns a NoEntryError if no entry returns a list.
 func (c *Caller) Addresses(ctx context.Context) ([]string, error) {
 	c.mu.Lock()
-	known, until := c.addresses, c.until
+	cached, expiry := c.addresses, c.expiry
 	c.mu.Unlock()
-	if c.cfg.Now().Before(until) {
-		return known, nil
+	if c.cfg.Now().Before(expiry) {
+		return cached, nil
 	}
-	var last error
-	for _, entry := range append(known[:len(known):len(known)], c.cfg.Entries...) {
-		answer, err := c.ask(ctx, entry)
+	var lastErr error
+	for _, entry := range append(cached[:len(cached):len(cached)], c.cfg.Entries...) {
+		answer, err := c.requestAddresses(ctx, entry)
 		if err != nil {
-			last = err
+			lastErr = err
 			continue
 		}
-		return c.keep(answer), nil
+		return c.cacheAddresses(answer), nil
 	}
-	return nil, &NoEntryError{Err: last}
+	return nil, &NoEntryError{Err: lastErr}
 }
 
-// addressesOrEntries gives the entries of the configuration where none answers the question.
+// addressesOrEntries returns the configured entries if no entry returns a list of addresses.
 func (c *Caller) addressesOrEntries(ctx context.Context) []string {
 	addresses, err := c.Addresses(ctx)
 	if err != nil {
@@ -41,7 +43,7 @@
 	return addresses
 }
 
-func (c *Caller) keep(answer *callerserver.AddressAnswer) []string {
+func (c *Caller) cacheAddresses(answer *callerserver.AddressAnswer) []string {
 	addresses := make([]string, 0, len(answer.Addresses))
 	for _, address := range answer.Addresses {
 		addresses = append(addresses, address.Address)
@@ -49,19 +51,19 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.addresses = addresses
-	c.until = c.cfg.Now().Add(time.Duration(answer.TtlMillis) * time.Millisecond)
+	c.expiry = c.cfg.Now().Add(time.Duration(answer.TtlMillis) * time.Millisecond)
 	return addresses
 }
 
-// forget has the next call ask for addresses again.
-func (c *Caller) forget() {
+// expireAddresses makes the next call request the addresses again.
+func (c *Caller) expireAddresses() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.until = time.Time{}
+	c.expiry = time.Time{}
 }
 
-func (c *Caller) ask(ctx context.Context, entry string) (*callerserver.AddressAnswer, error) {
-	ctx, cancel := context.WithTimeout(ctx, askTimeout)
+func (c *Caller) requestAddresses(ctx context.Context, entry string) (*callerserver.AddressAnswer, error) {
+	ctx, cancel := context.WithTimeout(ctx, addressTimeout)
 	defer cancel()
 	body, err := c.get(ctx, entry, "/v1/addresses")
 	if err != nil {
@@ -77,7 +79,7 @@
 	return answer, nil
 }
 
-// OutcomeAt asks one entry what became of a request.
+// OutcomeAt requests the outcome of the request with the given key from one entry.
 func (c *Caller) OutcomeAt(ctx context.Context, entry, key string) (*callerserver.Outcome, error) {
 	body, err := c.get(ctx, entry, "/v1/requests/"+url.PathEscape(key))
 	if err != nil {
--- a/caller/caller.go
+++ b/caller/caller.go
@@ -1,5 +1,5 @@
-// Package caller is the client of a client account: it asks the system which entries to use, keeps that
-// answer for its time to live, sends a request, and sends it again elsewhere only where that is safe.
+// Package caller is the client library for client accounts: it requests the list of entries to use, caches that
+// list for its time to live, sends requests, and retries them on other entries only where that is safe.
 package caller
 
 import (
@@ -11,24 +11,24 @@
 	"github.com/google/uuid"
 )
 
-// Config says who calls and where the first question goes.
+// Config configures a Caller.
 type Config struct {
 	Account    string
 	Credential string
-	// Entries are the caller addresses of some entries, asked in turn for the ranked list.
+	// Entries are the caller addresses of some entries, which are tried in turn for the ranked list of addresses.
 	Entries []string
 	HTTP    *http.Client
-	// Scheme is http or https; http when empty.
+	// Scheme is http or https; it defaults to http.
 	Scheme string
-	// Grace is how long after a request's deadline its outcome is still waited for; defaultGrace when zero.
+	// Grace is how long after a request's deadline Send still waits for its outcome; it defaults to defaultGrace.
 	Grace time.Duration
-	// Now is the clock; nil takes the system's.
+	// Now returns the current time; it defaults to time.Now.
 	Now func() time.Time
-	// Wait waits between two calls to entries, or fails with the context; nil sleeps.
+	// Wait waits for d between two calls to entries, or returns ctx's error if that ends first; it defaults to a timer.
 	Wait func(ctx context.Context, d time.Duration) error
 }
 
-// defaultGrace lets the entry's own answer on the deadline arrive.
+// defaultGrace leaves time for the entry's own response at the deadline to arrive.
 const defaultGrace = 500 * time.Millisecond
 
 // Caller sends requests of one client account.
@@ -37,10 +37,10 @@
 
 	mu        sync.Mutex
 	addresses []string
-	until     time.Time
+	expiry    time.Time // of addresses
 }
 
-// New makes a caller.
+// New returns a Caller.
 func New(cfg Config) *Caller {
 	if cfg.HTTP == nil {
 		cfg.HTTP = &http.Client{}
@@ -74,33 +74,33 @@
 // Request is one request for a pipeline.
 type Request struct {
 	Pipeline string
-	// Key is the idempotency key; a UUIDv7 is made when it is empty.
+	// Key is the idempotency key; if empty, Send generates a UUIDv7.
 	Key      string
 	Input    string
 	Deadline time.Duration
-	// Traceparent is the W3C trace context to carry on; without it the entry begins a trace.
+	// Traceparent is the W3C trace context to continue; if empty, the entry starts a new trace.
 	Traceparent string
-	// Stream asks for the answer's parts as they come.
+	// Stream requests the answer in parts as they are produced.
 	Stream bool
-	// OnPart is called with each part of a streamed answer, and may be nil. Send calls it once for each piece of
-	// text, also where a later try streams the answer from its start.
+	// OnPart is called with each part of a streamed answer; it may be nil. Send passes each piece of text once, even if
+	// a retry streams the answer from its start.
 	OnPart func(text string)
 }
 
-// Answer is a whole answer.
+// Answer is the complete answer to a request.
 type Answer struct {
 	RequestID string
 	Key       string
 	Text      string
-	// TraceID leads to the request's hops.
+	// TraceID identifies the trace with the request's hops.
 	TraceID string
-	// Entry is the address that answered.
+	// Entry is the address of the entry that answered.
 	Entry string
-	// Attempts is how often the request was sent.
+	// Attempts is how many times the request was sent.
 	Attempts int
 }
 
-// NewKey makes an idempotency key that carries its time of birth.
+// NewKey returns a new idempotency key: a UUIDv7, which contains its creation time.
 func NewKey() (string, error) {
 	key, err := uuid.NewV7()
 	if err != nil {
--- a/caller/errors.go
+++ b/caller/errors.go
@@ -10,18 +10,18 @@
 	"geraniumline/callerserver"
 )
 
-// RequestError tells that a request has no answer: Outcome is notRun or unknown.
+// RequestError reports a request without an answer. Its Outcome is notRun or unknown.
 type RequestError struct {
 	Code       string
 	Message    string
 	Outcome    string
 	Key        string
 	RetryAfter time.Duration
-	// Status is the HTTP status; 0 where no entry gave the outcome.
+	// Status is the HTTP status; 0 if the failure did not come in an HTTP response.
 	Status int
-	// Entry is the last address that was tried.
+	// Entry is the address that was tried last.
 	Entry string
-	// Attempts is how often the request was sent.
+	// Attempts is how many times the request was sent.
 	Attempts int
 }
 
@@ -32,29 +32,32 @@
 	return fmt.Sprintf("%s: %s (%s)", e.Code, e.Message, e.Outcome)
 }
 
-// NoEntryError tells that no entry answered the question for addresses.
+// NoEntryError reports that no entry returned a list of addresses. Err is the last error and may be nil.
 type NoEntryError struct{ Err error }
 
-func (e *NoEntryError) Error() string { return fmt.Sprintf("no entry answers: %v", e.Err) }
+func (e *NoEntryError) Error() string {
+	return fmt.Sprintf("no entry returned a list of addresses: %v", e.Err)
+}
 
-// Unwrap gives the last error.
+// Unwrap returns the last error.
 func (e *NoEntryError) Unwrap() error { return e.Err }
 
-// unsendableError tells of a request that could not be put together, so nothing of it was sent.
-type unsendableError struct{ err error }
+// invalidRequestError reports a request that could not be built, so nothing was sent.
+type invalidRequestError struct{ err error }
 
-func (e *unsendableError) Error() string { return e.err.Error() }
+func (e *invalidRequestError) Error() string { return e.err.Error() }
 
-func (e *unsendableError) Unwrap() error { return e.err }
+func (e *invalidRequestError) Unwrap() error { return e.err }
 
-// NotSent tells whether a call failed before any byte of it could have left.
+// NotSent reports whether a call failed before any byte of it can have been sent.
 func NotSent(err error) bool {
-	var unsendable *unsendableError
+	var invalid *invalidRequestError
 	var netErr *net.OpError
-	return errors.As(err, &unsendable) || errors.As(err, &netErr) && netErr.Op == "dial"
+	return errors.As(err, &invalid) || errors.As(err, &netErr) && netErr.Op == "dial"
 }
 
-// parseFailure reads an entry's failure; a body that is none gives another error.
+// parseFailure decodes an entry's failure response to a RequestError. It returns another error if the body is not a
+// valid failure.
 func parseFailure(status int, body []byte) error {
 	var failure callerserver.Failure
 	if err := json.Unmarshal(body, &failure); err != nil {
--- a/caller/post.go
+++ b/caller/post.go
@@ -11,16 +11,17 @@
 	"geraniumline/callerserver"
 )
 
-// maxReplyBytes bounds a reply that is not streamed.
+// maxReplyBytes bounds a response that is not streamed.
 const maxReplyBytes = 16 << 20
 
-// SendTo sends a request to one entry, once.
+// SendTo sends a request to one entry, without retries. It returns a RequestError if the entry responds with a
+// failure.
 func (c *Caller) SendTo(ctx context.Context, entry string, request Request) (Answer, error) {
-	post, err := c.newPost(ctx, entry, request)
+	httpRequest, err := c.newHTTPRequest(ctx, entry, request)
 	if err != nil {
-		return Answer{}, &unsendableError{err: err}
+		return Answer{}, &invalidRequestError{err: err}
 	}
-	response, err := c.do(post)
+	response, err := c.do(httpRequest)
 	if err != nil {
 		return Answer{}, err
 	}
@@ -39,35 +40,35 @@
 	}, nil
 }
 
-func (c *Caller) newPost(ctx context.Context, entry string, request Request) (*http.Request, error) {
-	call := callerserver.PipelineRequest{Input: request.Input, DeadlineMillis: max(request.Deadline.Milliseconds(), 1)}
+func (c *Caller) newHTTPRequest(ctx context.Context, entry string, request Request) (*http.Request, error) {
+	payload := callerserver.PipelineRequest{Input: request.Input, DeadlineMillis: max(request.Deadline.Milliseconds(), 1)}
 	if request.Stream {
-		call.Stream.SetTo(true)
+		payload.Stream.SetTo(true)
 	}
-	body, err := call.MarshalJSON()
+	body, err := payload.MarshalJSON()
 	if err != nil {
 		return nil, err
 	}
-	post, err := http.NewRequestWithContext(ctx, http.MethodPost, c.url(entry, "/v1/pipelines/"+url.PathEscape(request.Pipeline)+"/requests"), bytes.NewReader(body))
+	httpRequest, err := http.NewRequestWithContext(ctx, http.MethodPost, c.url(entry, "/v1/pipelines/"+url.PathEscape(request.Pipeline)+"/requests"), bytes.NewReader(body))
 	if err != nil {
 		return nil, err
 	}
-	// On a broken connection net/http sends a request with an idempotency key again, unseen: a notRun to the
-	// second would then be taken for the truth about both. Without GetBody it can't, and the try counts as one
-	// that may have reached the entry.
-	post.GetBody = nil
-	post.Header.Set("Idempotency-Key", request.Key)
-	post.Header.Set("Content-Type", "application/json")
+	// On a broken connection net/http silently retries a request that has an idempotency key. A notRun response to
+	// the retry would then be mistaken for the outcome of both. Without GetBody it can't retry, and the attempt
+	// counts as one that may have reached the entry.
+	httpRequest.GetBody = nil
+	httpRequest.Header.Set("Idempotency-Key", request.Key)
+	httpRequest.Header.Set("Content-Type", "application/json")
 	if request.Traceparent != "" {
-		post.Header.Set("Traceparent", request.Traceparent)
+		httpRequest.Header.Set("Traceparent", request.Traceparent)
 	}
-	return post, nil
+	return httpRequest, nil
 }
 
-func readAnswer(response *http.Response, part func(string)) (*callerserver.Answer, error) {
-	media, _, _ := mime.ParseMediaType(response.Header.Get("Content-Type"))
-	if media == "text/event-stream" {
-		return readStream(response.Body, part)
+func readAnswer(response *http.Response, onPart func(string)) (*callerserver.Answer, error) {
+	mediaType, _, _ := mime.ParseMediaType(response.Header.Get("Content-Type"))
+	if mediaType == "text/event-stream" {
+		return readStream(response.Body, onPart)
 	}
 	body, err := readBody(response.Body)
 	if err != nil {
@@ -81,7 +82,7 @@
 	return c.cfg.Scheme + "://" + entry + path
 }
 
-// do makes a call with the account's credential. A status other than 200 is an error.
+// do sends an HTTP request with the account's credential. It returns an error for any status other than 200.
 func (c *Caller) do(request *http.Request) (*http.Response, error) {
 	request.SetBasicAuth(c.cfg.Account, c.cfg.Credential)
 	response, err := c.cfg.HTTP.Do(request)
--- a/caller/send.go
+++ b/caller/send.go
@@ -11,12 +11,12 @@
 )
 
 const (
-	// maxAttempts bounds how often one request is sent.
+	// maxAttempts is the maximum number of times that one request is sent.
 	maxAttempts = 8
-	// retryPause lies between two rounds of tries where the entry names no time.
-	retryPause = 200 * time.Millisecond
-	// followPause lies between two questions for an outcome.
-	followPause = 250 * time.Millisecond
+	// retryInterval is the wait between two rounds over the addresses if the entry sets no retry time.
+	retryInterval = 200 * time.Millisecond
+	// outcomePollInterval is the wait between two rounds of outcome requests.
+	outcomePollInterval = 250 * time.Millisecond
 )
 
 const (
@@ -24,33 +24,33 @@
 	outcomeUnknown = string(callerserver.FailureOutcomeUnknown)
 )
 
-// The codes that decide about another try.
+// The failure codes that affect retries.
 const (
-	// codeStopping is the refusal of an entry in its planned stop: the kept addresses are out of date.
+	// codeStopping is sent by an entry in its planned stop: the cached addresses are out of date.
 	codeStopping   = "stopping"
 	codeNotReady   = "notReady"
 	codeMayHaveRun = "mayHaveRun"
 )
 
-// sending is one request on its way to its outcome.
-type sending struct {
+// delivery is the state of one request while it is sent, retried and followed to its outcome.
+type delivery struct {
 	caller   *Caller
 	request  Request
-	until    time.Time
+	deadline time.Time
 	attempts int
-	// sent tells that some try may have reached an entry that gave no outcome.
-	sent bool
-	// shown is the text that the request's Part was called with, tried the text of the present try.
-	shown string
-	tried string
+	// maybeSent is set once an attempt may have reached an entry that returned no outcome.
+	maybeSent bool
+	// forwarded is the text passed to the request's OnPart so far, received the text of the current attempt.
+	forwarded string
+	received  string
 }
 
-// Send sends a request and gives its whole answer, or a FailedError.
+// Send sends a request, retries it where that is safe, and returns its complete answer or a RequestError.
 //
-// All tries carry one key, so the system runs the request at most once whichever of them arrive. Where a try
-// was cut off after it was sent, a later try's notRun speaks of that later try alone, and the first may still
-// run. So the outcome is asked for by the key, and notRun is reported only from the answer to that, or where
-// no try was cut off.
+// All attempts use the same key, so the system runs the request at most once, whichever of them arrive. If the
+// connection of an attempt broke after it was sent, a notRun response to a later attempt applies to that later
+// attempt only, and the first one may still run. Send therefore requests the outcome by key, and reports notRun
+// only if that outcome says so or if no connection broke.
 func (c *Caller) Send(ctx context.Context, request Request) (Answer, error) {
 	if request.Key == "" {
 		key, err := NewKey()
@@ -61,148 +61,150 @@
 	}
 	ctx, cancel := context.WithTimeout(ctx, request.Deadline+c.cfg.Grace)
 	defer cancel()
-	s := &sending{caller: c, request: request, until: c.cfg.Now().Add(request.Deadline)}
-	answer, failed := s.tryAll(ctx)
-	if failed != nil && (s.sent || failed.Outcome == outcomeUnknown) {
-		answer, failed = s.resolve(ctx, failed)
+	d := &delivery{caller: c, request: request, deadline: c.cfg.Now().Add(request.Deadline)}
+	answer, failed := d.attemptAll(ctx)
+	if failed != nil && (d.maybeSent || failed.Outcome == outcomeUnknown) {
+		answer, failed = d.pollOutcome(ctx, failed)
 	}
 	if failed != nil {
 		failed.Key = request.Key
-		failed.Attempts = s.attempts
+		failed.Attempts = d.attempts
 		return Answer{}, failed
 	}
-	answer.Attempts = s.attempts
+	answer.Attempts = d.attempts
 	return answer, nil
 }
 
-// left is the time until the deadline.
-func (s *sending) left() time.Duration {
-	return s.until.Sub(s.caller.cfg.Now())
+// remaining returns the time until the deadline.
+func (d *delivery) remaining() time.Duration {
+	return d.deadline.Sub(d.caller.cfg.Now())
 }
 
-// tryAll tries the addresses in turn until one gives a final outcome or the time is up.
-func (s *sending) tryAll(ctx context.Context) (Answer, *RequestError) {
+// attemptAll sends the request to the addresses in turn until it gets a final outcome or reaches the deadline or
+// maxAttempts.
+func (d *delivery) attemptAll(ctx context.Context) (Answer, *RequestError) {
 	last := &RequestError{Outcome: outcomeNotRun, Message: "no entry could be reached"}
-	for i := 0; s.attempts < maxAttempts && ctx.Err() == nil && s.left() > 0; i++ {
-		addresses := s.caller.addressesOrEntries(ctx)
+	for i := 0; d.attempts < maxAttempts && ctx.Err() == nil && d.remaining() > 0; i++ {
+		addresses := d.caller.addressesOrEntries(ctx)
 		if len(addresses) == 0 {
 			break
 		}
-		answer, failed := s.try(ctx, addresses[i%len(addresses)])
+		answer, failed := d.attempt(ctx, addresses[i%len(addresses)])
 		if failed == nil {
 			return answer, nil
 		}
 		last = failed
 		roundDone := (i+1)%len(addresses) == 0
 		if failed.Code == codeStopping || roundDone && failed.Status == 0 {
-			s.caller.forget()
+			d.caller.expireAddresses()
 		}
-		if !mayPass(failed) || !s.pause(ctx, failed.RetryAfter, roundDone) {
+		if !isRetryable(failed) || !d.waitForRetry(ctx, failed.RetryAfter, roundDone) {
 			break
 		}
 	}
 	return Answer{}, last
 }
 
-// try sends the request once.
-func (s *sending) try(ctx context.Context, entry string) (Answer, *RequestError) {
-	s.attempts++
-	s.tried = ""
-	request := s.request
-	request.Deadline = s.left()
-	request.OnPart = s.showPart
-	answer, err := s.caller.SendTo(ctx, entry, request)
+// attempt sends the request to one entry.
+func (d *delivery) attempt(ctx context.Context, entry string) (Answer, *RequestError) {
+	d.attempts++
+	d.received = ""
+	request := d.request
+	request.Deadline = d.remaining()
+	request.OnPart = d.forwardPart
+	answer, err := d.caller.SendTo(ctx, entry, request)
 	if err == nil {
 		return answer, nil
 	}
-	failed := s.judge(err)
+	failed := d.failureOf(err)
 	failed.Entry = entry
 	return Answer{}, failed
 }
 
-// showPart hands on what of a try's text no earlier try has handed on. Of a text that differs nothing more is
-// handed on; the whole answer still tells it.
-func (s *sending) showPart(text string) {
-	s.tried += text
-	rest, same := strings.CutPrefix(s.tried, s.shown)
-	if s.request.OnPart == nil || !same || rest == "" {
+// forwardPart passes to OnPart the text that no earlier attempt has passed. Once the text differs from that of an
+// earlier attempt, nothing more is passed; the caller gets the text with the complete answer.
+func (d *delivery) forwardPart(text string) {
+	d.received += text
+	rest, matches := strings.CutPrefix(d.received, d.forwarded)
+	if d.request.OnPart == nil || !matches || rest == "" {
 		return
 	}
-	s.request.OnPart(rest)
-	s.shown = s.tried
+	d.request.OnPart(rest)
+	d.forwarded = d.received
 }
 
-// judge tells what a failed try means. Without an outcome from the entry, it is notRun only while no try may
-// have reached one.
-func (s *sending) judge(err error) *RequestError {
+// failureOf converts the error of an attempt to a RequestError. Without an outcome from the entry, the outcome is
+// notRun only if no attempt so far may have reached an entry.
+func (d *delivery) failureOf(err error) *RequestError {
 	var failed *RequestError
 	if errors.As(err, &failed) {
 		return failed
 	}
 	failed = &RequestError{Outcome: outcomeNotRun, Message: "no entry could be reached"}
 	if !NotSent(err) {
-		s.sent = true
+		d.maybeSent = true
 		failed.Message = "the connection broke: " + err.Error()
 	}
-	if s.sent {
+	if d.maybeSent {
 		failed.Outcome = outcomeUnknown
 	}
 	return failed
 }
 
-// mayPass tells whether another try may do better: no entry gave an outcome, or it refused for the moment. An entry
-// that is not ready, or can't read the log, says unknown of the key though it ran nothing; under the same key
-// another try is safe, and may meet an entry that knows.
-func mayPass(failed *RequestError) bool {
+// isRetryable reports whether another attempt may succeed: no entry returned an outcome, or the refusal is temporary.
+// An entry that is not ready, or can't read the log, returns unknown for the key although it ran nothing; another
+// attempt under the same key is safe and may reach an entry that has the outcome.
+func isRetryable(failed *RequestError) bool {
 	if failed.Status == 0 {
 		return true
 	}
-	ofTheMoment := failed.Status == http.StatusTooManyRequests || failed.Status >= http.StatusInternalServerError
-	knowsNothing := failed.Code == codeNotReady || failed.Code == codeMayHaveRun
-	return ofTheMoment && (failed.Outcome == outcomeNotRun || knowsNothing)
+	temporary := failed.Status == http.StatusTooManyRequests || failed.Status >= http.StatusInternalServerError
+	outcomeUnavailable := failed.Code == codeNotReady || failed.Code == codeMayHaveRun
+	return temporary && (failed.Outcome == outcomeNotRun || outcomeUnavailable)
 }
 
-// pause waits until the next try, and tells whether the deadline leaves time for one.
-func (s *sending) pause(ctx context.Context, retryAfter time.Duration, roundDone bool) bool {
+// waitForRetry waits until the next attempt is due, and reports whether the deadline leaves time for it.
+func (d *delivery) waitForRetry(ctx context.Context, retryAfter time.Duration, roundDone bool) bool {
 	if retryAfter == 0 && !roundDone {
 		return true
 	}
 	pause := retryAfter
 	if pause == 0 {
-		pause = retryPause
+		pause = retryInterval
 	}
-	if pause >= s.left() {
+	if pause >= d.remaining() {
 		return false
 	}
-	return s.caller.cfg.Wait(ctx, pause) == nil
+	return d.caller.cfg.Wait(ctx, pause) == nil
 }
 
-// resolve asks for the outcome by the key until it is known, where the tries have not told it.
-func (s *sending) resolve(ctx context.Context, last *RequestError) (Answer, *RequestError) {
-	found := &RequestError{Outcome: outcomeUnknown, Message: "no entry tells what became of it"}
-	for ctx.Err() == nil && s.left() > -s.caller.cfg.Grace {
-		for _, entry := range s.caller.addressesOrEntries(ctx) {
-			outcome, err := s.caller.OutcomeAt(ctx, entry, s.request.Key)
+// pollOutcome requests the outcome by key until it is known or the time is up.
+func (d *delivery) pollOutcome(ctx context.Context, last *RequestError) (Answer, *RequestError) {
+	result := &RequestError{Outcome: outcomeUnknown, Message: "no entry tells what became of it"}
+	for ctx.Err() == nil && d.remaining() > -d.caller.cfg.Grace {
+		for _, entry := range d.caller.addressesOrEntries(ctx) {
+			outcome, err := d.caller.OutcomeAt(ctx, entry, d.request.Key)
 			if err != nil {
 				continue
 			}
 			if outcome.State == callerserver.OutcomeStateAnswered {
-				return Answer{Key: s.request.Key, Text: outcome.Answer.Or(""), Entry: entry}, nil
+				return Answer{Key: d.request.Key, Text: outcome.Answer.Or(""), Entry: entry}, nil
 			}
-			found = failedOutcome(outcome, entry, last)
+			result = outcomeFailure(outcome, entry, last)
 			if outcome.State != callerserver.OutcomeStateRunning {
-				return Answer{}, found
+				return Answer{}, result
 			}
 		}
-		if s.caller.cfg.Wait(ctx, followPause) != nil {
+		if d.caller.cfg.Wait(ctx, outcomePollInterval) != nil {
 			break
 		}
 	}
-	return Answer{}, found
+	return Answer{}, result
 }
 
-// failedOutcome is an outcome without an answer. What still runs is unknown to a caller that waits no longer.
-func failedOutcome(outcome *callerserver.Outcome, entry string, last *RequestError) *RequestError {
+// outcomeFailure converts an outcome without an answer to a RequestError. A request that is still running is reported
+// as unknown, since the caller stops waiting for it.
+func outcomeFailure(outcome *callerserver.Outcome, entry string, last *RequestError) *RequestError {
 	failed := &RequestError{
 		Outcome:    outcomeUnknown,
 		Message:    outcome.Message.Or(last.Message),
--- a/caller/stream.go
+++ b/caller/stream.go
@@ -12,14 +12,14 @@
 	"geraniumline/callerserver"
 )
 
-// maxEventBytes bounds one server-sent event; the last holds the whole answer.
+// maxEventBytes bounds one server-sent event; the last one contains the complete answer.
 const maxEventBytes = 4 << 20
 
-// errStreamCut tells of a stream without its last event.
-var errStreamCut = errors.New("the stream ended before the whole answer")
+// errStreamTruncated is returned for a stream that ends without its last event.
+var errStreamTruncated = errors.New("the stream ended before the whole answer")
 
-// readStream reads server-sent events until the one with the whole answer.
-func readStream(r io.Reader, part func(string)) (*callerserver.Answer, error) {
+// readStream reads server-sent events until the one with the complete answer, and passes the parts to onPart.
+func readStream(r io.Reader, onPart func(string)) (*callerserver.Answer, error) {
 	lines := bufio.NewScanner(r)
 	lines.Buffer(nil, maxEventBytes)
 	var name string
@@ -28,7 +28,7 @@
 		line := lines.Text()
 		switch {
 		case line == "":
-			answer, err := takeEvent(name, data.String(), part)
+			answer, err := handleEvent(name, data.String(), onPart)
 			if answer != nil || err != nil {
 				return answer, err
 			}
@@ -43,14 +43,14 @@
 	if err := lines.Err(); err != nil {
 		return nil, fmt.Errorf("read the stream: %w", err)
 	}
-	return nil, errStreamCut
+	return nil, errStreamTruncated
 }
 
-// takeEvent returns the whole answer once it has come, and nil for any other event.
-func takeEvent(name, data string, part func(string)) (*callerserver.Answer, error) {
+// handleEvent returns the answer of an answer event, an error for a failure event, and nil for any other event.
+func handleEvent(name, data string, onPart func(string)) (*callerserver.Answer, error) {
 	switch name {
 	case "part":
-		return nil, takePart(data, part)
+		return nil, handlePart(data, onPart)
 	case "answer":
 		var answer callerserver.Answer
 		if err := json.Unmarshal([]byte(data), &answer); err != nil {
@@ -58,21 +58,21 @@
 		}
 		return &answer, nil
 	case "failure":
-		// The status was sent before the first part, so it says nothing of the failure.
+		// The HTTP status was sent before the first part, so it doesn't reflect the failure.
 		return nil, parseFailure(http.StatusOK, []byte(data))
 	}
 	return nil, nil
 }
 
-func takePart(data string, part func(string)) error {
-	var p struct {
+func handlePart(data string, onPart func(string)) error {
+	var part struct {
 		Text string `json:"text"`
 	}
-	if err := json.Unmarshal([]byte(data), &p); err != nil {
+	if err := json.Unmarshal([]byte(data), &part); err != nil {
 		return fmt.Errorf("read a part: %w", err)
 	}
-	if part != nil {
-		part(p.Text)
+	if onPart != nil {
+		onPart(part.Text)
 	}
 	return nil
 }
--- a/caller/stream_test.go
+++ b/caller/stream_test.go
@@ -15,10 +15,10 @@
 		want     string
 		wantErr  string
 	}{
-		{"cut before its end", "event: part\ndata: {\"text\": \"a\"}\n\n", "", "the stream ended"},
+		{"truncated stream", "event: part\ndata: {\"text\": \"a\"}\n\n", "", "the stream ended"},
 		{"unknown event and comment", ": hello\n\nevent: later\ndata: {}\n\nevent: answer\ndata: {\"requestId\":\"r\",\"key\":\"k\",\"answer\":\"x\",\"totalParts\":1}\n\n", "x", ""},
 		{"failure after a part", "event: part\ndata: {\"text\": \"a\"}\n\nevent: failure\ndata: {\"code\":\"stageFailed\",\"message\":\"m\",\"outcome\":\"unknown\"}\n\n", "", "stageFailed: m"},
-		{"part that is no JSON", "event: part\ndata: nonsense\n\n", "", "read a part"},
+		{"part that is not JSON", "event: part\ndata: nonsense\n\n", "", "read a part"},
 		{"endless line", "data: " + strings.Repeat("x", maxEventBytes+1), "", "read the stream"},
 	}
 	for _, s := range scenarios {
