--- a/caller/errors.go
+++ b/caller/errors.go
@@ -17,7 +17,7 @@
 	Outcome    string
 	Key        string
 	RetryAfter time.Duration
-	// Status is the HTTP status; 0 if the failure did not come in an HTTP response.
+	// Status is the HTTP status of the failure response to the request; 0 if there was none.
 	Status int
 	// Entry is the address that was tried last.
 	Entry string
--- a/tracer/keeper.go
+++ b/tracer/keeper.go
@@ -10,20 +10,20 @@
 	sdktrace "go.opentelemetry.io/otel/sdk/trace"
 )
 
-// maxSpans bounds the spans kept of one trace. A caller that sends every request under one traceparent
-// would otherwise grow that trace without end.
+// maxSpans bounds the spans kept per trace. Otherwise a caller that sends every request under one traceparent would
+// make that trace grow without limit.
 const maxSpans = 64
 
-// Trace is what is kept of a trace at this entry.
+// Trace holds the spans of a trace that this entry has stored.
 type Trace struct {
 	TraceID string
-	// Spans are in the order of their start.
+	// Spans are ordered by start time.
 	Spans []Record
-	// Dropped counts the spans past the bound.
+	// Dropped is the number of spans beyond maxSpans.
 	Dropped int
 }
 
-// Record is one ended span.
+// Record holds the data of one ended span.
 type Record struct {
 	Name       string
 	SpanID     string
@@ -33,51 +33,51 @@
 	Attributes map[string]string
 }
 
-// keeper is a span processor that keeps the recent traces.
-type keeper struct {
-	max int
+// traceStore is a span processor that keeps the most recent traces in memory.
+type traceStore struct {
+	maxTraces int
 
 	mu       sync.Mutex
 	traces   map[string]*list.Element // by trace id
-	requests map[string]string        // trace id by request id
-	recent   *list.List               // of *keptTrace, the oldest in front
+	traceIDs map[string]string        // by request id
+	order    *list.List               // of *storedTrace, oldest first
 }
 
-type keptTrace struct {
+type storedTrace struct {
 	Trace
 	requestIDs []string
 }
 
-var _ sdktrace.SpanProcessor = (*keeper)(nil)
+var _ sdktrace.SpanProcessor = (*traceStore)(nil)
 
-func newKeeper(n int) *keeper {
-	return &keeper{
-		max:      n,
-		traces:   make(map[string]*list.Element),
-		requests: make(map[string]string),
-		recent:   list.New(),
+func newTraceStore(maxTraces int) *traceStore {
+	return &traceStore{
+		maxTraces: maxTraces,
+		traces:    make(map[string]*list.Element),
+		traceIDs:  make(map[string]string),
+		order:     list.New(),
 	}
 }
 
-// Find returns the spans kept under a trace id or a request id.
+// Find returns the trace with the given trace id or request id, and reports whether it is stored.
 func (t *Tracer) Find(id string) (Trace, bool) {
 	if t == nil {
 		return Trace{}, false
 	}
-	return t.kept.find(id)
+	return t.store.find(id)
 }
 
-func (k *keeper) find(id string) (Trace, bool) {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	if traceID, ok := k.requests[id]; ok {
+func (s *traceStore) find(id string) (Trace, bool) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	if traceID, ok := s.traceIDs[id]; ok {
 		id = traceID
 	}
-	element, ok := k.traces[id]
+	element, ok := s.traces[id]
 	if !ok {
 		return Trace{}, false
 	}
-	found := element.Value.(*keptTrace).Trace
+	found := element.Value.(*storedTrace).Trace
 	found.Spans = append([]Record(nil), found.Spans...)
 	sort.SliceStable(found.Spans, func(i, j int) bool {
 		return found.Spans[i].Start.Before(found.Spans[j].Start)
@@ -85,63 +85,63 @@
 	return found, true
 }
 
-// OnStart does nothing: only ended spans are kept.
-func (k *keeper) OnStart(context.Context, sdktrace.ReadWriteSpan) {}
+// OnStart does nothing: only ended spans are stored.
+func (s *traceStore) OnStart(context.Context, sdktrace.ReadWriteSpan) {}
 
-// OnEnd keeps the span.
-func (k *keeper) OnEnd(span sdktrace.ReadOnlySpan) {
-	if k.max <= 0 {
+// OnEnd stores the span, or counts it as dropped if its trace has maxSpans spans.
+func (s *traceStore) OnEnd(span sdktrace.ReadOnlySpan) {
+	if s.maxTraces <= 0 {
 		return
 	}
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	kept := k.traceOf(span.SpanContext().TraceID().String())
-	if len(kept.Spans) >= maxSpans {
-		kept.Dropped++
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	stored := s.traceFor(span.SpanContext().TraceID().String())
+	if len(stored.Spans) >= maxSpans {
+		stored.Dropped++
 		return
 	}
 	record := recordOf(span)
-	kept.Spans = append(kept.Spans, record)
-	k.index(kept, record.Attributes[requestKey])
+	stored.Spans = append(stored.Spans, record)
+	s.indexRequest(stored, record.Attributes[requestKey])
 }
 
 // Shutdown does nothing.
-func (k *keeper) Shutdown(context.Context) error { return nil }
+func (s *traceStore) Shutdown(context.Context) error { return nil }
 
 // ForceFlush does nothing.
-func (k *keeper) ForceFlush(context.Context) error { return nil }
+func (s *traceStore) ForceFlush(context.Context) error { return nil }
 
-func (k *keeper) traceOf(id string) *keptTrace {
-	if element, ok := k.traces[id]; ok {
-		return element.Value.(*keptTrace)
+func (s *traceStore) traceFor(id string) *storedTrace {
+	if element, ok := s.traces[id]; ok {
+		return element.Value.(*storedTrace)
 	}
-	if len(k.traces) >= k.max {
-		k.forgetOldest()
+	if len(s.traces) >= s.maxTraces {
+		s.evictOldest()
 	}
-	kept := &keptTrace{Trace: Trace{TraceID: id}}
-	k.traces[id] = k.recent.PushBack(kept)
-	return kept
+	stored := &storedTrace{Trace: Trace{TraceID: id}}
+	s.traces[id] = s.order.PushBack(stored)
+	return stored
 }
 
-func (k *keeper) forgetOldest() {
-	element := k.recent.Front()
-	oldest := element.Value.(*keptTrace)
+func (s *traceStore) evictOldest() {
+	element := s.order.Front()
+	oldest := element.Value.(*storedTrace)
 	for _, id := range oldest.requestIDs {
-		if k.requests[id] == oldest.TraceID {
-			delete(k.requests, id)
+		if s.traceIDs[id] == oldest.TraceID {
+			delete(s.traceIDs, id)
 		}
 	}
-	delete(k.traces, oldest.TraceID)
-	k.recent.Remove(element)
+	delete(s.traces, oldest.TraceID)
+	s.order.Remove(element)
 }
 
-// index lets the trace be found by the request id. A trace has at most maxSpans of them.
-func (k *keeper) index(kept *keptTrace, requestID string) {
-	if requestID == "" || k.requests[requestID] == kept.TraceID {
+// indexRequest makes the trace available by request id. A trace has at most maxSpans request ids.
+func (s *traceStore) indexRequest(stored *storedTrace, requestID string) {
+	if requestID == "" || s.traceIDs[requestID] == stored.TraceID {
 		return
 	}
-	k.requests[requestID] = kept.TraceID
-	kept.requestIDs = append(kept.requestIDs, requestID)
+	s.traceIDs[requestID] = stored.TraceID
+	stored.requestIDs = append(stored.requestIDs, requestID)
 }
 
 func recordOf(span sdktrace.ReadOnlySpan) Record {
--- a/tracer/queue.go
+++ b/tracer/queue.go
@@ -8,67 +8,67 @@
 	sdktrace "go.opentelemetry.io/otel/sdk/trace"
 )
 
-// One export sends at most batchSize spans and waits at most exportTimeout for the collector.
+// One export sends at most batchSize spans and waits for the trace collector for at most exportTimeout.
 const (
 	batchSize     = 256
 	exportTimeout = 5 * time.Second
 )
 
-// queue is a span processor that hands spans to an exporter from one goroutine.
+// exportQueue is a span processor that passes spans to an exporter from a single goroutine.
 //
-// A collector that is down or slow must not slow requests: OnEnd never waits. When the queue is full the
-// span is dropped and counted, so memory is bounded by the queue's size and a batch.
-type queue struct {
-	exporter sdktrace.SpanExporter
-	dropped  func(int)
-	exported func(int)
-
-	spans chan sdktrace.ReadOnlySpan
-	stop  chan struct{}
-	done  chan struct{}
-	once  sync.Once
+// A collector that is down or slow must not delay requests, so OnEnd never blocks. If the queue is full, the span
+// is dropped and counted, so memory use is bounded by the queue's size plus one batch.
+type exportQueue struct {
+	exporter   sdktrace.SpanExporter
+	onDropped  func(int)
+	onExported func(int)
+
+	spans    chan sdktrace.ReadOnlySpan
+	stop     chan struct{}
+	done     chan struct{}
+	stopOnce sync.Once
 }
 
-var _ sdktrace.SpanProcessor = (*queue)(nil)
+var _ sdktrace.SpanProcessor = (*exportQueue)(nil)
 
-func newQueue(cfg Config, exporter sdktrace.SpanExporter) *queue {
-	q := &queue{
-		exporter: exporter,
-		dropped:  orNothing(cfg.OnDropped),
-		exported: orNothing(cfg.OnExported),
-		spans:    make(chan sdktrace.ReadOnlySpan, max(cfg.QueueSize, 1)),
-		stop:     make(chan struct{}),
-		done:     make(chan struct{}),
+func newExportQueue(cfg Config, exporter sdktrace.SpanExporter) *exportQueue {
+	q := &exportQueue{
+		exporter:   exporter,
+		onDropped:  orNoop(cfg.OnDropped),
+		onExported: orNoop(cfg.OnExported),
+		spans:      make(chan sdktrace.ReadOnlySpan, max(cfg.QueueSize, 1)),
+		stop:       make(chan struct{}),
+		done:       make(chan struct{}),
 	}
 	go q.run()
 	return q
 }
 
-func orNothing(count func(int)) func(int) {
-	if count == nil {
+func orNoop(callback func(int)) func(int) {
+	if callback == nil {
 		return func(int) {}
 	}
-	return count
+	return callback
 }
 
 // OnStart does nothing: only ended spans are exported.
-func (q *queue) OnStart(context.Context, sdktrace.ReadWriteSpan) {}
+func (q *exportQueue) OnStart(context.Context, sdktrace.ReadWriteSpan) {}
 
-// OnEnd puts the span into the queue, or drops and counts it when the queue is full.
-func (q *queue) OnEnd(span sdktrace.ReadOnlySpan) {
+// OnEnd queues the span, or drops and counts it if the queue is full.
+func (q *exportQueue) OnEnd(span sdktrace.ReadOnlySpan) {
 	select {
 	case q.spans <- span:
 	default:
-		q.dropped(1)
+		q.onDropped(1)
 	}
 }
 
-// ForceFlush does nothing: the queue is always being emptied.
-func (q *queue) ForceFlush(context.Context) error { return nil }
+// ForceFlush does nothing: the goroutine exports queued spans continuously.
+func (q *exportQueue) ForceFlush(context.Context) error { return nil }
 
-// Shutdown sends what waits, until ctx ends.
-func (q *queue) Shutdown(ctx context.Context) error {
-	q.once.Do(func() { close(q.stop) })
+// Shutdown exports the queued spans and shuts the exporter down. It returns ctx's error if ctx ends first.
+func (q *exportQueue) Shutdown(ctx context.Context) error {
+	q.stopOnce.Do(func() { close(q.stop) })
 	select {
 	case <-q.done:
 		return q.exporter.Shutdown(ctx)
@@ -77,21 +77,21 @@
 	}
 }
 
-func (q *queue) run() {
+func (q *exportQueue) run() {
 	defer close(q.done)
 	for {
 		select {
 		case span := <-q.spans:
-			q.export(q.gather(span))
+			q.export(q.nextBatch(span))
 		case <-q.stop:
-			q.empty()
+			q.drain()
 			return
 		}
 	}
 }
 
-// gather takes what else waits already, up to a batch.
-func (q *queue) gather(first sdktrace.ReadOnlySpan) []sdktrace.ReadOnlySpan {
+// nextBatch returns first and the spans that are already queued, at most batchSize in total.
+func (q *exportQueue) nextBatch(first sdktrace.ReadOnlySpan) []sdktrace.ReadOnlySpan {
 	batch := []sdktrace.ReadOnlySpan{first}
 	for len(batch) < batchSize {
 		select {
@@ -104,13 +104,13 @@
 	return batch
 }
 
-// empty sends what waits at the stop. After one failed export the rest is dropped.
-func (q *queue) empty() {
+// drain exports the spans that are queued at shutdown. After a failed export the rest is dropped.
+func (q *exportQueue) drain() {
 	for {
 		select {
 		case span := <-q.spans:
-			if !q.export(q.gather(span)) {
-				q.dropped(len(q.spans))
+			if !q.export(q.nextBatch(span)) {
+				q.onDropped(len(q.spans))
 				return
 			}
 		default:
@@ -119,13 +119,13 @@
 	}
 }
 
-func (q *queue) export(batch []sdktrace.ReadOnlySpan) bool {
+func (q *exportQueue) export(batch []sdktrace.ReadOnlySpan) bool {
 	ctx, cancel := context.WithTimeout(context.Background(), exportTimeout)
 	defer cancel()
 	if err := q.exporter.ExportSpans(ctx, batch); err != nil {
-		q.dropped(len(batch))
+		q.onDropped(len(batch))
 		return false
 	}
-	q.exported(len(batch))
+	q.onExported(len(batch))
 	return true
 }
--- a/tracer/span.go
+++ b/tracer/span.go
@@ -9,10 +9,10 @@
 	"go.opentelemetry.io/otel/trace"
 )
 
-// traceparentKey is the header of the W3C Trace Context.
+// traceparentKey is the name of the W3C Trace Context header.
 const traceparentKey = "traceparent"
 
-// Span is one hop or stage attempt of a request. A nil *Span does nothing.
+// Span represents one hop or stage attempt of a request. The methods of a nil *Span do nothing.
 type Span struct {
 	tracer    *Tracer
 	ctx       context.Context
@@ -20,7 +20,7 @@
 	requestID string
 }
 
-// Child begins a span inside this one.
+// Child starts a child span.
 func (s *Span) Child(name string, now time.Time) *Span {
 	if s == nil {
 		return nil
@@ -28,7 +28,7 @@
 	return s.tracer.start(s.ctx, name, s.requestID, now)
 }
 
-// Set writes an attribute. It must hold no credential and no part of a request's body or answer.
+// Set sets an attribute. The value must not contain a credential or any part of a request's body or answer.
 func (s *Span) Set(key, value string) {
 	if s == nil {
 		return
@@ -36,7 +36,7 @@
 	s.span.SetAttributes(attribute.String(key, value))
 }
 
-// End ends the span. Only an ended span is kept and exported.
+// End ends the span. Only ended spans are kept and exported.
 func (s *Span) End(now time.Time) {
 	if s == nil {
 		return
@@ -44,7 +44,7 @@
 	s.span.End(trace.WithTimestamp(now))
 }
 
-// Traceparent returns the header that carries the trace on to the next hop.
+// Traceparent returns the value of the header that propagates the trace to the next hop.
 func (s *Span) Traceparent() string {
 	if s == nil {
 		return ""
@@ -54,7 +54,7 @@
 	return carrier.Get(traceparentKey)
 }
 
-// TraceID returns the trace's id in hex.
+// TraceID returns the trace id in hex.
 func (s *Span) TraceID() string {
 	if s == nil {
 		return ""
--- a/tracer/tracer.go
+++ b/tracer/tracer.go
@@ -1,5 +1,5 @@
-// Package tracer makes OpenTelemetry spans of a request's hops, keeps the recent ones in bounded memory,
-// and exports them without ever holding up a request.
+// Package tracer creates OpenTelemetry spans for a request's hops, keeps recent ones in bounded memory, and exports
+// them without blocking requests.
 package tracer
 
 import (
@@ -15,7 +15,7 @@
 	"go.opentelemetry.io/otel/trace"
 )
 
-// The keys of the attributes that every span has.
+// Keys of the attributes of every span, and the service's name.
 const (
 	serviceKey = "service.name"
 	entryKey   = "service.instance.id"
@@ -25,46 +25,47 @@
 	service    = "geraniumline"
 )
 
-// maxTextBytes bounds one attribute's value; the rest is cut by the SDK.
-const maxTextBytes = 256
+// maxAttributeLength bounds the length of an attribute's value; the SDK truncates longer values.
+const maxAttributeLength = 256
 
-// Config says what is kept and exported. A zero Kept keeps nothing, an empty OTLPURL exports nothing.
+// Config configures a Tracer. With a zero MaxTraces no trace is kept; without OTLPURL and Exporter nothing is
+// exported.
 type Config struct {
-	// Entry, Zone and Region are written on each exported span.
+	// Entry, Zone and Region are resource attributes of the exported spans.
 	Entry  string
 	Zone   string
 	Region string
-	// MaxTraces is how many recent traces are kept for Find.
+	// MaxTraces is the number of recent traces to keep for Find.
 	MaxTraces int
-	// OTLPURL is where spans are sent by OTLP over HTTP.
+	// OTLPURL is the URL of the collector that receives spans by OTLP over HTTP.
 	OTLPURL string
-	// QueueSize is how many spans may wait to be sent.
+	// QueueSize is the maximum number of spans waiting for export.
 	QueueSize int
-	// Exporter takes the place of the OTLP exporter where it is set.
+	// Exporter replaces the OTLP exporter if it is set.
 	Exporter sdktrace.SpanExporter
-	// OnDropped and OnExported are told of spans lost and sent; each may be nil.
+	// OnDropped and OnExported are called with the number of spans dropped and exported; each may be nil.
 	OnDropped  func(spans int)
 	OnExported func(spans int)
 }
 
-// Tracer makes spans. A nil *Tracer makes nil spans, whose methods do nothing.
+// Tracer creates spans. A nil *Tracer creates nil spans, whose methods do nothing.
 type Tracer struct {
 	provider *sdktrace.TracerProvider
 	tracer   trace.Tracer
-	kept     *keeper
+	store    *traceStore
 }
 
-// New returns a Tracer. Where spans are exported it starts one goroutine, which Close ends.
+// New returns a Tracer. If spans are exported, it starts one goroutine, which Close stops.
 func New(cfg Config) (*Tracer, error) {
 	exporter := cfg.Exporter
 	if exporter == nil && cfg.OTLPURL != "" {
-		made, err := otlptracehttp.New(context.Background(), otlptracehttp.WithEndpointURL(cfg.OTLPURL))
+		otlpExporter, err := otlptracehttp.New(context.Background(), otlptracehttp.WithEndpointURL(cfg.OTLPURL))
 		if err != nil {
-			return nil, fmt.Errorf("make the trace exporter: %w", err)
+			return nil, fmt.Errorf("create the trace exporter: %w", err)
 		}
-		exporter = made
+		exporter = otlpExporter
 	}
-	kept := newKeeper(cfg.MaxTraces)
+	store := newTraceStore(cfg.MaxTraces)
 	options := []sdktrace.TracerProviderOption{
 		sdktrace.WithSampler(sdktrace.AlwaysSample()),
 		sdktrace.WithResource(resource.NewSchemaless(
@@ -73,26 +74,26 @@
 			attribute.String(zoneKey, cfg.Zone),
 			attribute.String(regionKey, cfg.Region),
 		)),
-		sdktrace.WithRawSpanLimits(limits()),
-		sdktrace.WithSpanProcessor(kept),
+		sdktrace.WithRawSpanLimits(spanLimits()),
+		sdktrace.WithSpanProcessor(store),
 	}
 	if exporter != nil {
-		options = append(options, sdktrace.WithSpanProcessor(newQueue(cfg, exporter)))
+		options = append(options, sdktrace.WithSpanProcessor(newExportQueue(cfg, exporter)))
 	}
 	provider := sdktrace.NewTracerProvider(options...)
-	return &Tracer{provider: provider, tracer: provider.Tracer(service), kept: kept}, nil
+	return &Tracer{provider: provider, tracer: provider.Tracer(service), store: store}, nil
 }
 
-func limits() sdktrace.SpanLimits {
+func spanLimits() sdktrace.SpanLimits {
 	limits := sdktrace.NewSpanLimits()
-	limits.AttributeValueLengthLimit = maxTextBytes
+	limits.AttributeValueLengthLimit = maxAttributeLength
 	limits.AttributeCountLimit = 32
 	limits.EventCountLimit = 8
 	limits.LinkCountLimit = 1
 	return limits
 }
 
-// Close sends what waits in the queue, until ctx ends.
+// Close exports the queued spans and shuts the tracer down. It returns ctx's error if ctx ends first.
 func (t *Tracer) Close(ctx context.Context) error {
 	if t == nil {
 		return nil
@@ -100,8 +101,8 @@
 	return t.provider.Shutdown(ctx)
 }
 
-// Start begins the first span of a request at this entry. It carries on the caller's traceparent where
-// that is well formed, and begins a new trace otherwise.
+// Start starts the first span of a request on this entry. It continues the trace of the caller's traceparent if
+// that is well formed, and starts a new trace otherwise.
 func (t *Tracer) Start(traceparent, name, requestID string, now time.Time) *Span {
 	if t == nil {
 		return nil
--- a/tracer/tracer_test.go
+++ b/tracer/tracer_test.go
@@ -26,7 +26,7 @@
 	return tr
 }
 
-func TestSpansCarryOnTheCallersTrace(t *testing.T) {
+func TestSpansContinueTheCallersTrace(t *testing.T) {
 	const (
 		traceID = "4bf92f3577b34da6a3ce929d0e0e4736"
 		parent  = "00f067aa0ba902b7"
@@ -52,7 +52,7 @@
 	}
 }
 
-func TestIllFormedTraceparentBeginsATrace(t *testing.T) {
+func TestMalformedTraceparentStartsNewTrace(t *testing.T) {
 	tr := newTracer(t, Config{MaxTraces: 4})
 	for i, header := range []string{"", "junk", "00-00000000000000000000000000000000-0000000000000000-01"} {
 		id := fmt.Sprintf("r-%d", i)
@@ -76,9 +76,8 @@
 	require.NoError(t, tr.Close(context.Background()))
 }
 
-// A caller sends every request under one traceparent, and others send more traces than are kept. The
-// memory stays bounded: spans past the bound are counted, and the oldest trace is forgotten whole, with
-// the request ids that led to it.
+// One caller sends every request under the same traceparent, and others start more traces than are kept. Memory must
+// stay bounded: excess spans are counted, and the oldest trace is evicted together with its request ids.
 func TestKeptTracesAreBounded(t *testing.T) {
 	const header = "00-4bf92f3577b34da6a3ce929d0e0e4736-00f067aa0ba902b7-01"
 	tr := newTracer(t, Config{MaxTraces: 3})
@@ -97,18 +96,18 @@
 	require.False(t, ok)
 	_, ok = tr.Find("r-9")
 	require.True(t, ok)
-	require.Len(t, tr.kept.traces, 3)
-	require.Len(t, tr.kept.requests, 3)
+	require.Len(t, tr.store.traces, 3)
+	require.Len(t, tr.store.traceIDs, 3)
 }
 
-// stuckExporter holds every export until it is let go, then fails or takes it.
-type stuckExporter struct {
-	release chan error
-	mu      sync.Mutex
-	taken   int
+// blockingExporter blocks every export until release returns an error or nil, then fails or accepts it.
+type blockingExporter struct {
+	release  chan error
+	mu       sync.Mutex
+	accepted int
 }
 
-func (e *stuckExporter) ExportSpans(ctx context.Context, spans []sdktrace.ReadOnlySpan) error {
+func (e *blockingExporter) ExportSpans(ctx context.Context, spans []sdktrace.ReadOnlySpan) error {
 	select {
 	case err := <-e.release:
 		if err != nil {
@@ -119,17 +118,17 @@
 	}
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.taken += len(spans)
+	e.accepted += len(spans)
 	return nil
 }
 
-func (e *stuckExporter) Shutdown(context.Context) error { return nil }
+func (e *blockingExporter) Shutdown(context.Context) error { return nil }
 
-// The trace collector stops answering while requests go on. No request waits for it: the queue fills,
-// then each further span is dropped and counted. When the collector answers again, what waited is sent,
-// and every span is accounted for as either sent or dropped.
-func TestStuckCollectorDropsAndCounts(t *testing.T) {
-	exporter := &stuckExporter{release: make(chan error)}
+// The trace collector stops responding while requests continue. Requests must not block: the queue fills, then each
+// further span is dropped and counted. When the collector responds again, the queued spans are exported, and every
+// span must be counted as either exported or dropped.
+func TestUnresponsiveCollectorDropsAndCounts(t *testing.T) {
+	exporter := &blockingExporter{release: make(chan error)}
 	var mu sync.Mutex
 	var dropped, exported int
 	tr := newTracer(t, Config{
@@ -140,7 +139,7 @@
 	})
 	const spans = 1000
 	for range spans {
-		tr.Start("", "request", "r", start).End(start) // would hang here, were OnEnd to wait
+		tr.Start("", "request", "r", start).End(start) // hangs here if OnEnd blocks
 	}
 	mu.Lock()
 	require.GreaterOrEqual(t, dropped, spans-8-batchSize)
@@ -148,11 +147,11 @@
 	close(exporter.release)
 	require.NoError(t, tr.Close(context.Background()))
 	require.Equal(t, spans, dropped+exported)
-	require.Equal(t, exported, exporter.taken)
+	require.Equal(t, exported, exporter.accepted)
 	require.Positive(t, exported)
 }
 
-func TestSpansAreSentByOTLP(t *testing.T) {
+func TestSpansAreExportedByOTLP(t *testing.T) {
 	bodies := make(chan string, 1)
 	collector := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		body, err := io.ReadAll(r.Body)
