--- a/launcher/config.go
+++ b/launcher/config.go
@@ -93,7 +93,7 @@
 		return a.printView(cmd, view)
 	}
 	if len(view.Objects) == 0 {
-		return &MissingError{Kind: kind, Name: name}
+		return &ObjectNotFoundError{Kind: kind, Name: name}
 	}
 	return a.printJSON(fileFormOf(view.Objects[0]))
 }
--- a/launcher/contract.go
+++ b/launcher/contract.go
@@ -66,7 +66,7 @@
 		return err
 	}
 	if len(view.Objects) == 0 {
-		return &MissingError{Kind: contractKind, Name: name}
+		return &ObjectNotFoundError{Kind: contractKind, Name: name}
 	}
 	return a.printJSON(fileFormOf(view.Objects[0]))
 }
@@ -122,7 +122,7 @@
 
 func withFields(inForce operatorserver.ConfigObject, values []string) ([]byte, error) {
 	if inForce.Version == 0 {
-		return nil, &MissingError{Kind: inForce.Kind, Name: inForce.Name}
+		return nil, &ObjectNotFoundError{Kind: inForce.Kind, Name: inForce.Name}
 	}
 	fields := map[string]json.RawMessage{}
 	if err := json.Unmarshal(inForce.Body, &fields); err != nil {
--- a/launcher/objectfile.go
+++ b/launcher/objectfile.go
@@ -10,13 +10,13 @@
 	"geraniumline/operatorserver"
 )
 
-// MissingError tells of an object that is not in force.
-type MissingError struct {
+// ObjectNotFoundError tells of an object that is not in force.
+type ObjectNotFoundError struct {
 	Kind string
 	Name string
 }
 
-func (e *MissingError) Error() string {
+func (e *ObjectNotFoundError) Error() string {
 	return fmt.Sprintf("there is no %s %q in force", e.Kind, e.Name)
 }
 
--- a/launcher/publish.go
+++ b/launcher/publish.go
@@ -219,7 +219,7 @@
 		return err
 	}
 	if inForce.Version == 0 {
-		return &MissingError{Kind: kind, Name: name}
+		return &ObjectNotFoundError{Kind: kind, Name: name}
 	}
 	change := newChange(kind, name, inForce.Version)
 	change.Remove.SetTo(true)
