--- a/launcher/check.go
+++ b/launcher/check.go
@@ -13,7 +13,7 @@
 	"geraniumline/publisher"
 )
 
-// FileError tells of the faults in one file.
+// FileError reports the faults in one file. Its text has one line per fault, with the file's name.
 type FileError struct {
 	File string
 	Err  error
@@ -38,7 +38,7 @@
 // Unwrap returns the cause.
 func (e *FileError) Unwrap() error { return e.Err }
 
-func inFile(file string, err error) error { return &FileError{File: file, Err: err} }
+func newFileError(file string, err error) error { return &FileError{File: file, Err: err} }
 
 func (a *app) checkCommand() *cli.Command {
 	return &cli.Command{
@@ -61,11 +61,11 @@
 	}
 }
 
-// checked is what check says of a file.
-type checked struct {
-	File   string         `json:"file"`
-	Holds  string         `json:"holds"`
-	Faults []loader.Fault `json:"faults"`
+// checkResult is the result of checking one file.
+type checkResult struct {
+	File    string         `json:"file"`
+	Content string         `json:"holds"`
+	Faults  []loader.Fault `json:"faults"`
 
 	objects []loader.Object
 	err     error
@@ -75,16 +75,16 @@
 	if !cmd.Args().Present() {
 		return &UsageError{Message: "name the files to check", Command: cmd.FullName()}
 	}
-	results := []checked{}
+	results := []checkResult{}
 	for _, file := range cmd.Args().Slice() {
 		results = append(results, checkFile(file))
 	}
 	if cmd.Bool("whole") {
 		checkWhole(results)
 	}
-	faulty := false
+	hasFaults := false
 	for _, result := range results {
-		faulty = faulty || result.err != nil
+		hasFaults = hasFaults || result.err != nil
 		if !cmd.Bool("json") {
 			a.printCheck(result)
 		}
@@ -94,55 +94,56 @@
 			return err
 		}
 	}
-	if faulty {
+	if hasFaults {
 		return &ReportedError{Code: ExitUsage}
 	}
 	return nil
 }
 
-// checkWhole checks the objects of all files together, and adds to each file's faults what its objects refer to and
-// none of the files holds. Files with faults of their own have no objects here: they are told apart.
-func checkWhole(results []checked) {
-	var whole []publisher.Object
-	var from []*checked
+// checkWhole checks the objects of all files together, and adds a fault to a file for each reference to an object
+// that none of the files contains. Files with faults of their own contribute no objects; their faults are reported
+// separately.
+func checkWhole(results []checkResult) {
+	var published []publisher.Object
+	var sources []*checkResult
 	var objects []loader.Object
 	for i := range results {
 		for _, o := range results[i].objects {
-			whole = append(whole, publisher.Object{Kind: o.Kind, Name: o.Name, Body: o.Body})
-			from = append(from, &results[i])
+			published = append(published, publisher.Object{Kind: o.Kind, Name: o.Name, Body: o.Body})
+			sources = append(sources, &results[i])
 			objects = append(objects, o)
 		}
 	}
-	for _, f := range publisher.CheckWhole(whole) {
-		result := from[f.Index]
+	for _, f := range publisher.CheckWhole(published) {
+		result := sources[f.Index]
 		result.Faults = append(result.Faults, objects[f.Index].Fault(f.Fault.Path, f.Fault.Message))
-		result.err = inFile(result.File, &loader.FaultsError{Faults: result.Faults})
+		result.err = newFileError(result.File, &loader.FaultsError{Faults: result.Faults})
 	}
 }
 
-func (a *app) printCheck(result checked) {
+func (a *app) printCheck(result checkResult) {
 	if result.err != nil {
-		a.complain(result.err.Error())
+		a.printStderr(result.err.Error())
 		return
 	}
-	a.print("%s: %s, no faults\n", result.File, result.Holds)
+	a.print("%s: %s, no faults\n", result.File, result.Content)
 }
 
-func checkFile(file string) checked {
-	result := checked{File: file, Holds: "settings", Faults: []loader.Fault{}}
+func checkFile(file string) checkResult {
+	result := checkResult{File: file, Content: "settings", Faults: []loader.Fault{}}
 	src, err := os.ReadFile(file)
 	switch {
 	case err != nil:
 		err = &loader.UnreadableError{File: file, Err: err}
 	case loader.HoldsObjects(src):
-		result.objects, err = checkedObjects(src)
-		result.Holds = fmt.Sprintf("%d configuration objects", len(result.objects))
+		result.objects, err = parseAndCheckObjects(src)
+		result.Content = fmt.Sprintf("%d configuration objects", len(result.objects))
 	default:
 		_, err = loader.Load(file)
 	}
 	if err != nil {
 		result.Faults = faultsOf(err)
-		result.err = inFile(file, err)
+		result.err = newFileError(file, err)
 	}
 	return result
 }
@@ -155,9 +156,9 @@
 	return []loader.Fault{{Message: err.Error()}}
 }
 
-// checkedObjects reads configuration objects and checks each body by itself. Whether a contract's
-// pipelines exist can only be told against what is in force.
-func checkedObjects(src []byte) ([]loader.Object, error) {
+// parseAndCheckObjects parses configuration objects and checks each body by itself. Whether a contract's pipelines
+// exist can only be checked against the configuration in force.
+func parseAndCheckObjects(src []byte) ([]loader.Object, error) {
 	objects, err := loader.ParseObjects(src)
 	if err != nil {
 		return nil, err
@@ -174,15 +175,15 @@
 	return objects, nil
 }
 
-// loadObjects reads and checks a file of configuration objects; a file named "-" is the standard input.
+// loadObjects reads and checks a file of configuration objects; "-" reads the standard input.
 func (a *app) loadObjects(file string) ([]loader.Object, error) {
 	src, err := a.readInput(file)
 	if err != nil {
 		return nil, &loader.UnreadableError{File: file, Err: err}
 	}
-	objects, err := checkedObjects(src)
+	objects, err := parseAndCheckObjects(src)
 	if err != nil {
-		return nil, inFile(file, err)
+		return nil, newFileError(file, err)
 	}
 	return objects, nil
 }
--- a/launcher/config.go
+++ b/launcher/config.go
@@ -10,7 +10,7 @@
 )
 
 func (a *app) configCommand() *cli.Command {
-	return group("config", "publish and read configuration",
+	return commandGroup("config", "publish and read configuration",
 		&cli.Command{
 			Name:      "publish",
 			Usage:     "publish the objects of files",
@@ -85,7 +85,7 @@
 
 func (a *app) getConfig(ctx context.Context, cmd *cli.Command) error {
 	kind, name := cmd.Args().Get(0), cmd.Args().Get(1)
-	view, err := a.view(ctx, cmd, kind, name)
+	view, err := a.fetchConfig(ctx, cmd, kind, name)
 	if err != nil {
 		return err
 	}
@@ -95,7 +95,7 @@
 	if len(view.Objects) == 0 {
 		return &ObjectNotFoundError{Kind: kind, Name: name}
 	}
-	return a.printJSON(fileFormOf(view.Objects[0]))
+	return a.printJSON(newObjectFile(view.Objects[0]))
 }
 
 func (a *app) printView(cmd *cli.Command, view *operatorserver.ConfigView) error {
@@ -106,16 +106,16 @@
 	return nil
 }
 
-// view asks for the objects in force; an empty kind or name asks for all.
-func (a *app) view(ctx context.Context, cmd *cli.Command, kind, name string) (*operatorserver.ConfigView, error) {
+// fetchConfig connects and requests the objects in force; an empty kind or name matches all.
+func (a *app) fetchConfig(ctx context.Context, cmd *cli.Command, kind, name string) (*operatorserver.ConfigView, error) {
 	c, err := a.connect(cmd, "user")
 	if err != nil {
 		return nil, err
 	}
-	return viewOf(ctx, c, kind, name)
+	return fetchConfigFrom(ctx, c, kind, name)
 }
 
-func viewOf(ctx context.Context, c *connection, kind, name string) (*operatorserver.ConfigView, error) {
+func fetchConfigFrom(ctx context.Context, c *connection, kind, name string) (*operatorserver.ConfigView, error) {
 	var params operatorserver.GetConfigParams
 	if kind != "" {
 		params.Kind.SetTo(kind)
@@ -123,7 +123,7 @@
 	if name != "" {
 		params.Name.SetTo(name)
 	}
-	return ask(ctx, c, func(client *operatorserver.Client) (*operatorserver.ConfigView, error) {
+	return callAny(ctx, c, func(client *operatorserver.Client) (*operatorserver.ConfigView, error) {
 		return client.GetConfig(ctx, params)
 	})
 }
@@ -134,7 +134,7 @@
 		return err
 	}
 	params := operatorserver.GetHistoryParams{Limit: operatorserver.NewOptInt(cmd.Int("limit"))}
-	history, err := ask(ctx, c, func(client *operatorserver.Client) (*operatorserver.ConfigHistory, error) {
+	history, err := callAny(ctx, c, func(client *operatorserver.Client) (*operatorserver.ConfigHistory, error) {
 		return client.GetHistory(ctx, params)
 	})
 	if err != nil {
--- a/launcher/connection.go
+++ b/launcher/connection.go
@@ -16,7 +16,7 @@
 	"geraniumline/operatorserver"
 )
 
-// The environment variables in place of flags.
+// Environment variables that can be set instead of flags.
 const (
 	envOperatorAddress = "GERANIUMLINE_OPERATOR_ADDRESS"
 	envCallerAddress   = "GERANIUMLINE_CALLER_ADDRESS"
@@ -26,7 +26,7 @@
 	envCAFile          = "GERANIUMLINE_CA_FILE"
 )
 
-// maxInputBytes bounds a file given to a command.
+// maxInputBytes bounds the input read from the standard input.
 const maxInputBytes = 16 << 20
 
 func connectionFlags(addressVariable, addressUsage string) []cli.Flag {
@@ -49,17 +49,17 @@
 	}
 }
 
-func operatorFlags(more ...cli.Flag) []cli.Flag {
+func operatorFlags(extra ...cli.Flag) []cli.Flag {
 	flags := connectionFlags(envOperatorAddress, "an entry's operator address")
 	flags = append(flags, &cli.StringFlag{
 		Name:    "user",
 		Usage:   "operator's `NAME` in the settings",
 		Sources: cli.EnvVars(envUser),
 	})
-	return append(flags, more...)
+	return append(flags, extra...)
 }
 
-// connection is how a command reaches entries.
+// connection holds the addresses, credential and HTTP client with which a command calls entries.
 type connection struct {
 	addresses  []string
 	user       string
@@ -85,10 +85,10 @@
 		scheme:     "http",
 	}
 	transport := http.DefaultTransport.(*http.Transport).Clone()
-	// A proxy from the environment would take the credential to a host that isn't an entry.
+	// A proxy from the environment would send the credential to a host that isn't an entry.
 	transport.Proxy = nil
 	if file := cmd.String("ca-file"); file != "" {
-		pool, err := readPool(file)
+		pool, err := readCertPool(file)
 		if err != nil {
 			return nil, &UsageError{Message: fmt.Sprintf("--ca-file: %v", err)}
 		}
@@ -101,7 +101,7 @@
 
 func noRedirect(*http.Request, []*http.Request) error { return http.ErrUseLastResponse }
 
-func readPool(file string) (*x509.CertPool, error) {
+func readCertPool(file string) (*x509.CertPool, error) {
 	text, err := os.ReadFile(file)
 	if err != nil {
 		return nil, err
@@ -113,7 +113,7 @@
 	return pool, nil
 }
 
-// readInput reads a file, or the standard input for "-".
+// readInput reads a file; "-" reads the standard input.
 func (a *app) readInput(file string) ([]byte, error) {
 	if file == "-" {
 		return io.ReadAll(io.LimitReader(a.cfg.Stdin, maxInputBytes))
@@ -121,16 +121,16 @@
 	return os.ReadFile(file)
 }
 
-// BasicAuth gives an operator's credential to the generated client.
+// BasicAuth returns the operator's credential for the generated client.
 func (c *connection) BasicAuth(context.Context, operatorserver.OperationName) (operatorserver.BasicAuth, error) {
 	return operatorserver.BasicAuth{Username: c.user, Password: c.credential}, nil
 }
 
-func (c *connection) operator(address string) (*operatorserver.Client, error) {
+func (c *connection) operatorClient(address string) (*operatorserver.Client, error) {
 	return operatorserver.NewClient(c.scheme+"://"+address, c, operatorserver.WithClient(c.client))
 }
 
-// UnreachableError tells that no address answered.
+// UnreachableError reports that no address responded.
 type UnreachableError struct {
 	Addresses []string
 	Err       error // of the last address
@@ -143,7 +143,7 @@
 // Unwrap returns the cause.
 func (e *UnreachableError) Unwrap() error { return e.Err }
 
-// RefusedError tells that an entry refused an operator's call.
+// RefusedError reports that an entry refused an operator's call.
 type RefusedError struct {
 	Address string
 	Failure operatorserver.Failure
@@ -154,33 +154,33 @@
 	return strings.Join(lines, "\n  ")
 }
 
-// ask puts a question to one address after the other until one answers. Only for calls that change
-// nothing, or nothing more when they are made twice.
-func ask[T any](ctx context.Context, c *connection, question func(*operatorserver.Client) (T, error)) (T, error) {
-	var none T
-	var last error
+// callAny makes a call to one address after another until one responds. Use it only for calls that are read-only or
+// idempotent.
+func callAny[T any](ctx context.Context, c *connection, call func(*operatorserver.Client) (T, error)) (T, error) {
+	var zero T
+	var lastErr error
 	for _, address := range c.addresses {
-		client, err := c.operator(address)
+		client, err := c.operatorClient(address)
 		if err != nil {
-			return none, &UsageError{Message: err.Error()}
+			return zero, &UsageError{Message: err.Error()}
 		}
-		answer, err := question(client)
+		answer, err := call(client)
 		if err == nil {
 			return answer, nil
 		}
-		if refused := refusalOf(address, err); refused != nil {
-			return none, refused
+		if refused := refusalError(address, err); refused != nil {
+			return zero, refused
 		}
 		if ctx.Err() != nil {
-			return none, ctx.Err()
+			return zero, ctx.Err()
 		}
-		last = err
+		lastErr = err
 	}
-	return none, &UnreachableError{Addresses: c.addresses, Err: last}
+	return zero, &UnreachableError{Addresses: c.addresses, Err: lastErr}
 }
 
-// refusalOf returns nil where the entry did not refuse the call but failed to answer it.
-func refusalOf(address string, err error) error {
+// refusalError converts an entry's refusal to a RefusedError. It returns nil if the call failed in another way.
+func refusalError(address string, err error) error {
 	var failure *operatorserver.FailureStatusCode
 	if !errors.As(err, &failure) {
 		return nil
--- a/launcher/contract.go
+++ b/launcher/contract.go
@@ -18,7 +18,7 @@
 const contractKind = "contract"
 
 func (a *app) contractCommand() *cli.Command {
-	return group("contract", "set and read contracts, one for each client account",
+	return commandGroup("contract", "set and read contracts, one for each client account",
 		&cli.Command{
 			Name:      "set",
 			Usage:     "publish a contract from a file, or change fields of the one in force",
@@ -61,18 +61,18 @@
 		return &UsageError{Message: "give one name", Command: cmd.FullName()}
 	}
 	name := cmd.Args().First()
-	view, err := a.view(ctx, cmd, contractKind, name)
+	view, err := a.fetchConfig(ctx, cmd, contractKind, name)
 	if err != nil {
 		return err
 	}
 	if len(view.Objects) == 0 {
 		return &ObjectNotFoundError{Kind: contractKind, Name: name}
 	}
-	return a.printJSON(fileFormOf(view.Objects[0]))
+	return a.printJSON(newObjectFile(view.Objects[0]))
 }
 
 func (a *app) listContracts(ctx context.Context, cmd *cli.Command) error {
-	view, err := a.view(ctx, cmd, contractKind, "")
+	view, err := a.fetchConfig(ctx, cmd, contractKind, "")
 	if err != nil {
 		return err
 	}
@@ -104,7 +104,7 @@
 	return a.publish(ctx, cmd, c, change)
 }
 
-// contractBody takes the body from a file, or the one in force with the fields changed.
+// contractBody reads the body from a file, or returns the body in force with the given fields changed.
 func (a *app) contractBody(inForce operatorserver.ConfigObject, values []string) ([]byte, error) {
 	if len(values) == 1 && !strings.Contains(values[0], "=") {
 		text, err := a.readInput(values[0])
@@ -117,10 +117,10 @@
 		}
 		return body, nil
 	}
-	return withFields(inForce, values)
+	return setFields(inForce, values)
 }
 
-func withFields(inForce operatorserver.ConfigObject, values []string) ([]byte, error) {
+func setFields(inForce operatorserver.ConfigObject, values []string) ([]byte, error) {
 	if inForce.Version == 0 {
 		return nil, &ObjectNotFoundError{Kind: inForce.Kind, Name: inForce.Name}
 	}
@@ -133,17 +133,17 @@
 		if !ok || field == "" {
 			return nil, &UsageError{Message: fmt.Sprintf("want FIELD=VALUE, got %q", assignment)}
 		}
-		fields[field] = jsonOf(value)
+		fields[field] = jsonValue(value)
 	}
 	return json.Marshal(fields)
 }
 
-// jsonOf takes what is no JSON as text.
-func jsonOf(value string) json.RawMessage {
+// jsonValue returns value if it is valid JSON, and otherwise value as a JSON string.
+func jsonValue(value string) json.RawMessage {
 	if json.Valid([]byte(value)) {
 		return json.RawMessage(value)
 	}
-	text, _ := json.Marshal(value) // a string always has a JSON form
+	text, _ := json.Marshal(value) // marshalling a string never fails
 	return text
 }
 
--- a/launcher/credential.go
+++ b/launcher/credential.go
@@ -11,7 +11,7 @@
 )
 
 func (a *app) credentialCommand() *cli.Command {
-	return group("credential", "make credentials", &cli.Command{
+	return commandGroup("credential", "make credentials", &cli.Command{
 		Name:  "new",
 		Usage: "make a credential, and the hash that settings and contracts hold",
 		Description: `Prints a new random credential, for its owner only, and its SHA-256 as hex, for "credentialSha256" in an
@@ -39,7 +39,7 @@
 }
 
 func (a *app) keyCommand() *cli.Command {
-	return group("key", "make keys", &cli.Command{
+	return commandGroup("key", "make keys", &cli.Command{
 		Name:  "new",
 		Usage: "make an idempotency key for a request, or the key that entries share",
 		Description: `Prints a new idempotency key, a UUID of version 7. With --shared it prints a new random key of 32 bytes as hex,
@@ -66,9 +66,9 @@
 	return nil
 }
 
-// docsCommand prints the pages that are made from the code, for go generate.
+// docsCommand prints the documentation pages that go generate creates from the code.
 func (a *app) docsCommand() *cli.Command {
-	docs := group("docs", "print the pages that are made from the code",
+	docs := commandGroup("docs", "print the pages that are made from the code",
 		a.pageCommand("settings", "docs/Config.md", documenter.Settings),
 		a.pageCommand("metrics", "docs/METRICS.md", documenter.Metrics),
 	)
--- a/launcher/entry.go
+++ b/launcher/entry.go
@@ -33,26 +33,26 @@
 	file := cmd.String("settings")
 	settings, err := loader.Load(file)
 	if err != nil {
-		return inFile(file, err)
+		return newFileError(file, err)
 	}
 	log, err := newLog(settings.LogLevel, a.err)
 	if err != nil {
 		return err
 	}
-	defer func() { _ = log.Sync() }() // a pipe or a terminal can't be synced
+	defer func() { _ = log.Sync() }() // fails for pipes and terminals
 	return a.cfg.RunEntry(ctx, settings, log)
 }
 
-// newLog writes JSON lines at the level and above. A repeated line is not thinned out: lines tell of
-// changes of state only, and each matters.
+// newLog returns a logger that writes JSON lines at the given level and above. It doesn't sample repeated lines, since
+// the log contains only state changes and each one matters.
 func newLog(level string, w io.Writer) (*zap.Logger, error) {
-	least, err := zapcore.ParseLevel(level)
+	minLevel, err := zapcore.ParseLevel(level)
 	if err != nil {
 		return nil, err
 	}
-	encoding := zap.NewProductionEncoderConfig()
-	encoding.TimeKey = "time"
-	encoding.EncodeTime = zapcore.RFC3339NanoTimeEncoder
-	core := zapcore.NewCore(zapcore.NewJSONEncoder(encoding), zapcore.Lock(zapcore.AddSync(w)), least)
+	encoderConfig := zap.NewProductionEncoderConfig()
+	encoderConfig.TimeKey = "time"
+	encoderConfig.EncodeTime = zapcore.RFC3339NanoTimeEncoder
+	core := zapcore.NewCore(zapcore.NewJSONEncoder(encoderConfig), zapcore.Lock(zapcore.AddSync(w)), minLevel)
 	return zap.New(core), nil
 }
--- a/launcher/examples_test.go
+++ b/launcher/examples_test.go
@@ -10,8 +10,8 @@
 	"geraniumline/loader"
 )
 
-// Operators begin with the files of docs/examples, so these must have no faults.
-func TestTheExamplesHaveNoFaults(t *testing.T) {
+// Operators start from the files in docs/examples, so these must have no faults.
+func TestExamplesHaveNoFaults(t *testing.T) {
 	files, err := filepath.Glob("../docs/examples/*.json")
 	require.NoError(t, err)
 	require.Len(t, files, 5)
@@ -20,7 +20,7 @@
 			src, err := os.ReadFile(file)
 			require.NoError(t, err)
 			if loader.HoldsObjects(src) {
-				_, err = checkedObjects(src)
+				_, err = parseAndCheckObjects(src)
 			} else {
 				_, err = loader.Parse(src)
 			}
@@ -29,15 +29,15 @@
 	}
 }
 
-// An operator's contract names pipelines that are in no file. Published, it would be refused one by one; checked as
-// a whole before, the fault is named with its place.
-func TestCheckOfTheWholeConfiguration(t *testing.T) {
+// A contract refers to pipelines that are in none of the files. Publishing would refuse such objects one by one; check
+// --whole must report the fault with its position before that.
+func TestCheckWholeConfiguration(t *testing.T) {
 	const pools, pipelines, contract = "../docs/examples/pools.json", "../docs/examples/pipelines.json", "../docs/examples/contract.json"
 	for _, s := range []struct {
 		testName string
 		args     []string
 		code     ExitCode
-		told     string
+		wantErr  string
 	}{
 		{"whole", []string{"--whole", contract, pipelines, pools}, ExitOK, ""},
 		{"pipelines are missing", []string{"--whole", contract, pools}, ExitUsage, `contract.json:11:16: body.pipelines[0]: there is no pipeline "case-summary"`},
@@ -46,7 +46,7 @@
 		t.Run(s.testName, func(t *testing.T) {
 			code, _, stderr := newConsole(t).run(append([]string{"check"}, s.args...)...)
 			require.Equal(t, s.code, code)
-			require.Contains(t, stderr, s.told)
+			require.Contains(t, stderr, s.wantErr)
 		})
 	}
 }
--- a/launcher/exit.go
+++ b/launcher/exit.go
@@ -8,7 +8,7 @@
 	"geraniumline/loader"
 )
 
-// ExitCode is the process's exit code. The help text of the program lists them.
+// ExitCode is the exit code of the process. The program's help text lists the codes.
 type ExitCode int
 
 // The exit codes.
@@ -20,10 +20,10 @@
 	ExitUnknown
 )
 
-// UsageError tells of a command line that can't be followed.
+// UsageError reports an invalid command line.
 type UsageError struct {
 	Message string
-	// Command is the command whose help would tell more; it may be empty.
+	// Command is the command whose help text the message refers to; it may be empty.
 	Command string
 }
 
@@ -34,11 +34,11 @@
 	return fmt.Sprintf("%s; see %s --help", e.Message, e.Command)
 }
 
-// OutcomeError tells of a request or a change that was not done, or of which it is not known.
+// OutcomeError reports a request or a change that was not executed or whose outcome is unknown.
 type OutcomeError struct {
-	// Unknown tells that it may have been done.
+	// Unknown is set if it may have been executed.
 	Unknown bool
-	// Key is what to ask again with: an idempotency key or an operation id.
+	// Key identifies it for later queries: an idempotency key or an operation id.
 	Key     string
 	Message string
 }
@@ -50,21 +50,21 @@
 	return "notRun: " + e.Message
 }
 
-// ReportedError gives an exit code after the command has printed what there is to say.
+// ReportedError sets the exit code after the command has printed its result. No message is printed for it.
 type ReportedError struct {
 	Code ExitCode
 }
 
 func (e *ReportedError) Error() string { return "" }
 
-// failureError holds an error of a command's own work.
-type failureError struct {
+// commandError wraps an error of a command's action, as opposed to an error in its usage.
+type commandError struct {
 	err error
 }
 
-func (e *failureError) Error() string { return e.err.Error() }
+func (e *commandError) Error() string { return e.err.Error() }
 
-func (e *failureError) Unwrap() error { return e.err }
+func (e *commandError) Unwrap() error { return e.err }
 
 func exitCodeOf(err error) ExitCode {
 	var (
--- a/launcher/forward.go
+++ b/launcher/forward.go
@@ -58,9 +58,9 @@
 	if cfg.Settings, err = platform.LoadSettings(cmd.String("settings")); err != nil {
 		return err
 	}
-	lines := spooler.New(a.out, cmd.Int("log-lines"))
-	defer lines.Close()
-	if cfg.Log, err = newLog(cmd.String("log-level"), lines); err != nil {
+	spool := spooler.New(a.out, cmd.Int("log-lines"))
+	defer spool.Close()
+	if cfg.Log, err = newLog(cmd.String("log-level"), spool); err != nil {
 		return &UsageError{Message: err.Error()}
 	}
 	return a.cfg.RunForward(ctx, cfg)
--- a/launcher/launcher.go
+++ b/launcher/launcher.go
@@ -1,5 +1,5 @@
-// Package launcher is the command line: it parses commands, calls an entry's interfaces and prints what
-// they answer. It decides nothing about requests.
+// Package launcher implements the command line: it parses commands, calls the APIs of entries and prints the
+// results. It makes no decisions about requests.
 package launcher
 
 import (
@@ -16,7 +16,7 @@
 	"geraniumline/loader"
 )
 
-// Config is what the command line gets from its surroundings.
+// Config holds the dependencies of the command line.
 type Config struct {
 	Version string
 	// RunEntry runs an entry until its planned stop is done.
@@ -27,22 +27,22 @@
 	Stdin  io.Reader
 	Stdout io.Writer
 	Stderr io.Writer
-	// Terminal tells whether Stdout is a terminal, and so may be coloured.
+	// Terminal is set if Stdout is a terminal, so that output may be coloured.
 	Terminal bool
-	// Now is the clock; nil takes the system's.
+	// Now returns the current time; it defaults to time.Now.
 	Now func() time.Time
-	// Wait waits between two questions to an entry; nil sleeps.
+	// Wait waits for d between two calls to an entry, or returns ctx's error if that ends first; it defaults to a timer.
 	Wait func(ctx context.Context, d time.Duration) error
 }
 
-// app is the command line while it runs.
+// app is the state of one run of the command line.
 type app struct {
 	cfg Config
 	out io.Writer
 	err io.Writer
 }
 
-// Run runs one command and returns the process's exit code. args begins with the program's name.
+// Run runs one command and returns the exit code of the process. args starts with the program's name.
 func Run(ctx context.Context, cfg Config, args []string) ExitCode {
 	if cfg.Now == nil {
 		cfg.Now = time.Now
@@ -51,16 +51,16 @@
 		cfg.Wait = sleep
 	}
 	a := &app{cfg: cfg, out: cfg.Stdout, err: cfg.Stderr}
-	err := a.root().Run(ctx, args)
+	err := a.rootCommand().Run(ctx, args)
 	if err == nil {
 		return ExitOK
 	}
-	var failure *failureError
-	if !errors.As(err, &failure) {
+	var commandErr *commandError
+	if !errors.As(err, &commandErr) {
 		err = &UsageError{Message: err.Error()}
 	}
 	if text := err.Error(); text != "" {
-		a.complain(text)
+		a.printStderr(text)
 	}
 	return exitCodeOf(err)
 }
@@ -79,7 +79,7 @@
   3  notRun: nothing ran, and the attempt never will
   4  unknown: it may have run; ask again with the key or the operation id that was printed`
 
-func (a *app) root() *cli.Command {
+func (a *app) rootCommand() *cli.Command {
 	return &cli.Command{
 		Name:                  "geraniumline",
 		Usage:                 "serve multi-stage model pipelines",
@@ -89,10 +89,10 @@
 		Writer:                a.out,
 		ErrWriter:             a.err,
 		Reader:                a.cfg.Stdin,
-		// The exit code is ours to give, after the message is printed.
+		// Run sets the exit code after it has printed the message.
 		ExitErrHandler: func(context.Context, *cli.Command, error) {},
 		OnUsageError:   usageError,
-		Action:         noCommand,
+		Action:         groupAction,
 		ConfigureShellCompletionCommand: func(c *cli.Command) {
 			c.Hidden = false
 		},
@@ -114,37 +114,38 @@
 	}
 }
 
-// usageError keeps the library from printing a whole help text for a mistyped flag.
+// usageError prevents the library from printing the full help text for a mistyped flag.
 func usageError(_ context.Context, cmd *cli.Command, err error, _ bool) error {
 	return &UsageError{Message: err.Error(), Command: cmd.FullName()}
 }
 
-// noCommand answers a command that only has subcommands.
-func noCommand(_ context.Context, cmd *cli.Command) error {
+// groupAction is the action of a command that only has subcommands: it shows the help text, or returns a UsageError
+// for an unknown subcommand.
+func groupAction(_ context.Context, cmd *cli.Command) error {
 	if cmd.Args().Present() {
 		return &UsageError{Message: fmt.Sprintf("there is no command %q", cmd.Args().First()), Command: cmd.FullName()}
 	}
 	return cli.ShowSubcommandHelp(cmd)
 }
 
-// action marks the errors of a command's own work, apart from those of its usage.
+// action wraps the errors of a command's action in commandError, to distinguish them from usage errors.
 func action(run func(ctx context.Context, cmd *cli.Command) error) cli.ActionFunc {
 	return func(ctx context.Context, cmd *cli.Command) error {
 		if err := run(ctx, cmd); err != nil {
-			return &failureError{err: err}
+			return &commandError{err: err}
 		}
 		return nil
 	}
 }
 
-// group is a command that only has subcommands.
-func group(name, usage string, commands ...*cli.Command) *cli.Command {
+// commandGroup returns a command that only has subcommands.
+func commandGroup(name, usage string, commands ...*cli.Command) *cli.Command {
 	return &cli.Command{
 		Name:         name,
 		Usage:        usage,
 		Commands:     commands,
 		OnUsageError: usageError,
-		Action:       noCommand,
+		Action:       groupAction,
 	}
 }
 
--- a/launcher/launcher_test.go
+++ b/launcher/launcher_test.go
@@ -23,7 +23,7 @@
 	testKey        = "00112233445566778899aabbccddeeff00112233445566778899aabbccddeeff"
 )
 
-// console runs commands with a clock that only Wait moves.
+// console runs commands with a fake clock that only Wait advances.
 type console struct {
 	t     *testing.T
 	cfg   Config
@@ -42,7 +42,7 @@
 	return c
 }
 
-// run returns the exit code and both outputs. No output of any test may hold the credential or the key.
+// run returns the exit code and both outputs. It fails the test if an output contains the credential or the key.
 func (c *console) run(args ...string) (code ExitCode, stdout, stderr string) {
 	c.t.Helper()
 	var out, err bytes.Buffer
@@ -58,7 +58,7 @@
 	return code, out.String(), err.String()
 }
 
-// writeFile writes a file into a directory of the test's own and returns its path.
+// writeFile writes a file to a temporary directory and returns its path.
 func writeFile(t *testing.T, name, text string) string {
 	t.Helper()
 	path := filepath.Join(t.TempDir(), name)
@@ -143,9 +143,9 @@
 	require.Contains(t, stdout, `"line": 2`)
 }
 
-// An entry is started with settings that are faulty, and then where another process holds its port. Both
-// must be told apart from a crash by the exit code, and neither the key nor a credential's hash may get
-// into the log, even where someone logs the settings whole.
+// Runs an entry with valid settings, on a port that is in use, with a failure at run time, and with faulty settings.
+// The exit code must distinguish faulty settings and a port in use from a crash, and neither the key nor a
+// credential's hash may be logged, even if the settings are logged as a whole.
 func TestEntry(t *testing.T) {
 	c := newConsole(t)
 	var got loader.Settings
--- a/launcher/objectfile.go
+++ b/launcher/objectfile.go
@@ -10,7 +10,7 @@
 	"geraniumline/operatorserver"
 )
 
-// ObjectNotFoundError tells of an object that is not in force.
+// ObjectNotFoundError reports an object that is not in force.
 type ObjectNotFoundError struct {
 	Kind string
 	Name string
@@ -20,19 +20,19 @@
 	return fmt.Sprintf("there is no %s %q in force", e.Kind, e.Name)
 }
 
-// fileForm is a configuration object as a file holds it.
-type fileForm struct {
+// objectFile is the file format of a configuration object.
+type objectFile struct {
 	Kind        string          `json:"kind"`
 	Name        string          `json:"name"`
 	BaseVersion int64           `json:"baseVersion"`
 	Body        json.RawMessage `json:"body"`
 }
 
-func fileFormOf(o operatorserver.ConfigObject) fileForm {
-	return fileForm{Kind: o.Kind, Name: o.Name, BaseVersion: o.Version, Body: json.RawMessage(o.Body)}
+func newObjectFile(o operatorserver.ConfigObject) objectFile {
+	return objectFile{Kind: o.Kind, Name: o.Name, BaseVersion: o.Version, Body: json.RawMessage(o.Body)}
 }
 
-// difference is one field that differs between two bodies. An empty side lacks the field.
+// difference is one field that differs between two bodies. A value is empty if that body doesn't have the field.
 type difference struct {
 	Kind    string `json:"kind"`
 	Name    string `json:"name"`
@@ -41,33 +41,33 @@
 	InFile  string `json:"inFile"`
 }
 
-// differences compares two bodies field by field; a body of nil has none.
+// differences compares two bodies field by field; a nil body has no fields.
 func differences(kind, name string, inForce, inFile []byte) ([]difference, error) {
-	before, err := fieldsOf(inForce)
+	fieldsInForce, err := fieldsOf(inForce)
 	if err != nil {
 		return nil, fmt.Errorf("%s %s in force: %w", kind, name, err)
 	}
-	after, err := fieldsOf(inFile)
+	fieldsInFile, err := fieldsOf(inFile)
 	if err != nil {
 		return nil, fmt.Errorf("%s %s in the file: %w", kind, name, err)
 	}
 	paths := map[string]bool{}
-	for path := range before {
+	for path := range fieldsInForce {
 		paths[path] = true
 	}
-	for path := range after {
+	for path := range fieldsInFile {
 		paths[path] = true
 	}
 	var found []difference
 	for _, path := range slices.Sorted(maps.Keys(paths)) {
-		if before[path] != after[path] {
-			found = append(found, difference{kind, name, path, before[path], after[path]})
+		if fieldsInForce[path] != fieldsInFile[path] {
+			found = append(found, difference{kind, name, path, fieldsInForce[path], fieldsInFile[path]})
 		}
 	}
 	return found, nil
 }
 
-// fieldsOf returns each scalar and each empty list or object of a JSON text by its path.
+// fieldsOf returns the scalars and the empty lists and objects of a JSON text, as JSON by path.
 func fieldsOf(text []byte) (map[string]string, error) {
 	fields := map[string]string{}
 	if len(text) == 0 {
@@ -100,6 +100,6 @@
 			return
 		}
 	}
-	text, _ := json.Marshal(value) // it was decoded from JSON
+	text, _ := json.Marshal(value) // a value decoded from JSON can be encoded
 	fields[path] = string(text)
 }
--- a/launcher/operator_test.go
+++ b/launcher/operator_test.go
@@ -15,19 +15,19 @@
 	"geraniumline/operatorserver"
 )
 
-// fakeEntry is an entry's operator interface that holds one contract.
+// fakeEntry serves the operator API of an entry with one contract.
 type fakeEntry struct {
 	operatorserver.UnimplementedHandler
-	mu         sync.Mutex // guards published, lookups and stop
-	version    int64
-	body       string
-	verdict    operatorserver.ConfigVerdictVerdict // of the next change
-	published  []*operatorserver.ConfigChange
-	lookups    int
-	knownAfter int // lookups until the verdict is known
-	cutPublish bool
-	stop       []operatorserver.StopProgress
-	server     *httptest.Server
+	mu               sync.Mutex // guards published, lookups and stop
+	version          int64
+	body             string
+	verdict          operatorserver.ConfigVerdictVerdict // of the next change
+	published        []*operatorserver.ConfigChange
+	lookups          int
+	pendingLookups   int // lookups before the verdict is known
+	dropPublishReply bool
+	stop             []operatorserver.StopProgress
+	server           *httptest.Server
 }
 
 const contractBody = `{"weight":2,"ratePerSecond":20,"burst":40,"concurrency":8,"costPerSecond":900,"urgency":"normal",` +
@@ -39,8 +39,8 @@
 	handler, err := operatorserver.NewServer(f, f)
 	require.NoError(t, err)
 	f.server = httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		if f.cutPublish && r.Method == http.MethodPost {
-			handler.ServeHTTP(httptest.NewRecorder(), r) // it takes effect, and its reply is lost
+		if f.dropPublishReply && r.Method == http.MethodPost {
+			handler.ServeHTTP(httptest.NewRecorder(), r) // the change takes effect, but its reply is lost
 			panic(http.ErrAbortHandler)
 		}
 		handler.ServeHTTP(w, r)
@@ -51,7 +51,7 @@
 
 func (f *fakeEntry) address() string { return strings.TrimPrefix(f.server.URL, "http://") }
 
-// flags are what reaches the entry as an operator.
+// flags returns the flags for calling the entry as an operator; addresses are tried before the entry's own.
 func (f *fakeEntry) flags(t *testing.T, addresses ...string) []string {
 	flags := []string{"--user", "asha", "--credential-file", writeFile(t, "credential", testCredential+"\n")}
 	for _, address := range append(addresses, f.address()) {
@@ -99,15 +99,15 @@
 	defer f.mu.Unlock()
 	f.lookups++
 	for _, change := range f.published {
-		if change.OperationId == params.OperationId && f.lookups > f.knownAfter {
+		if change.OperationId == params.OperationId && f.lookups > f.pendingLookups {
 			return f.verdictOn(change), nil
 		}
 	}
 	return nil, errors.New("unknown operation")
 }
 
-// changes returns the changes that came. A cut connection orders nothing between the handler and the
-// test, so the lock has to.
+// changes returns the received changes. A closed connection doesn't synchronize the handler with the test, so the
+// lock is needed.
 func (f *fakeEntry) changes() []*operatorserver.ConfigChange {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -134,7 +134,7 @@
 	return f.GetStop(ctx)
 }
 
-// GetStop gives the next step, and after the last one cuts the connection, as an entry that has exited.
+// GetStop returns the next step. After the last one it closes the connection, like an entry that has exited.
 func (f *fakeEntry) GetStop(context.Context) (*operatorserver.StopProgress, error) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -146,7 +146,7 @@
 	return &next, nil
 }
 
-// closedPort is an address that refuses connections.
+// closedPort returns an address that refuses connections.
 func closedPort(t *testing.T) string {
 	t.Helper()
 	server := httptest.NewServer(http.NotFoundHandler())
@@ -163,7 +163,7 @@
 		output   string
 	}{
 		{"status", "status", ExitOK, "entry-1 in zone-a: serving, ready"},
-		{"status keeps the terminal safe", "status", ExitOK, "ALARM late ?[2J"},
+		{"status without control characters", "status", ExitOK, "ALARM late ?[2J"},
 		{"status as JSON", "status --json", ExitOK, `"entry": "entry-1"`},
 		{"trace", "trace t1", ExitOK, "trace t1, 0 spans"},
 		{"objects in force", "config get", ExitOK, "contract  kilima        3"},
@@ -176,7 +176,7 @@
 	}
 	for _, s := range scenarios {
 		t.Run(s.testName, func(t *testing.T) {
-			// The first address does not answer; the second must be asked.
+			// The first address doesn't respond, so the second one must be called.
 			args := append(strings.Fields(s.args), f.flags(t, closedPort(t))...)
 			code, stdout, stderr := newConsole(t).run(args...)
 			require.Equal(t, s.want, code, stderr)
@@ -198,7 +198,7 @@
 	}{
 		{"accepted, based on the version in force", []string{"config", "publish"}, object, "accepted", ExitOK, 3, `"weight":2`},
 		{"based on the version in the file", []string{"config", "publish"}, strings.Replace(object, `"name"`, `"baseVersion": 1, "name"`, 1), "accepted", ExitOK, 1, `"weight":2`},
-		{"lost to another operator", []string{"config", "publish"}, object, "conflict", ExitFailed, 3, `"weight":2`},
+		{"conflict with another operator", []string{"config", "publish"}, object, "conflict", ExitFailed, 3, `"weight":2`},
 		{"found invalid by the entry", []string{"config", "publish"}, object, "invalid", ExitUsage, 3, `"weight":2`},
 		{"contract from a file", []string{"contract", "set", "kilima"}, "// raised\n" + contractBody, "accepted", ExitOK, 3, `"weight":2`},
 	}
@@ -227,7 +227,7 @@
 	require.Equal(t, ExitUsage, code)
 	require.Contains(t, stderr, "ratePerSecond")
 	require.Contains(t, stderr, "wieght")
-	require.Len(t, f.changes(), 1, "a faulty change is not sent")
+	require.Len(t, f.changes(), 1, "a faulty change must not be sent")
 }
 
 func TestDiffAndRemove(t *testing.T) {
@@ -249,16 +249,16 @@
 	require.Equal(t, int64(3), f.changes()[0].BaseVersion)
 }
 
-// The entry takes a change into the log, and its reply is lost. Sent again, the change would meet itself
-// as a conflict, and the operator would be told that it lost. So it is sent once, its verdict is looked up
-// by the operation id, and where no entry knows it in time the operator is told unknown, with that id.
+// An entry appends a change to the log, but its reply is lost. If the change were sent again, it would conflict with
+// itself, and the operator would see a conflict. So it must be sent once and its verdict looked up by the operation
+// id; if no entry has the verdict in time, the outcome must be unknown, printed with that id.
 func TestLostReplyIsLookedUpAndNotSentAgain(t *testing.T) {
 	object := writeFile(t, "object.json", `{"kind": "contract", "name": "kilima", "body": `+contractBody+`}`)
 	scenarios := []struct {
-		testName   string
-		knownAfter int
-		want       ExitCode
-		output     string
+		testName       string
+		pendingLookups int
+		want           ExitCode
+		output         string
 	}{
 		{"known at once", 0, ExitOK, "contract kilima: accepted, version 4 in force"},
 		{"known after a while", 5, ExitOK, "contract kilima: accepted, version 4 in force"},
@@ -267,8 +267,8 @@
 	for _, s := range scenarios {
 		t.Run(s.testName, func(t *testing.T) {
 			f, other := newFakeEntry(t), newFakeEntry(t)
-			f.cutPublish = true
-			f.knownAfter = s.knownAfter
+			f.dropPublishReply = true
+			f.pendingLookups = s.pendingLookups
 			args := append([]string{"config", "publish", object}, f.flags(t)...)
 			code, stdout, stderr := newConsole(t).run(append(args, "--address", other.address())...)
 			require.Equal(t, s.want, code, stderr)
@@ -282,25 +282,25 @@
 	}
 }
 
-// An entry that has drained exits between two questions of the command. That is the end that the operator
-// waits for; an entry that vanishes with requests in flight is not, and exits 1.
+// An entry that has drained exits between two progress requests; the command must report that as done. If an entry
+// disappears with requests in flight, the command must exit with 1.
 func TestStop(t *testing.T) {
 	step := func(phase operatorserver.StopProgressPhase, inFlight int, left int64) operatorserver.StopProgress {
 		return operatorserver.StopProgress{Phase: phase, InFlight: inFlight, MillisLeft: left}
 	}
-	begun := step("withdrawing", 9, 5000)
+	started := step("withdrawing", 9, 5000)
 	scenarios := []struct {
 		testName string
 		steps    []operatorserver.StopProgress
 		want     ExitCode
 		output   string
 	}{
-		{"done", []operatorserver.StopProgress{begun, begun, step("draining", 2, 0), step("done", 0, 0)}, ExitOK,
+		{"done", []operatorserver.StopProgress{started, started, step("draining", 2, 0), step("done", 0, 0)}, ExitOK,
 			"withdrawing: 9 in flight, 5.0 s until the last address answer lapses\n" +
 				"draining: 2 in flight, 0.0 s until the last address answer lapses\n" +
 				"done: 0 in flight, 0.0 s until the last address answer lapses\n"},
-		{"exited after handing over", []operatorserver.StopProgress{begun, step("handingOver", 0, 0)}, ExitOK, "done: 0 in flight"},
-		{"vanished with requests in flight", []operatorserver.StopProgress{begun, step("draining", 3, 0)}, ExitFailed, "with 3 requests in flight when it last did"},
+		{"exited after handing over", []operatorserver.StopProgress{started, step("handingOver", 0, 0)}, ExitOK, "done: 0 in flight"},
+		{"disappeared with requests in flight", []operatorserver.StopProgress{started, step("draining", 3, 0)}, ExitFailed, "with 3 requests in flight when it last did"},
 	}
 	for _, s := range scenarios {
 		t.Run(s.testName, func(t *testing.T) {
--- a/launcher/print.go
+++ b/launcher/print.go
@@ -10,19 +10,19 @@
 	"github.com/urfave/cli/v3"
 )
 
-// jsonFlag makes a command print JSON for a script.
+// jsonFlag returns the flag that makes a command print JSON.
 func jsonFlag() cli.Flag {
 	return &cli.BoolFlag{Name: "json", Usage: "print JSON, for a script"}
 }
 
 // print writes to the standard output.
 func (a *app) print(format string, args ...any) {
-	_, _ = fmt.Fprintf(a.out, format, args...) // nothing is left to tell where the output is closed
+	_, _ = fmt.Fprintf(a.out, format, args...) // the error can't be reported if the output is closed
 }
 
-// complain writes a line to the standard error output.
-func (a *app) complain(text string) {
-	_, _ = fmt.Fprintln(a.err, printable(text))
+// printStderr writes a line to the standard error output, with unprintable characters replaced.
+func (a *app) printStderr(text string) {
+	_, _ = fmt.Fprintln(a.err, replaceUnprintable(text))
 }
 
 // printJSON writes indented JSON to the standard output.
@@ -33,15 +33,15 @@
 	return encoder.Encode(value)
 }
 
-// printText writes text that came from elsewhere, without what would steer a terminal.
+// printText writes text from an external source. On a terminal it replaces control characters.
 func (a *app) printText(text string) {
 	if a.cfg.Terminal {
-		text = printable(text)
+		text = replaceUnprintable(text)
 	}
 	_, _ = io.WriteString(a.out, text)
 }
 
-func printable(text string) string {
+func replaceUnprintable(text string) string {
 	return strings.Map(func(r rune) rune {
 		if unicode.IsPrint(r) || r == '\n' || r == '\t' {
 			return r
--- a/launcher/publish.go
+++ b/launcher/publish.go
@@ -15,16 +15,16 @@
 	"geraniumline/presenter"
 )
 
-// A verdict that is not known yet is asked for lookups times, lookupInterval apart: twice as long as a
-// change may take to be in force everywhere.
+// A verdict that is still pending is requested up to maxLookups times, at intervals of lookupInterval: twice as long as
+// a change may take to be in force everywhere.
 const (
-	lookups        = 80
+	maxLookups     = 80
 	lookupInterval = 500 * time.Millisecond
 )
 
-// publishFiles publishes the objects of all files, and stops at the first that is not accepted.
+// publishFiles publishes the objects of all files, and stops at the first one that is not accepted.
 func (a *app) publishFiles(ctx context.Context, cmd *cli.Command) error {
-	objects, err := a.objectsOf(cmd)
+	objects, err := a.loadFiles(cmd)
 	if err != nil {
 		return err
 	}
@@ -33,7 +33,7 @@
 		return err
 	}
 	for _, o := range objects {
-		change, err := changeOf(ctx, c, o)
+		change, err := newObjectChange(ctx, c, o)
 		if err != nil {
 			return err
 		}
@@ -44,21 +44,21 @@
 	return nil
 }
 
-func (a *app) objectsOf(cmd *cli.Command) ([]loader.Object, error) {
+func (a *app) loadFiles(cmd *cli.Command) ([]loader.Object, error) {
 	if !cmd.Args().Present() {
 		return nil, &UsageError{Message: "name the files", Command: cmd.FullName()}
 	}
 	var objects []loader.Object
 	var failures []error
 	for _, file := range cmd.Args().Slice() {
-		more, err := a.loadObjects(file)
-		objects = append(objects, more...)
+		loaded, err := a.loadObjects(file)
+		objects = append(objects, loaded...)
 		failures = append(failures, err)
 	}
 	return objects, errors.Join(failures...)
 }
 
-func changeOf(ctx context.Context, c *connection, o loader.Object) (*operatorserver.ConfigChange, error) {
+func newObjectChange(ctx context.Context, c *connection, o loader.Object) (*operatorserver.ConfigChange, error) {
 	version := o.BaseVersion
 	if !o.HasVersion {
 		inForce, err := objectInForce(ctx, c, o.Kind, o.Name)
@@ -81,9 +81,9 @@
 	}
 }
 
-// objectInForce returns an object of version 0 where there is none.
+// objectInForce returns the object in force, or an object of version 0 if there is none.
 func objectInForce(ctx context.Context, c *connection, kind, name string) (operatorserver.ConfigObject, error) {
-	view, err := viewOf(ctx, c, kind, name)
+	view, err := fetchConfigFrom(ctx, c, kind, name)
 	if err != nil {
 		return operatorserver.ConfigObject{}, err
 	}
@@ -95,21 +95,21 @@
 
 // publish sends one change and waits for its verdict.
 func (a *app) publish(ctx context.Context, cmd *cli.Command, c *connection, change *operatorserver.ConfigChange) error {
-	verdict, err := send(ctx, c, change)
+	verdict, err := sendChange(ctx, c, change)
 	if err == nil && verdict.Verdict != operatorserver.ConfigVerdictVerdictPending {
-		return a.judge(cmd, verdict)
+		return a.reportVerdict(cmd, verdict)
 	}
 	if err != nil && !errors.As(err, new(*maybeSentError)) {
 		return err
 	}
-	verdict, err = a.lookUp(ctx, c, change.OperationId)
+	verdict, err = a.pollVerdict(ctx, c, change.OperationId)
 	if err != nil {
 		return err
 	}
-	return a.judge(cmd, verdict)
+	return a.reportVerdict(cmd, verdict)
 }
 
-// maybeSentError tells of a call that failed after some of it may have arrived.
+// maybeSentError reports a call that failed after part of it may have reached the entry.
 type maybeSentError struct {
 	err error
 }
@@ -118,15 +118,15 @@
 
 func (e *maybeSentError) Unwrap() error { return e.err }
 
-// send goes on to the next address only while nothing was sent.
+// sendChange tries the next address only while nothing has been sent.
 //
-// A change that was sent and not answered may be in the log. Sent again, it would meet its own first
-// copy as a conflict, and the operator would be told that a change was lost which is in force. So its
-// verdict is looked up by the operation id instead.
-func send(ctx context.Context, c *connection, change *operatorserver.ConfigChange) (*operatorserver.ConfigVerdict, error) {
-	var last error
+// A change that was sent but got no response may be in the log. If it were sent again, it would conflict with its own
+// first copy, and the operator would see a conflict for a change that is in force. So its verdict is looked up by the
+// operation id instead.
+func sendChange(ctx context.Context, c *connection, change *operatorserver.ConfigChange) (*operatorserver.ConfigVerdict, error) {
+	var lastErr error
 	for _, address := range c.addresses {
-		client, err := c.operator(address)
+		client, err := c.operatorClient(address)
 		if err != nil {
 			return nil, &UsageError{Message: err.Error()}
 		}
@@ -134,22 +134,22 @@
 		if err == nil {
 			return verdict, nil
 		}
-		if refused := refusalOf(address, err); refused != nil {
+		if refused := refusalError(address, err); refused != nil {
 			return nil, refused
 		}
 		if !caller.NotSent(err) {
 			return nil, &maybeSentError{err: err}
 		}
-		last = err
+		lastErr = err
 	}
-	return nil, &UnreachableError{Addresses: c.addresses, Err: last}
+	return nil, &UnreachableError{Addresses: c.addresses, Err: lastErr}
 }
 
-// lookUp asks for the verdict until it is known.
-func (a *app) lookUp(ctx context.Context, c *connection, operationID string) (*operatorserver.ConfigVerdict, error) {
+// pollVerdict requests the verdict until it is known. After maxLookups attempts it returns an OutcomeError.
+func (a *app) pollVerdict(ctx context.Context, c *connection, operationID string) (*operatorserver.ConfigVerdict, error) {
 	params := operatorserver.GetOperationParams{OperationId: operationID}
-	for range lookups {
-		verdict, err := ask(ctx, c, func(client *operatorserver.Client) (*operatorserver.ConfigVerdict, error) {
+	for range maxLookups {
+		verdict, err := callAny(ctx, c, func(client *operatorserver.Client) (*operatorserver.ConfigVerdict, error) {
 			return client.GetOperation(ctx, params)
 		})
 		if err == nil && verdict.Verdict != operatorserver.ConfigVerdictVerdictPending {
@@ -163,8 +163,8 @@
 		Message: "the change may be accepted yet; ask with: geraniumline config operation"}
 }
 
-// judge prints a verdict. Only an accepted change exits 0.
-func (a *app) judge(cmd *cli.Command, verdict *operatorserver.ConfigVerdict) error {
+// reportVerdict prints a verdict and returns the error that sets the exit code. Only an accepted change exits with 0.
+func (a *app) reportVerdict(cmd *cli.Command, verdict *operatorserver.ConfigVerdict) error {
 	if cmd.Bool("json") {
 		if err := a.printJSON(verdict); err != nil {
 			return err
@@ -196,13 +196,13 @@
 		return err
 	}
 	params := operatorserver.GetOperationParams{OperationId: cmd.Args().First()}
-	verdict, err := ask(ctx, c, func(client *operatorserver.Client) (*operatorserver.ConfigVerdict, error) {
+	verdict, err := callAny(ctx, c, func(client *operatorserver.Client) (*operatorserver.ConfigVerdict, error) {
 		return client.GetOperation(ctx, params)
 	})
 	if err != nil {
 		return err
 	}
-	return a.judge(cmd, verdict)
+	return a.reportVerdict(cmd, verdict)
 }
 
 func (a *app) remove(ctx context.Context, cmd *cli.Command) error {
@@ -228,7 +228,7 @@
 }
 
 func (a *app) diffFiles(ctx context.Context, cmd *cli.Command) error {
-	objects, err := a.objectsOf(cmd)
+	objects, err := a.loadFiles(cmd)
 	if err != nil {
 		return err
 	}
@@ -248,10 +248,10 @@
 		}
 		all = append(all, found...)
 	}
-	return a.showDifferences(cmd, all)
+	return a.printDifferences(cmd, all)
 }
 
-func (a *app) showDifferences(cmd *cli.Command, all []difference) error {
+func (a *app) printDifferences(cmd *cli.Command, all []difference) error {
 	if cmd.Bool("json") {
 		if err := a.printJSON(all); err != nil {
 			return err
--- a/launcher/request.go
+++ b/launcher/request.go
@@ -14,8 +14,8 @@
 	"geraniumline/callerserver"
 )
 
-// followGrace is how long after a request's deadline its outcome is still waited for.
-const followGrace = 5 * time.Second
+// outcomeGrace is how long after a request's deadline the command still waits for its outcome.
+const outcomeGrace = 5 * time.Second
 
 func (a *app) requestCommand() *cli.Command {
 	flags := connectionFlags(envCallerAddress, "any entry's caller address, asked which entries to use,")
@@ -56,7 +56,7 @@
 	if err != nil {
 		return err
 	}
-	a.complain("key " + request.Key)
+	a.printStderr("key " + request.Key)
 	var printed strings.Builder
 	if request.Stream && !cmd.Bool("json") {
 		request.OnPart = func(text string) {
@@ -64,14 +64,14 @@
 			printed.WriteString(text)
 		}
 	}
-	result := resultOf(a.newCaller(c).Send(ctx, request))
+	result := newRequestResult(a.newCaller(c).Send(ctx, request))
 	result.Key = request.Key
 	if cmd.Bool("json") {
 		if err := a.printJSON(result); err != nil {
 			return err
 		}
 	}
-	return a.finish(cmd, result, printed.String())
+	return a.printOutcome(cmd, result, printed.String())
 }
 
 func (a *app) newCaller(c *connection) *caller.Caller {
@@ -81,7 +81,7 @@
 		Entries:    c.addresses,
 		HTTP:       c.client,
 		Scheme:     c.scheme,
-		Grace:      followGrace,
+		Grace:      outcomeGrace,
 		Now:        a.cfg.Now,
 		Wait:       a.cfg.Wait,
 	})
@@ -95,7 +95,7 @@
 	if deadline < time.Millisecond {
 		return caller.Request{}, &UsageError{Message: "--deadline must be at least 1ms"}
 	}
-	input, err := a.inputOf(cmd)
+	input, err := a.readRequestInput(cmd)
 	if err != nil {
 		return caller.Request{}, err
 	}
@@ -113,7 +113,7 @@
 	}, err
 }
 
-func (a *app) inputOf(cmd *cli.Command) (string, error) {
+func (a *app) readRequestInput(cmd *cli.Command) (string, error) {
 	file := cmd.String("input-file")
 	if file == "" {
 		return strings.Join(cmd.Args().Slice(), " "), nil
@@ -128,15 +128,15 @@
 	return string(text), nil
 }
 
-// newTraceparent begins a trace, so that `trace` finds the request's hops.
+// newTraceparent returns the traceparent of a new trace, by which the trace command finds the request's hops.
 func newTraceparent() string {
 	var ids [24]byte
 	_, _ = rand.Read(ids[:]) // crypto/rand never returns an error
 	return fmt.Sprintf("00-%x-%x-01", ids[:16], ids[16:])
 }
 
-// result is what became of a request.
-type result struct {
+// requestResult is the outcome of a request as the command prints it.
+type requestResult struct {
 	Key              string                    `json:"key"`
 	Outcome          callerserver.OutcomeState `json:"outcome"`
 	Answer           string                    `json:"answer,omitempty"`
@@ -145,37 +145,37 @@
 	Message          string                    `json:"message,omitempty"`
 	RetryAfterMillis int64                     `json:"retryAfterMillis,omitempty"`
 	Address          string                    `json:"address,omitempty"`
-	Tries            int                       `json:"tries"`
+	Attempts         int                       `json:"tries"`
 }
 
-// resultOf takes what Send returns. Its errors but FailedError come before anything is sent.
-func resultOf(answer caller.Answer, err error) result {
-	var failed *caller.RequestError
+// newRequestResult converts what Send returns. Errors other than RequestError occur before anything is sent.
+func newRequestResult(answer caller.Answer, err error) requestResult {
+	var requestErr *caller.RequestError
 	switch {
 	case err == nil:
-		return result{
+		return requestResult{
 			Outcome:   callerserver.OutcomeStateAnswered,
 			Answer:    answer.Text,
 			RequestID: answer.RequestID,
 			Address:   answer.Entry,
-			Tries:     answer.Attempts,
+			Attempts:  answer.Attempts,
 		}
-	case errors.As(err, &failed):
-		return result{
-			Outcome:          callerserver.OutcomeState(failed.Outcome),
-			Code:             failed.Code,
-			Message:          failed.Message,
-			RetryAfterMillis: failed.RetryAfter.Milliseconds(),
-			Address:          failed.Entry,
-			Tries:            failed.Attempts,
+	case errors.As(err, &requestErr):
+		return requestResult{
+			Outcome:          callerserver.OutcomeState(requestErr.Outcome),
+			Code:             requestErr.Code,
+			Message:          requestErr.Message,
+			RetryAfterMillis: requestErr.RetryAfter.Milliseconds(),
+			Address:          requestErr.Entry,
+			Attempts:         requestErr.Attempts,
 		}
 	default:
-		return result{Outcome: callerserver.OutcomeStateNotRun, Message: err.Error()}
+		return requestResult{Outcome: callerserver.OutcomeStateNotRun, Message: err.Error()}
 	}
 }
 
-// finish prints the answer but for what of it was printed as it came.
-func (a *app) finish(cmd *cli.Command, r result, printed string) error {
+// printOutcome prints the part of the answer that was not yet printed as a stream, or returns an OutcomeError.
+func (a *app) printOutcome(cmd *cli.Command, r requestResult, printed string) error {
 	if r.Outcome != callerserver.OutcomeStateAnswered {
 		return &OutcomeError{
 			Unknown: r.Outcome != callerserver.OutcomeStateNotRun,
@@ -186,8 +186,8 @@
 	if cmd.Bool("json") {
 		return nil
 	}
-	rest, goesOn := strings.CutPrefix(r.Answer, printed)
-	if !goesOn {
+	rest, continues := strings.CutPrefix(r.Answer, printed)
+	if !continues {
 		rest = "\n" + r.Answer
 	}
 	a.printText(rest)
--- a/launcher/request_test.go
+++ b/launcher/request_test.go
@@ -16,10 +16,10 @@
 	"geraniumline/callerserver"
 )
 
-// reply is what a fake entry does with one request.
+// reply is a fake entry's handler for one request.
 type reply func(w http.ResponseWriter) error
 
-func answers(text string) reply {
+func answerReply(text string) reply {
 	return func(w http.ResponseWriter) error {
 		w.Header().Set("Content-Type", "application/json")
 		_, err := fmt.Fprintf(w, `{"requestId": "r", "key": "k", "answer": %q, "totalParts": 1}`, text)
@@ -27,7 +27,7 @@
 	}
 }
 
-func refuses(status int, outcome, code string, retryAfterMillis int) reply {
+func failureReply(status int, outcome, code string, retryAfterMillis int) reply {
 	return func(w http.ResponseWriter) error {
 		w.Header().Set("Content-Type", "application/json")
 		w.WriteHeader(status)
@@ -36,8 +36,8 @@
 	}
 }
 
-// streams writes parts, then the whole answer where there is one, and else cuts the connection.
-func streams(whole string, parts ...string) reply {
+// streamReply writes parts and then the complete answer, or closes the connection if there is none.
+func streamReply(whole string, parts ...string) reply {
 	return func(w http.ResponseWriter) error {
 		w.Header().Set("Content-Type", "text/event-stream")
 		for _, part := range parts {
@@ -45,31 +45,31 @@
 			_ = http.NewResponseController(w).Flush()
 		}
 		if whole == "" {
-			return cuts(w)
+			return closeConnection(w)
 		}
 		_, err := fmt.Fprintf(w, "event: answer\ndata: {\"requestId\": \"r\", \"key\": \"k\", \"answer\": %q, \"totalParts\": 2}\n\n", whole)
 		return err
 	}
 }
 
-func cuts(http.ResponseWriter) error { panic(http.ErrAbortHandler) }
+func closeConnection(http.ResponseWriter) error { panic(http.ErrAbortHandler) }
 
-// fakeCallers is an entry's caller interface that follows a script.
-type fakeCallers struct {
+// fakeCallerAPI serves the caller API of an entry from a script.
+type fakeCallerAPI struct {
 	callerserver.UnimplementedHandler
 	server *httptest.Server
 
-	mu       sync.Mutex
-	ranked   []string
-	replies  []reply
-	outcomes []callerserver.Outcome // the last one is repeated
-	keys     []string
-	asked    int // for addresses
+	mu              sync.Mutex
+	ranked          []string
+	replies         []reply
+	outcomes        []callerserver.Outcome // the last one is repeated
+	keys            []string
+	addressRequests int
 }
 
-func newFakeCallers(t *testing.T, replies ...reply) *fakeCallers {
+func newFakeCallerAPI(t *testing.T, replies ...reply) *fakeCallerAPI {
 	t.Helper()
-	f := &fakeCallers{replies: replies}
+	f := &fakeCallerAPI{replies: replies}
 	handler, err := callerserver.NewServer(f, f, f)
 	require.NoError(t, err)
 	f.server = httptest.NewServer(handler)
@@ -78,23 +78,23 @@
 	return f
 }
 
-func (f *fakeCallers) address() string { return strings.TrimPrefix(f.server.URL, "http://") }
+func (f *fakeCallerAPI) address() string { return strings.TrimPrefix(f.server.URL, "http://") }
 
-func (f *fakeCallers) HandleBasicAuth(ctx context.Context, _ callerserver.OperationName, auth callerserver.BasicAuth) (context.Context, error) {
+func (f *fakeCallerAPI) HandleBasicAuth(ctx context.Context, _ callerserver.OperationName, auth callerserver.BasicAuth) (context.Context, error) {
 	if auth.Username != "kilima" || auth.Password != testCredential {
 		return ctx, errors.New("wrong credential")
 	}
 	return ctx, nil
 }
 
-func (f *fakeCallers) NewError(_ context.Context, err error) *callerserver.FailureStatusCode {
+func (f *fakeCallerAPI) NewError(_ context.Context, err error) *callerserver.FailureStatusCode {
 	return &callerserver.FailureStatusCode{StatusCode: 404, Response: callerserver.Failure{Code: "unknownKey", Message: err.Error(), Outcome: "notRun"}}
 }
 
-func (f *fakeCallers) ListAddresses(context.Context) (*callerserver.AddressAnswer, error) {
+func (f *fakeCallerAPI) ListAddresses(context.Context) (*callerserver.AddressAnswer, error) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.asked++
+	f.addressRequests++
 	answer := &callerserver.AddressAnswer{TtlMillis: 60_000}
 	for _, address := range f.ranked {
 		answer.Addresses = append(answer.Addresses, callerserver.EntryAddress{Address: address, Zone: "zone-a"})
@@ -102,36 +102,36 @@
 	return answer, nil
 }
 
-func (f *fakeCallers) RunPipeline(_ context.Context, req *callerserver.PipelineRequest, params callerserver.RunPipelineParams, w http.ResponseWriter) error {
+func (f *fakeCallerAPI) RunPipeline(_ context.Context, req *callerserver.PipelineRequest, params callerserver.RunPipelineParams, w http.ResponseWriter) error {
 	f.mu.Lock()
 	f.keys = append(f.keys, params.IdempotencyKey)
-	next := refuses(400, "notRun", "offScript", 0)
+	next := failureReply(400, "notRun", "offScript", 0)
 	if len(f.replies) > 0 {
 		next = f.replies[0]
 		f.replies = f.replies[1:]
 	}
 	f.mu.Unlock()
 	if req.Input != "readings" || params.Traceparent.Value == "" {
-		return errors.New("the request is not whole")
+		return errors.New("the request is incomplete")
 	}
 	return next(w)
 }
 
-// seen returns the keys of the requests that came. A cut connection orders nothing between the handler
-// and the test, so the lock has to.
-func (f *fakeCallers) seen() []string {
+// receivedKeys returns the keys of the received requests. A closed connection doesn't synchronize the handler with the
+// test, so the lock is needed.
+func (f *fakeCallerAPI) receivedKeys() []string {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.keys
 }
 
-func (f *fakeCallers) askedTimes() int {
+func (f *fakeCallerAPI) addressRequestCount() int {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return f.asked
+	return f.addressRequests
 }
 
-func (f *fakeCallers) GetOutcome(context.Context, callerserver.GetOutcomeParams) (*callerserver.Outcome, error) {
+func (f *fakeCallerAPI) GetOutcome(context.Context, callerserver.GetOutcomeParams) (*callerserver.Outcome, error) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if len(f.outcomes) == 0 {
@@ -152,51 +152,51 @@
 	return o
 }
 
-// Each scenario has two entries, the first ranked before the second. What must hold: every try carries
-// one key; notRun is told only where no try was cut off or the outcome says so; a cut request is asked
-// after; parts are printed once.
+// Each scenario has two entries, the first ranked before the second. Every attempt must use the same key; notRun must
+// be reported only if no connection broke during an attempt or if the outcome says so; after a broken connection the
+// outcome must be requested; parts must be printed once.
 func TestRequest(t *testing.T) {
 	const maxGap = 7 * time.Second
 	answered := outcome(callerserver.OutcomeStateAnswered, "whole answer")
 	running := outcome(callerserver.OutcomeStateRunning, "")
 	scenarios := []struct {
-		testName  string
-		flags     string
-		first     []reply
-		second    []reply
-		outcomes  []callerserver.Outcome // asked of the second
-		want      ExitCode
-		output    string
-		wantTries int
+		testName     string
+		flags        string
+		first        []reply
+		second       []reply
+		outcomes     []callerserver.Outcome // returned by the second
+		want         ExitCode
+		output       string
+		wantAttempts int
 	}{
-		{"answered", "", []reply{answers("whole answer")}, nil, nil, ExitOK, "whole answer\n", 1},
-		{"busy, then answered after the time named", "",
-			[]reply{refuses(429, "notRun", "rateLimited", 700), answers("whole answer")}, []reply{refuses(503, "notRun", "draining", 0)},
+		{"answered", "", []reply{answerReply("whole answer")}, nil, nil, ExitOK, "whole answer\n", 1},
+		{"busy, then answered after the given time", "",
+			[]reply{failureReply(429, "notRun", "rateLimited", 700), answerReply("whole answer")}, []reply{failureReply(503, "notRun", "draining", 0)},
 			nil, ExitOK, "whole answer\n", 3},
-		{"wrong credential is final", "", []reply{refuses(401, "notRun", "wrongCredential", 0)}, nil, nil, ExitNotRun, "notRun: no\n", 1},
-		{"unknown is final", "", []reply{refuses(502, "unknown", "ownerLost", 0)}, nil,
+		{"wrong credential is final", "", []reply{failureReply(401, "notRun", "wrongCredential", 0)}, nil, nil, ExitNotRun, "notRun: no\n", 1},
+		{"unknown is final", "", []reply{failureReply(502, "unknown", "ownerLost", 0)}, nil,
 			[]callerserver.Outcome{outcome(callerserver.OutcomeStateUnknown, "")}, ExitUnknown, "unknown: no (", 1},
-		{"unknown, and then known after all", "", []reply{refuses(502, "unknown", "ownerLost", 0)}, nil,
+		{"unknown, then answered", "", []reply{failureReply(502, "unknown", "ownerLost", 0)}, nil,
 			[]callerserver.Outcome{running, answered}, ExitOK, "whole answer\n", 1},
-		{"cut, then answered under the same key", "", []reply{cuts}, []reply{answers("whole answer")}, nil, ExitOK, "whole answer\n", 2},
-		{"cut, then refused: the first try's outcome counts", "", []reply{cuts}, []reply{refuses(401, "notRun", "wrongCredential", 0)},
+		{"connection closed, then answered under the same key", "", []reply{closeConnection}, []reply{answerReply("whole answer")}, nil, ExitOK, "whole answer\n", 2},
+		{"connection closed, then refused: the first attempt's outcome counts", "", []reply{closeConnection}, []reply{failureReply(401, "notRun", "wrongCredential", 0)},
 			[]callerserver.Outcome{running, answered}, ExitOK, "whole answer\n", 2},
-		{"cut, then refused, and no entry knows", "", []reply{cuts}, []reply{refuses(401, "notRun", "wrongCredential", 0)},
+		{"connection closed, then refused, no outcome", "", []reply{closeConnection}, []reply{failureReply(401, "notRun", "wrongCredential", 0)},
 			nil, ExitUnknown, "unknown: no entry tells what became of it", 2},
-		{"cut, and not run by the system's word", "", []reply{cuts}, []reply{refuses(401, "notRun", "wrongCredential", 0)},
+		{"connection closed, outcome not run", "", []reply{closeConnection}, []reply{failureReply(401, "notRun", "wrongCredential", 0)},
 			[]callerserver.Outcome{outcome(callerserver.OutcomeStateNotRun, "")}, ExitNotRun, "notRun: no", 2},
-		{"streamed", "--stream", []reply{streams("whole answer", "whole ", "answer")}, nil, nil, ExitOK, "whole answer\n", 1},
-		{"stream cut, the rest printed once", "--stream", []reply{streams("", "whole ")}, []reply{answers("whole answer")}, nil, ExitOK, "whole answer\n", 2},
+		{"streamed", "--stream", []reply{streamReply("whole answer", "whole ", "answer")}, nil, nil, ExitOK, "whole answer\n", 1},
+		{"stream truncated, the rest printed once", "--stream", []reply{streamReply("", "whole ")}, []reply{answerReply("whole answer")}, nil, ExitOK, "whole answer\n", 2},
 		{"busy until the deadline", "--deadline 1s",
-			[]reply{refuses(503, "notRun", "busy", 600), refuses(503, "notRun", "busy", 600)}, []reply{refuses(503, "notRun", "busy", 600)},
+			[]reply{failureReply(503, "notRun", "busy", 600), failureReply(503, "notRun", "busy", 600)}, []reply{failureReply(503, "notRun", "busy", 600)},
 			nil, ExitNotRun, "notRun: no", 2},
-		{"as JSON", "--json", []reply{refuses(403, "notRun", "notInContract", 0)}, nil, nil, ExitNotRun, `"outcome": "notRun"`, 1},
+		{"as JSON", "--json", []reply{failureReply(403, "notRun", "notInContract", 0)}, nil, nil, ExitNotRun, `"outcome": "notRun"`, 1},
 	}
 	for _, s := range scenarios {
 		t.Run(s.testName, func(t *testing.T) {
-			second := newFakeCallers(t, s.second...)
+			second := newFakeCallerAPI(t, s.second...)
 			second.outcomes = s.outcomes
-			first := newFakeCallers(t, s.first...)
+			first := newFakeCallerAPI(t, s.first...)
 			first.ranked = []string{first.address(), second.address()}
 			c := newConsole(t)
 			code, stdout, stderr := c.run(requestArgs(t, s.flags, closedPort(t), first.address())...)
@@ -205,14 +205,14 @@
 			if s.want == ExitOK {
 				require.Equal(t, s.output, stdout)
 			}
-			keys := append(first.seen(), second.seen()...)
-			require.Len(t, keys, s.wantTries)
+			keys := append(first.receivedKeys(), second.receivedKeys()...)
+			require.Len(t, keys, s.wantAttempts)
 			for _, key := range keys {
 				require.Contains(t, stderr, "key "+key+"\n")
 			}
-			require.Equal(t, 1, first.askedTimes(), "the address answer is kept while it lasts")
-			require.NotContains(t, stderr, "readings", "the request's body")
-			require.Less(t, c.now.Sub(time.Unix(1_800_000_000, 0)), 6*time.Second+followGrace+maxGap)
+			require.Equal(t, 1, first.addressRequestCount(), "the addresses must be cached for their time to live")
+			require.NotContains(t, stderr, "readings", "the request's body must not be printed")
+			require.Less(t, c.now.Sub(time.Unix(1_800_000_000, 0)), 6*time.Second+outcomeGrace+maxGap)
 		})
 	}
 }
@@ -225,7 +225,7 @@
 	return append(append(args, strings.Fields(flags)...), "readings")
 }
 
-// Nobody listens at any address: nothing was ever sent, so notRun is the truth.
+// If no address accepts connections, nothing is sent, so the outcome must be notRun.
 func TestRequestThatWasNeverSentIsNotRun(t *testing.T) {
 	code, _, stderr := newConsole(t).run(requestArgs(t, "--key 0190a1b2-7c3d-7e4f-8a5b-6c7d8e9f0a1b", closedPort(t), closedPort(t))...)
 	require.Equal(t, ExitNotRun, code)
--- a/launcher/status.go
+++ b/launcher/status.go
@@ -31,7 +31,7 @@
 	if err != nil {
 		return err
 	}
-	status, err := ask(ctx, c, func(client *operatorserver.Client) (*operatorserver.Status, error) {
+	status, err := callAny(ctx, c, func(client *operatorserver.Client) (*operatorserver.Status, error) {
 		return client.GetStatus(ctx)
 	})
 	if err != nil {
--- a/launcher/stop.go
+++ b/launcher/stop.go
@@ -11,14 +11,14 @@
 	"geraniumline/operatorserver"
 )
 
-// stopInterval is the time between two questions for a stop's progress; while nothing but the clock
-// changes, a line is printed every showInterval.
+// stopPollInterval is the time between two requests for a stop's progress. While only the remaining time changes, a
+// line is printed every progressInterval.
 const (
-	stopInterval = 500 * time.Millisecond
-	showInterval = 5 * time.Second
+	stopPollInterval = 500 * time.Millisecond
+	progressInterval = 5 * time.Second
 )
 
-// StopLostError tells that an entry went away before its planned stop was done.
+// StopLostError reports that an entry stopped responding before its planned stop was done.
 type StopLostError struct {
 	Address  string
 	InFlight int
@@ -60,72 +60,73 @@
 	if len(c.addresses) != 1 {
 		return &UsageError{Message: "give exactly one address: that of the entry to stop", Command: cmd.FullName()}
 	}
-	// Beginning a stop that has begun changes nothing, so this may be asked twice.
-	progress, err := ask(ctx, c, func(client *operatorserver.Client) (*operatorserver.StopProgress, error) {
+	// Starting a stop is idempotent, so the call may be repeated.
+	progress, err := callAny(ctx, c, func(client *operatorserver.Client) (*operatorserver.StopProgress, error) {
 		return client.StartStop(ctx)
 	})
 	if err != nil {
 		return err
 	}
-	watch := stopWatch{app: a, json: cmd.Bool("json"), last: *progress}
-	watch.show()
+	monitor := stopMonitor{app: a, json: cmd.Bool("json"), last: *progress}
+	monitor.print()
 	if cmd.Bool("no-wait") {
 		return nil
 	}
-	return watch.follow(ctx, c)
+	return monitor.follow(ctx, c)
 }
 
-// stopWatch shows each change of a stop's progress.
-type stopWatch struct {
+// stopMonitor prints the progress of a stop.
+type stopMonitor struct {
 	app  *app
 	json bool
 	last operatorserver.StopProgress
-	// shown is when a line was last printed.
-	shown time.Time
+	// printedAt is when a line was last printed.
+	printedAt time.Time
 }
 
-func (w *stopWatch) follow(ctx context.Context, c *connection) error {
-	for w.last.Phase != operatorserver.StopProgressPhaseDone {
-		if err := w.app.cfg.Wait(ctx, stopInterval); err != nil {
+func (m *stopMonitor) follow(ctx context.Context, c *connection) error {
+	for m.last.Phase != operatorserver.StopProgressPhaseDone {
+		if err := m.app.cfg.Wait(ctx, stopPollInterval); err != nil {
 			return err
 		}
-		progress, err := ask(ctx, c, func(client *operatorserver.Client) (*operatorserver.StopProgress, error) {
+		progress, err := callAny(ctx, c, func(client *operatorserver.Client) (*operatorserver.StopProgress, error) {
 			return client.GetStop(ctx)
 		})
 		if err != nil {
-			return w.ended(ctx, c.addresses[0], err)
+			return m.handleUnreachable(ctx, c.addresses[0], err)
 		}
-		changed := progress.Phase != w.last.Phase || progress.InFlight != w.last.InFlight
-		w.last = *progress
-		if changed || w.app.cfg.Now().Sub(w.shown) >= showInterval {
-			w.show()
+		changed := progress.Phase != m.last.Phase || progress.InFlight != m.last.InFlight
+		m.last = *progress
+		if changed || m.app.cfg.Now().Sub(m.printedAt) >= progressInterval {
+			m.print()
 		}
 	}
 	return nil
 }
 
-// ended judges an entry that no longer answers. It exits as soon as it has handed over, most often
-// between two questions, so silence after that phase began with nothing in flight is the end awaited.
-func (w *stopWatch) ended(ctx context.Context, address string, err error) error {
+// handleUnreachable decides whether an entry that no longer responds has finished its stop. An entry exits as soon as
+// it has handed over, usually between two progress requests. So it counts as done if nothing was in flight and the last
+// address answer had expired, or would have within stopPollInterval, when it last responded.
+func (m *stopMonitor) handleUnreachable(ctx context.Context, address string, err error) error {
 	var unreachable *UnreachableError
 	if ctx.Err() != nil || !errors.As(err, &unreachable) {
 		return err
 	}
-	idle := w.last.InFlight == 0 && w.last.MillisLeft <= int64(stopInterval/time.Millisecond)
+	idle := m.last.InFlight == 0 && m.last.MillisLeft <= int64(stopPollInterval/time.Millisecond)
 	if !idle {
-		return &StopLostError{Address: address, InFlight: w.last.InFlight, Err: unreachable.Err}
+		return &StopLostError{Address: address, InFlight: m.last.InFlight, Err: unreachable.Err}
 	}
-	w.last = operatorserver.StopProgress{Phase: operatorserver.StopProgressPhaseDone}
-	w.show()
+	m.last = operatorserver.StopProgress{Phase: operatorserver.StopProgressPhaseDone}
+	m.print()
 	return nil
 }
 
-func (w *stopWatch) show() {
-	w.shown = w.app.cfg.Now()
-	if w.json {
-		_ = w.app.printJSON(w.last)
+func (m *stopMonitor) print() {
+	m.printedAt = m.app.cfg.Now()
+	if m.json {
+		_ = m.app.printJSON(m.last)
 		return
 	}
-	w.app.print("%s: %d in flight, %.1f s until the last address answer lapses\n",
-		w.last.Phase, w.last.InFlight, float64(w.last.MillisLeft)/1000)
+	m.app.print("%s: %d in flight, %.1f s until the last address answer lapses\n",
+		m.last.Phase, m.last.InFlight, float64(m.last.MillisLeft)/1000)
 }
--- a/launcher/trace.go
+++ b/launcher/trace.go
@@ -45,13 +45,14 @@
 	return nil
 }
 
-// findTrace asks every address: one entry's refusal does not speak for the others.
+// findTrace requests the trace from every address until one has it: a refusal by one entry doesn't apply to the
+// others.
 func findTrace(ctx context.Context, c *connection, id string) (*operatorserver.Trace, error) {
 	var failures []error
 	for _, address := range c.addresses {
-		one := *c
-		one.addresses = []string{address}
-		trace, err := ask(ctx, &one, func(client *operatorserver.Client) (*operatorserver.Trace, error) {
+		single := *c
+		single.addresses = []string{address}
+		trace, err := callAny(ctx, &single, func(client *operatorserver.Client) (*operatorserver.Trace, error) {
 			return client.GetTrace(ctx, operatorserver.GetTraceParams{TraceId: id})
 		})
 		if err == nil {
