--- a/launcher/operator_test.go
+++ b/launcher/operator_test.go
@@ -260,9 +260,9 @@
 		want           ExitCode
 		output         string
 	}{
-		{"known at once", 0, ExitOK, "contract kilima: accepted, version 4 in force"},
-		{"known after a while", 5, ExitOK, "contract kilima: accepted, version 4 in force"},
-		{"never known", 1 << 20, ExitUnknown, "unknown: the change may be accepted yet"},
+		{"verdict known immediately", 0, ExitOK, "contract kilima: accepted, version 4 in force"},
+		{"verdict known after 5 lookups", 5, ExitOK, "contract kilima: accepted, version 4 in force"},
+		{"verdict never known", 1 << 20, ExitUnknown, "unknown: the change may be accepted yet"},
 	}
 	for _, s := range scenarios {
 		t.Run(s.testName, func(t *testing.T) {
--- a/receiver/writer.go
+++ b/receiver/writer.go
@@ -17,7 +17,7 @@
 	w          http.ResponseWriter
 	controller *http.ResponseController
 	stream     bool
-	started    bool
+	headersSet bool
 	traceID    string
 }
 
@@ -52,7 +52,7 @@
 // writeFailure ends the response with a failure. After parts have been sent the HTTP status can't change, so the
 // failure is sent as an event.
 func (o *writer) writeFailure(failure reducer.Failure) error {
-	if o.started {
+	if o.headersSet {
 		return o.writeEvent("failure", &failureOf(failure).Response)
 	}
 	o.w.Header().Set(traceHeader, o.traceID)
@@ -61,10 +61,10 @@
 }
 
 func (o *writer) setHeaders(contentType string) {
-	if o.started {
+	if o.headersSet {
 		return
 	}
-	o.started = true
+	o.headersSet = true
 	o.w.Header().Set("Content-Type", contentType)
 	o.w.Header().Set(traceHeader, o.traceID)
 }
