--- a/caller/caller.go
+++ b/caller/caller.go
@@ -75,8 +75,9 @@
 type Request struct {
 	Pipeline string
 	// Key is the idempotency key; if empty, Send generates a UUIDv7.
-	Key      string
-	Input    string
+	Key   string
+	Input string
+	// Deadline is how long after Send the answer is still of use.
 	Deadline time.Duration
 	// Traceparent is the W3C trace context to continue; if empty, the entry starts a new trace.
 	Traceparent string
--- a/caller/errors.go
+++ b/caller/errors.go
@@ -35,9 +35,7 @@
 // NoEntryError reports that no entry returned a list of addresses. Err is the last error and may be nil.
 type NoEntryError struct{ Err error }
 
-func (e *NoEntryError) Error() string {
-	return fmt.Sprintf("no entry returned a list of addresses: %v", e.Err)
-}
+func (e *NoEntryError) Error() string { return fmt.Sprintf("no entry returned addresses: %v", e.Err) }
 
 // Unwrap returns the last error.
 func (e *NoEntryError) Unwrap() error { return e.Err }
--- a/launcher/stop.go
+++ b/launcher/stop.go
@@ -68,7 +68,7 @@
 		return err
 	}
 	monitor := stopMonitor{app: a, json: cmd.Bool("json"), last: *progress}
-	monitor.print()
+	monitor.printProgress()
 	if cmd.Bool("no-wait") {
 		return nil
 	}
@@ -98,7 +98,7 @@
 		changed := progress.Phase != m.last.Phase || progress.InFlight != m.last.InFlight
 		m.last = *progress
 		if changed || m.app.cfg.Now().Sub(m.printedAt) >= progressInterval {
-			m.print()
+			m.printProgress()
 		}
 	}
 	return nil
@@ -117,11 +117,11 @@
 		return &StopLostError{Address: address, InFlight: m.last.InFlight, Err: unreachable.Err}
 	}
 	m.last = operatorserver.StopProgress{Phase: operatorserver.StopProgressPhaseDone}
-	m.print()
+	m.printProgress()
 	return nil
 }
 
-func (m *stopMonitor) print() {
+func (m *stopMonitor) printProgress() {
 	m.printedAt = m.app.cfg.Now()
 	if m.json {
 		_ = m.app.printJSON(m.last)
