--- a/launcher/check.go
+++ b/launcher/check.go
@@ -114,7 +114,7 @@
 			objects = append(objects, o)
 		}
 	}
-	for _, f := range publisher.CheckWhole(published) {
+	for _, f := range publisher.CheckConfiguration(published) {
 		result := sources[f.Index]
 		result.Faults = append(result.Faults, objects[f.Index].Fault(f.Fault.Path, f.Fault.Message))
 		result.err = newFileError(result.File, &loader.FaultsError{Faults: result.Faults})
--- a/receiver/callers.go
+++ b/receiver/callers.go
@@ -55,7 +55,7 @@
 // ListAddresses returns the entries that the account should use.
 func (c *CallerAPI) ListAddresses(ctx context.Context) (*callerserver.AddressAnswer, error) {
 	effect, err := postAndWait(ctx, c.core, func(id uint64) reducer.Event {
-		return reducer.AddressesAsked{ID: id, Credentials: credentialsOf(ctx)}
+		return reducer.AddressesRequested{ID: id, Credentials: credentialsOf(ctx)}
 	})
 	if err != nil {
 		return nil, err
@@ -75,7 +75,7 @@
 // GetOutcome returns the known outcome of the request with the given key.
 func (c *CallerAPI) GetOutcome(ctx context.Context, params callerserver.GetOutcomeParams) (*callerserver.Outcome, error) {
 	effect, err := postAndWait(ctx, c.core, func(id uint64) reducer.Event {
-		return reducer.OutcomeAsked{ID: id, Credentials: credentialsOf(ctx), Key: params.Key}
+		return reducer.OutcomeRequested{ID: id, Credentials: credentialsOf(ctx), Key: params.Key}
 	})
 	if err != nil {
 		return nil, err
@@ -148,7 +148,7 @@
 	for {
 		select {
 		case <-ctx.Done():
-			c.core.Post(reducer.CallerGone{ID: id})
+			c.core.Post(reducer.CallerDisconnected{ID: id})
 			return ctx.Err()
 		case <-reply.Signal():
 		}
--- a/receiver/receiver.go
+++ b/receiver/receiver.go
@@ -14,7 +14,7 @@
 // Core processes events and returns the effects that answer them.
 type Core interface {
 	Post(event reducer.Event)
-	Open(span *tracer.Span) (uint64, *performer.Reply)
+	Open(span *tracer.Span) (uint64, *performer.ReplyQueue)
 	Close(id uint64)
 }
 
@@ -27,7 +27,7 @@
 	for {
 		select {
 		case <-ctx.Done():
-			core.Post(reducer.CallerGone{ID: id})
+			core.Post(reducer.CallerDisconnected{ID: id})
 			return nil, ctx.Err()
 		case <-reply.Signal():
 			if effects := reply.Take(); len(effects) > 0 {
