--- a/assembler/stream_test.go
+++ b/assembler/stream_test.go
@@ -92,7 +92,7 @@
 	request.Deadline = 20 * time.Second
 	done := make(chan sendResult, 1)
 	var result sendResult
-	request.Part = func(text string) {
+	request.OnPart = func(text string) {
 		result.parts = append(result.parts, text)
 		if len(result.parts) == 1 && first != nil {
 			first <- text
--- a/prover/traffic.go
+++ b/prover/traffic.go
@@ -33,8 +33,8 @@
 }
 
 // failure returns the failure that the service reported for the request, or nil if there is none.
-func (s *sent) failure() *caller.FailedError {
-	var failed *caller.FailedError
+func (s *sent) failure() *caller.RequestError {
+	var failed *caller.RequestError
 	if errors.As(s.err, &failed) {
 		return failed
 	}
