--- a/demonstrator/configuration.go
+++ b/demonstrator/configuration.go
@@ -37,13 +37,13 @@
 		publisher.Pool{Name: "rerankers", Kind: publisher.PoolReranker, SlotsPerEndpoint: 8},
 		publisher.Pool{Name: "engines", Kind: publisher.PoolEngine, SlotsPerEndpoint: 8},
 		publisher.Pool{Name: "tickets", Kind: publisher.PoolService, HonoursFence: true, SlotsPerEndpoint: 8},
-		Summary(),
-		Ticket(),
+		SummaryPipeline(),
+		TicketPipeline(),
 	}
 }
 
-// Summary is the pipeline whose stages may all be repeated.
-func Summary() publisher.Pipeline {
+// SummaryPipeline is the pipeline whose stages may all be repeated.
+func SummaryPipeline() publisher.Pipeline {
 	return publisher.Pipeline{Name: pipelineSummary, Stages: []publisher.Stage{
 		{Name: "encode", Pool: "encoders", Repeatable: true, ExpectedMillis: 5},
 		{Name: "retrieve", Pool: "retrievers", Repeatable: true, ExpectedMillis: 3},
@@ -52,8 +52,8 @@
 	}}
 }
 
-// Ticket is the pipeline whose last stage must not be repeated.
-func Ticket() publisher.Pipeline {
+// TicketPipeline is the pipeline whose last stage must not be repeated.
+func TicketPipeline() publisher.Pipeline {
 	return publisher.Pipeline{Name: pipelineTicket, Stages: []publisher.Stage{
 		{Name: "encode", Pool: "encoders", Repeatable: true, ExpectedMillis: 5},
 		{Name: "generate", Pool: "engines", Model: "writer", MaxTokens: generatedTokens, Repeatable: true, ExpectedMillis: 40},
--- a/demonstrator/report.go
+++ b/demonstrator/report.go
@@ -98,16 +98,16 @@
 	if !ran[result.key] {
 		r.Lost++
 	}
-	if !IsOwnAnswer(result.pipeline, result.input, result.answer.Text) {
+	if !IsExpectedAnswer(result.pipeline, result.input, result.answer.Text) {
 		r.Crossed++
 	}
 }
 
-// IsOwnAnswer tells whether an answer is whole and that of the input: the stand-ins' text depends on both.
-func IsOwnAnswer(pipeline, input, text string) bool {
-	config := Summary()
+// IsExpectedAnswer tells whether an answer is whole and that of the input: the stand-ins' text depends on both.
+func IsExpectedAnswer(pipeline, input, text string) bool {
+	config := SummaryPipeline()
 	if pipeline == pipelineTicket {
-		config = Ticket()
+		config = TicketPipeline()
 	}
 	return text == faker.ExpectPipeline(requestOf(text), input, expected(config))
 }
--- a/explainer/explainer.go
+++ b/explainer/explainer.go
@@ -32,8 +32,8 @@
 	Lines   []Line
 	// Cause is the reason in the line of the request's end, empty where there is none or it was answered.
 	Cause string
-	// Bad counts the lines that could not be read.
-	Bad int
+	// Unreadable counts the lines that could not be read.
+	Unreadable int
 }
 
 // The fields of a line that name its parts.
@@ -81,7 +81,7 @@
 		line, err := parse(text)
 		switch {
 		case err != nil && named:
-			report.Bad++
+			report.Unreadable++
 		case err != nil:
 		case line.concerns(request):
 			report.Lines = append(report.Lines, line)
@@ -175,8 +175,8 @@
 		since := line.At.Sub(r.Lines[0].At)
 		fmt.Fprintf(&b, "%9.3f ms  %-22s %s%s\n", float64(since.Microseconds())/1000, line.Entry, line.Message, line.details())
 	}
-	if r.Bad > 0 {
-		fmt.Fprintf(&b, "%d lines could not be read\n", r.Bad)
+	if r.Unreadable > 0 {
+		fmt.Fprintf(&b, "%d lines could not be read\n", r.Unreadable)
 	}
 	switch {
 	case len(r.Lines) == 0:
--- a/explainer/explainer_test.go
+++ b/explainer/explainer_test.go
@@ -22,7 +22,7 @@
 	report, err := Read(strings.NewReader(logs), "id-1")
 	require.NoError(t, err)
 	require.Equal(t, "stagelate", report.Cause)
-	require.Equal(t, 1, report.Bad)
+	require.Equal(t, 1, report.Unreadable)
 	var b strings.Builder
 	require.NoError(t, report.Write(&b))
 	goldie.New(t).Assert(t, "report", []byte(b.String()))
--- a/forwarder/delegation.go
+++ b/forwarder/delegation.go
@@ -187,7 +187,7 @@
 	if !lost && !silent {
 		return false
 	}
-	f.cfg.Meter.Counter(meter.PieceMoved).Inc(1)
+	f.cfg.Meter.Counter(meter.PieceAsksMoved).Inc(1)
 	f.log.Warn("moving delegation to another entry",
 		zap.String("request", a.group.ID.Request),
 		zap.String("service", a.service),
--- a/forwarder/note.go
+++ b/forwarder/note.go
@@ -99,13 +99,13 @@
 	m.Gauge(meter.ForwardInFlight).Update(f.inFlight.Load())
 	m.Gauge(meter.ConfigVersion).Update(f.version())
 	if !f.configReadAt.IsZero() {
-		m.Gauge(meter.ConfigAge).Update(now.Sub(f.configReadAt).Milliseconds())
+		m.Gauge(meter.ConfigAgeMillis).Update(now.Sub(f.configReadAt).Milliseconds())
 	}
 	m.Gauge(meter.EndpointsCold).Update(int64(f.selector.ColdCount(now)))
 	f.updateNoticeGauges(now)
 	m.Gauge(meter.PeersLive).Update(int64(len(f.liveAddresses(f.detector.Members()))))
 	if f.registry.Loaded() {
-		m.Gauge(meter.EndpointsAge).Update(f.registry.Age(now).Milliseconds())
+		m.Gauge(meter.EndpointsAgeMillis).Update(f.registry.Age(now).Milliseconds())
 	}
 	for service, p := range f.pools {
 		m.Gauge(meter.PieceWaiting, service).Update(int64(p.WaitingPieces()))
--- a/forwarder/stream.go
+++ b/forwarder/stream.go
@@ -193,8 +193,8 @@
 func (s *streamer) beginResponse(choice *selector.Choice, resp *connector.Answer, sent time.Time) {
 	x := s.x
 	took := time.Since(sent)
-	x.f.cfg.Meter.Histogram(meter.ForwardFirstMicros).Update(took.Microseconds())
-	x.f.cfg.Meter.Histogram(meter.ForwardStageMicros).Update(sent.Sub(x.startTime).Microseconds())
+	x.f.cfg.Meter.Histogram(meter.ForwardFirstEventMicros).Update(took.Microseconds())
+	x.f.cfg.Meter.Histogram(meter.ForwardStagesMicros).Update(sent.Sub(x.startTime).Microseconds())
 	x.f.logSampled("first event",
 		zap.String("request", x.req.ID),
 		zap.String("endpoint", choice.Endpoint.ID),
--- a/meter/definition.go
+++ b/meter/definition.go
@@ -23,8 +23,8 @@
 	Label string
 	// Help says when it is counted.
 	Help string
-	// Registry is the name in the go-metrics registry, where the package that counts does not know Name.
-	Registry string
+	// RegistryName is the name in the go-metrics registry, where the package that counts does not know Name.
+	RegistryName string
 }
 
 // Requests, by client account.
@@ -48,18 +48,18 @@
 
 // Stage calls, by stage.
 const (
-	StageCalls     Name = "stage_calls"
-	StageFailures  Name = "stage_failures"
-	StageRetries   Name = "stage_retries"
-	StageHedges    Name = "stage_hedges"
-	StageResumes   Name = "stage_resumes"
-	StageCancels   Name = "stage_cancels"
-	StageMicros    Name = "stage_micros"
-	RepliesLate    Name = "replies_late"
-	RepliesForeign Name = "replies_foreign"
-	StreamGaps     Name = "stream_gaps"
-	StreamOverlaps Name = "stream_overlaps"
-	EndpointsGone  Name = "endpoints_ejected"
+	StageCalls       Name = "stage_calls"
+	StageFailures    Name = "stage_failures"
+	StageRetries     Name = "stage_retries"
+	StageHedges      Name = "stage_hedges"
+	StageResumes     Name = "stage_resumes"
+	StageCancels     Name = "stage_cancels"
+	StageMicros      Name = "stage_micros"
+	RepliesLate      Name = "replies_late"
+	RepliesForeign   Name = "replies_foreign"
+	StreamGaps       Name = "stream_gaps"
+	StreamOverlaps   Name = "stream_overlaps"
+	EndpointsEjected Name = "endpoints_ejected"
 )
 
 // Orders to engines.
@@ -93,54 +93,54 @@
 
 // Requests that are forwarded between the platform's callers and endpoints.
 const (
-	ForwardRequests    Name = "forward_requests"
-	ForwardMicros      Name = "forward_micros"
-	ForwardFirstMicros Name = "forward_first_event_micros"
-	ForwardStageMicros Name = "forward_stages_micros"
-	ForwardInFlight    Name = "forward_in_flight"
-	ForwardCalls       Name = "forward_calls"
-	ForwardRepeats     Name = "forward_repeats"
-	ForwardResumes     Name = "forward_resumes"
-	ForwardCrashes     Name = "forward_crashes"
-	PieceCalls         Name = "piece_calls"
-	PieceCallMicros    Name = "piece_call_micros"
-	PieceBatch         Name = "piece_batch"
-	PieceWaiting       Name = "piece_waiting"
-	PieceFailures      Name = "piece_failures"
-	PieceMoved         Name = "piece_asks_moved"
-	EndpointJudgements Name = "endpoint_judgements"
-	EndpointsAge       Name = "endpoints_age_millis"
-	ConfigVersion      Name = "config_version"
-	ConfigAge          Name = "config_age_millis"
-	StoreCalls         Name = "store_calls"
-	StoreReturns       Name = "store_returns"
-	EntriesUnusable    Name = "entries_unusable"
-	NoticesUnusable    Name = "notices_unusable"
-	LogLinesDropped    Name = "log_lines_dropped"
+	ForwardRequests         Name = "forward_requests"
+	ForwardMicros           Name = "forward_micros"
+	ForwardFirstEventMicros Name = "forward_first_event_micros"
+	ForwardStagesMicros     Name = "forward_stages_micros"
+	ForwardInFlight         Name = "forward_in_flight"
+	ForwardCalls            Name = "forward_calls"
+	ForwardRepeats          Name = "forward_repeats"
+	ForwardResumes          Name = "forward_resumes"
+	ForwardCrashes          Name = "forward_crashes"
+	PieceCalls              Name = "piece_calls"
+	PieceCallMicros         Name = "piece_call_micros"
+	PieceBatch              Name = "piece_batch"
+	PieceWaiting            Name = "piece_waiting"
+	PieceFailures           Name = "piece_failures"
+	PieceAsksMoved          Name = "piece_asks_moved"
+	EndpointJudgements      Name = "endpoint_judgements"
+	EndpointsAgeMillis      Name = "endpoints_age_millis"
+	ConfigVersion           Name = "config_version"
+	ConfigAgeMillis         Name = "config_age_millis"
+	StoreCalls              Name = "store_calls"
+	StoreReturns            Name = "store_returns"
+	EntriesUnusable         Name = "entries_unusable"
+	NoticesUnusable         Name = "notices_unusable"
+	LogLinesDropped         Name = "log_lines_dropped"
 )
 
 // Peers.
 const (
-	HeartbeatsSent     Name = "heartbeats_sent"
-	HeartbeatsReceived Name = "heartbeats_received"
-	HeartbeatsReplaced Name = "heartbeats_replaced"
-	PeerFramesSent     Name = "peer_frames_sent"
-	PeerFramesReceived Name = "peer_frames_received"
-	PeerFramesBad      Name = "peer_frames_bad"
-	PeerBytesSent      Name = "peer_bytes_sent"
-	PeerBytesReceived  Name = "peer_bytes_received"
-	PeerSendsDropped   Name = "peer_messages_dropped"
-	PeerSendsLost      Name = "peer_messages_lost"
-	PeersRefused       Name = "peers_refused"
-	PeersEvicted       Name = "peers_evicted"
-	PeerAcceptErrors   Name = "peer_accept_errors"
-	PeersLive          Name = "peers_live"
-	ZonesEvacuated     Name = "zones_evacuated"
-	EndpointsCold      Name = "endpoints_cold"
-	EndpointsLimited   Name = "endpoints_limited"
-	EndpointsLeaving   Name = "endpoints_leaving"
-	EndpointsResting   Name = "endpoints_resting"
-	PausesNoticed      Name = "pauses_noticed"
+	HeartbeatsSent      Name = "heartbeats_sent"
+	HeartbeatsReceived  Name = "heartbeats_received"
+	HeartbeatsReplaced  Name = "heartbeats_replaced"
+	PeerFramesSent      Name = "peer_frames_sent"
+	PeerFramesReceived  Name = "peer_frames_received"
+	PeerFramesBad       Name = "peer_frames_bad"
+	PeerBytesSent       Name = "peer_bytes_sent"
+	PeerBytesReceived   Name = "peer_bytes_received"
+	PeerMessagesDropped Name = "peer_messages_dropped"
+	PeerMessagesLost    Name = "peer_messages_lost"
+	PeersRefused        Name = "peers_refused"
+	PeersEvicted        Name = "peers_evicted"
+	PeerAcceptErrors    Name = "peer_accept_errors"
+	PeersLive           Name = "peers_live"
+	ZonesEvacuated      Name = "zones_evacuated"
+	EndpointsCold       Name = "endpoints_cold"
+	EndpointsLimited    Name = "endpoints_limited"
+	EndpointsLeaving    Name = "endpoints_leaving"
+	EndpointsResting    Name = "endpoints_resting"
+	PausesNoticed       Name = "pauses_noticed"
 )
 
 // Listening sockets, by socket.
@@ -202,7 +202,7 @@
 	{RepliesForeign, KindCounter, "replies", "", "A reply dropped because its ids were not those of the call.", ""},
 	{StreamGaps, KindCounter, "parts", "", "A hole found in a stream's sequence numbers.", ""},
 	{StreamOverlaps, KindCounter, "parts", "", "A part of a stream that had come before and was cut.", ""},
-	{EndpointsGone, KindCounter, "endpoints", "", "An endpoint taken out because it did worse than its pool.", ""},
+	{EndpointsEjected, KindCounter, "endpoints", "", "An endpoint taken out because it did worse than its pool.", ""},
 
 	{OrdersSent, KindCounter, "orders", "", "An order sent to an engine.", ""},
 	{OrdersRefused, KindCounter, "orders", "", "An order that the engine surely did not take.", ""},
@@ -229,8 +229,8 @@
 
 	{ForwardRequests, KindCounter, "requests", byReason, "A forwarded request that has ended: answered, or the reason of its failure.", ""},
 	{ForwardMicros, KindHistogram, "microseconds", "", "From a forwarded request's arrival to its end.", ""},
-	{ForwardFirstMicros, KindHistogram, "microseconds", "", "From a call to a model engine to its first event.", ""},
-	{ForwardStageMicros, KindHistogram, "microseconds", "", "From a request's arrival to the end of its stages.", ""},
+	{ForwardFirstEventMicros, KindHistogram, "microseconds", "", "From a call to a model engine to its first event.", ""},
+	{ForwardStagesMicros, KindHistogram, "microseconds", "", "From a request's arrival to the end of its stages.", ""},
 	{ForwardInFlight, KindGauge, "requests", "", "Forwarded requests under way.", ""},
 	{ForwardCalls, KindCounter, "calls", byService, "A forwarded request sent to an endpoint.", ""},
 	{ForwardRepeats, KindCounter, "calls", byService, "A call beyond the first of its request. The system's budget bounds them.", ""},
@@ -241,11 +241,11 @@
 	{PieceBatch, KindHistogram, "pieces", byService, "Pieces of one call.", ""},
 	{PieceWaiting, KindGauge, "pieces", byService, "Pieces that wait for a call at this entry.", ""},
 	{PieceFailures, KindCounter, "pieces", byReason, "A piece that a call did not make.", ""},
-	{PieceMoved, KindCounter, "asks", "", "Pieces asked for at another entry since the first one was silent.", ""},
+	{PieceAsksMoved, KindCounter, "asks", "", "Pieces asked for at another entry since the first one was silent.", ""},
 	{EndpointJudgements, KindCounter, "judgements", byOutcome, "An endpoint taken out of use or let back.", ""},
-	{EndpointsAge, KindGauge, "milliseconds", "", "Age of the list of endpoints.", ""},
+	{EndpointsAgeMillis, KindGauge, "milliseconds", "", "Age of the list of endpoints.", ""},
 	{ConfigVersion, KindGauge, "version", "", "Version of the configuration that requests are forwarded by.", ""},
-	{ConfigAge, KindGauge, "milliseconds", "", "Time since the store last answered a reading of the configuration, here or at a peer.", ""},
+	{ConfigAgeMillis, KindGauge, "milliseconds", "", "Time since the store last answered a reading of the configuration, here or at a peer.", ""},
 	{EntriesUnusable, KindCounter, "records", "", "An endpoint's entry in the store that can't be used.", ""},
 	{NoticesUnusable, KindCounter, "answers", byService, "An endpoint's answer whose header on the work that the endpoint takes can't be used.", ""},
 	{StoreCalls, KindCounter, "calls", byOutcome, "A reading of the platform's store.", ""},
@@ -260,8 +260,8 @@
 	{PeerFramesBad, KindCounter, "frames", "", "A frame that was too large or could not be decoded; its connection was closed.", "peers.badFrames"},
 	{PeerBytesSent, KindCounter, "bytes", "", "Bytes written to peers.", "peers.bytesSent"},
 	{PeerBytesReceived, KindCounter, "bytes", "", "Bytes read from peers.", "peers.bytesReceived"},
-	{PeerSendsDropped, KindCounter, "messages", "", "A message that found no room in the queue for its peer.", "peers.messagesDropped"},
-	{PeerSendsLost, KindCounter, "messages", "", "A message for a peer that could not be reached.", "peers.messagesLost"},
+	{PeerMessagesDropped, KindCounter, "messages", "", "A message that found no room in the queue for its peer.", "peers.messagesDropped"},
+	{PeerMessagesLost, KindCounter, "messages", "", "A message for a peer that could not be reached.", "peers.messagesLost"},
 	{PeersRefused, KindCounter, "connections", "", "A connection at the peers' socket that did not prove the shared key.", "peers.connectionsRefused"},
 	{PeersEvicted, KindCounter, "connections", "", "A connection at the peers' socket closed in favour of a newer one.", "peers.connectionsEvicted"},
 	{PeerAcceptErrors, KindCounter, "failures", "", "A failure to accept a connection at the peers' socket.", "peers.acceptFailures"},
--- a/meter/meter.go
+++ b/meter/meter.go
@@ -117,8 +117,8 @@
 }
 
 func registryName(key series) string {
-	if d, ok := definitionOf(key.name); ok && d.Registry != "" {
-		return d.Registry
+	if d, ok := definitionOf(key.name); ok && d.RegistryName != "" {
+		return d.RegistryName
 	}
 	if key.label == "" {
 		return string(key.name)
--- a/performer/metrics.go
+++ b/performer/metrics.go
@@ -79,7 +79,7 @@
 	{meter.OutcomesAsked, func(c *reducer.Counters) uint64 { return c.OutcomesAsked }},
 	{meter.OutcomesHandedOff, func(c *reducer.Counters) uint64 { return c.OutcomesHandedOff }},
 	{meter.PoisonRefused, func(c *reducer.Counters) uint64 { return c.PoisonRefused }},
-	{meter.EndpointsGone, func(c *reducer.Counters) uint64 { return c.EndpointsEjected }},
+	{meter.EndpointsEjected, func(c *reducer.Counters) uint64 { return c.EndpointsEjected }},
 	{meter.OrdersSent, func(c *reducer.Counters) uint64 { return c.OrdersSent }},
 	{meter.OrdersRefused, func(c *reducer.Counters) uint64 { return c.OrdersRefused }},
 	{meter.OrdersUncertain, func(c *reducer.Counters) uint64 { return c.OrdersUncertain }},
--- a/prover/configs.go
+++ b/prover/configs.go
@@ -116,7 +116,7 @@
 		if err != nil {
 			return err
 		}
-		if err := b.fleet.Log().SetFaults(ctx, faker.LogFaults{LoseReplies: 1}); err != nil {
+		if err := b.fleet.LogDriver().SetFaults(ctx, faker.LogFaults{LoseReplies: 1}); err != nil {
 			return err
 		}
 		operation := fmt.Sprintf("lost-%d", round)
--- a/prover/endpoints.go
+++ b/prover/endpoints.go
@@ -99,7 +99,7 @@
 			vms = append(vms, vm)
 		}
 	}
-	return b.fleet.VMs().SetVMs(ctx, vms)
+	return b.fleet.VMsDriver().SetVMs(ctx, vms)
 }
 
 // all sets the faults of all endpoints of a pool.
@@ -178,11 +178,11 @@
 	time.Sleep(time.Second)
 	frozen := []*starter.Endpoint{b.fleet.Endpoints("engines")[2], b.fleet.Endpoints("tickets")[1]}
 	for _, endpoint := range frozen {
-		err = firstOf(err, endpoint.Freeze())
+		err = firstOf(err, endpoint.Suspend())
 	}
 	time.Sleep(3 * time.Second)
 	for _, endpoint := range frozen {
-		err = firstOf(err, endpoint.Thaw())
+		err = firstOf(err, endpoint.Resume())
 	}
 	time.Sleep(time.Second)
 	return err
--- a/prover/entries.go
+++ b/prover/entries.go
@@ -92,11 +92,11 @@
 func (b *bench) freezeSome() error {
 	for i := range 2 {
 		time.Sleep(time.Second)
-		if err := b.entry(i).Freeze(); err != nil {
+		if err := b.entry(i).Suspend(); err != nil {
 			return err
 		}
 		time.Sleep(2500 * time.Millisecond)
-		if err := b.entry(i).Thaw(); err != nil {
+		if err := b.entry(i).Resume(); err != nil {
 			return err
 		}
 	}
@@ -228,8 +228,8 @@
 	return []death{
 		{entry: 0, begin: b.entry(0).Kill, end: none},
 		{entry: 1, begin: b.entry(1).Kill, end: none},
-		{entry: 2, begin: b.entry(2).Freeze, end: b.entry(2).Thaw},
-		{entry: 3, begin: b.entry(3).Freeze, end: b.entry(3).Thaw},
+		{entry: 2, begin: b.entry(2).Suspend, end: b.entry(2).Resume},
+		{entry: 3, begin: b.entry(3).Suspend, end: b.entry(3).Resume},
 		{entry: 6, begin: cut(relayer.Stalled), end: cut(relayer.Open)},
 	}
 }
--- a/prover/logs.go
+++ b/prover/logs.go
@@ -36,14 +36,14 @@
 		start := time.Now()
 		time.Sleep(2 * time.Second)
 		down := time.Now()
-		err := b.fleet.Log().SetFaults(ctx, faker.LogFaults{Outage: kind})
+		err := b.fleet.LogDriver().SetFaults(ctx, faker.LogFaults{Outage: kind})
 		length := outageTime
 		if kind == faker.OutageHang {
 			length *= 2
 		}
 		time.Sleep(length)
 		up := time.Now()
-		err = firstOf(err, b.fleet.Log().SetFaults(ctx, faker.LogFaults{}))
+		err = firstOf(err, b.fleet.LogDriver().SetFaults(ctx, faker.LogFaults{}))
 		time.Sleep(2 * time.Second)
 		stopTickets()
 		stopSummaries()
@@ -75,7 +75,7 @@
 // run; once that is noticed, others are refused at once. Requests that may be repeated notice nothing, and when the
 // log is quick again a key that was refused can be run.
 func proveSlowLog(ctx context.Context, b *bench) error {
-	if err := b.fleet.Log().SetFaults(ctx, faker.LogFaults{SlowAppendMillis: 5000}); err != nil {
+	if err := b.fleet.LogDriver().SetFaults(ctx, faker.LogFaults{SlowAppendMillis: 5000}); err != nil {
 		return err
 	}
 	from := time.Now()
@@ -98,7 +98,7 @@
 	if ran := b.count(ctx).Untrue; ran > 0 {
 		return violated("%d requests told notRun ran when their claims landed", ran)
 	}
-	if err := b.fleet.Log().SetFaults(ctx, faker.LogFaults{}); err != nil {
+	if err := b.fleet.LogDriver().SetFaults(ctx, faker.LogFaults{}); err != nil {
 		return err
 	}
 	again := refused[0]
@@ -112,7 +112,7 @@
 // Half of the appends take effect and lose their reply. Entries read their claims back from the log, so every
 // request is answered and none runs twice.
 func proveAppendReplyLost(ctx context.Context, b *bench) error {
-	if err := b.fleet.Log().SetFaults(ctx, faker.LogFaults{LoseReplyRate: 0.5}); err != nil {
+	if err := b.fleet.LogDriver().SetFaults(ctx, faker.LogFaults{LoseReplyRate: 0.5}); err != nil {
 		return err
 	}
 	from := time.Now()
@@ -136,7 +136,7 @@
 	if err != nil {
 		return err
 	}
-	if err := b.fleet.Log().Trim(ctx, faker.TrimCall{Stream: "config", Before: last}); err != nil {
+	if err := b.fleet.LogDriver().Trim(ctx, faker.TrimCall{Stream: "config", Before: last}); err != nil {
 		return err
 	}
 	if err := b.underLoad(ctx, func() error { return b.replaceEach(ctx, last) }); err != nil {
@@ -184,7 +184,7 @@
 	if err != nil {
 		return err
 	}
-	if err := b.fleet.Log().SetFaults(ctx, faker.LogFaults{Outage: faker.OutageFail}); err != nil {
+	if err := b.fleet.LogDriver().SetFaults(ctx, faker.LogFaults{Outage: faker.OutageFail}); err != nil {
 		return err
 	}
 	if err := b.underLoad(ctx, func() error { return b.replaceEach(ctx, version) }); err != nil {
--- a/prover/traffic.go
+++ b/prover/traffic.go
@@ -52,8 +52,8 @@
 	Untrue int
 }
 
-func ticket() string  { return demonstrator.Ticket().Name }
-func summary() string { return demonstrator.Summary().Name }
+func ticket() string  { return demonstrator.TicketPipeline().Name }
+func summary() string { return demonstrator.SummaryPipeline().Name }
 
 // request makes a request with a key and an input of its own.
 func (b *bench) request(pipeline string) (*sent, error) {
@@ -194,7 +194,7 @@
 		if !ran {
 			c.Lost++
 		}
-		if !demonstrator.IsOwnAnswer(s.pipeline, s.input, s.answer.Text) {
+		if !demonstrator.IsExpectedAnswer(s.pipeline, s.input, s.answer.Text) {
 			c.Untrue++
 		}
 	case failed == nil:
--- a/soaker/fleet.go
+++ b/soaker/fleet.go
@@ -126,7 +126,7 @@
 	for _, e := range f.entries {
 		if process, _ := e.present(); process != nil {
 			// It may have ended already.
-			_ = process.Thaw()
+			_ = process.Resume()
 			_ = process.Kill()
 		}
 		for _, relay := range []*relayer.Relay{e.store, e.callers} {
--- a/soaker/world.go
+++ b/soaker/world.go
@@ -139,9 +139,9 @@
 		w.onProcess(f.Entry, w.restart)
 	case PauseEntry:
 		w.onProcess(f.Entry, func(_ *entry, process *starter.Process) {
-			if process.Freeze() == nil {
+			if process.Suspend() == nil {
 				last()
-				_ = process.Thaw()
+				_ = process.Resume()
 			}
 		})
 	case StopEntry:
--- a/starter/fleet.go
+++ b/starter/fleet.go
@@ -92,7 +92,7 @@
 			return err
 		}
 	}
-	if err := f.ListVMs(ctx); err != nil {
+	if err := f.RegisterVMs(ctx); err != nil {
 		return err
 	}
 	if err := f.layEntries(); err != nil {
@@ -147,8 +147,8 @@
 	return fmt.Sprintf("zone-%c", 'a'+rune(i%f.cfg.Zones))
 }
 
-// ListVMs tells the platform's list which VMs there are.
-func (f *Fleet) ListVMs(ctx context.Context) error {
+// RegisterVMs tells the platform's list which VMs there are.
+func (f *Fleet) RegisterVMs(ctx context.Context) error {
 	var vms []platformserver.VM
 	for _, pool := range f.cfg.Pools {
 		for _, endpoint := range f.pools[pool.Name] {
@@ -245,14 +245,14 @@
 // Endpoints are the stand-ins of a pool.
 func (f *Fleet) Endpoints(pool string) []*Endpoint { return f.pools[pool] }
 
-// Log drives the log's stand-in.
-func (f *Fleet) Log() *faker.Driver { return faker.NewDriver(f.log.address) }
+// LogDriver drives the log's stand-in.
+func (f *Fleet) LogDriver() *faker.Driver { return faker.NewDriver(f.log.address) }
 
 // LogAddress is where the log's stand-in serves.
 func (f *Fleet) LogAddress() string { return f.log.address }
 
-// VMs drives the stand-in of the list of VMs.
-func (f *Fleet) VMs() *faker.Driver { return faker.NewDriver(f.vms.address) }
+// VMsDriver drives the stand-in of the list of VMsDriver.
+func (f *Fleet) VMsDriver() *faker.Driver { return faker.NewDriver(f.vms.address) }
 
 // Executions gathers the ledgers of all endpoints.
 func (f *Fleet) Executions(ctx context.Context) ([]faker.Execution, error) {
--- a/starter/process.go
+++ b/starter/process.go
@@ -147,11 +147,11 @@
 	return nil
 }
 
-// Freeze stops the process in its tracks; Thaw lets it go on.
-func (p *Process) Freeze() error { return p.command.Process.Signal(syscall.SIGSTOP) }
+// Suspend stops the process in its tracks; Thaw lets it go on.
+func (p *Process) Suspend() error { return p.command.Process.Signal(syscall.SIGSTOP) }
 
-// Thaw lets a frozen process go on.
-func (p *Process) Thaw() error { return p.command.Process.Signal(syscall.SIGCONT) }
+// Resume lets a frozen process go on.
+func (p *Process) Resume() error { return p.command.Process.Signal(syscall.SIGCONT) }
 
 // Terminate asks the process to stop as planned.
 func (p *Process) Terminate() error { return p.command.Process.Signal(syscall.SIGTERM) }
