--- a/meter/handler.go
+++ b/meter/handler.go
@@ -11,13 +11,13 @@
 	"github.com/rcrowley/go-metrics"
 )
 
-// prefix begins the name of each metric in the Prometheus text form.
+// prefix is prepended to metric names in the Prometheus text format.
 const prefix = "geraniumline_"
 
-// quantiles are those that both forms give of a histogram.
+// quantiles lists the quantiles of histograms that both formats contain.
 var quantiles = []float64{0.5, 0.95, 0.99, 0.999}
 
-// reading is what one series stood at.
+// reading is the current value of one series.
 type reading struct {
 	Name      Name               `json:"name"`
 	Label     string             `json:"label,omitempty"`
@@ -29,18 +29,18 @@
 	Quantiles map[string]float64 `json:"quantiles,omitempty"`
 }
 
-// JSONHandler serves all metrics as JSON.
+// JSONHandler returns a handler that serves all metrics as JSON.
 func (m *Meter) JSONHandler() http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 		w.Header().Set("Content-Type", "application/json")
-		// An error here means that the reader has gone.
+		// An error here means that the client has disconnected.
 		_ = json.NewEncoder(w).Encode(struct {
 			Metrics []reading `json:"metrics"`
 		}{m.readings()})
 	})
 }
 
-// PrometheusHandler serves all metrics in the Prometheus text form, histograms as summaries.
+// PrometheusHandler returns a handler that serves all metrics in the Prometheus text format, histograms as summaries.
 func (m *Meter) PrometheusHandler() http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 		w.Header().Set("Content-Type", "text/plain; version=0.0.4; charset=utf-8")
@@ -48,19 +48,19 @@
 	})
 }
 
-// Prometheus returns all metrics in the Prometheus text form.
+// Prometheus returns all metrics in the Prometheus text format.
 func (m *Meter) Prometheus() string {
 	var b strings.Builder
 	readings := m.readings()
 	for _, d := range definitions {
-		first := true
+		firstOfMetric := true
 		for _, r := range readings {
 			if r.Name != d.Name {
 				continue
 			}
-			if first {
-				writeHead(&b, d)
-				first = false
+			if firstOfMetric {
+				writeHeader(&b, d)
+				firstOfMetric = false
 			}
 			writeReading(&b, d, r)
 		}
@@ -68,7 +68,7 @@
 	return b.String()
 }
 
-func writeHead(b *strings.Builder, d Definition) {
+func writeHeader(b *strings.Builder, d Definition) {
 	kind := string(d.Kind)
 	if d.Kind == KindHistogram {
 		kind = "summary"
@@ -78,38 +78,38 @@
 }
 
 func writeReading(b *strings.Builder, d Definition, r reading) {
-	var pairs []string
+	var labels []string
 	if r.Label != "" {
-		pairs = append(pairs, pair(d.Label, r.Label))
+		labels = append(labels, labelPair(d.Label, r.Label))
 	}
 	if r.Value != nil {
-		fmt.Fprintf(b, "%s%s%s %d\n", prefix, d.Name, braces(pairs), *r.Value)
+		fmt.Fprintf(b, "%s%s%s %d\n", prefix, d.Name, joinLabels(labels), *r.Value)
 		return
 	}
 	for _, q := range quantiles {
 		name := quantileName(q)
-		fmt.Fprintf(b, "%s%s%s %g\n", prefix, d.Name, braces(append(pairs, pair("quantile", name))), r.Quantiles[name])
+		fmt.Fprintf(b, "%s%s%s %g\n", prefix, d.Name, joinLabels(append(labels, labelPair("quantile", name))), r.Quantiles[name])
 	}
-	fmt.Fprintf(b, "%s%s_sum%s %d\n", prefix, d.Name, braces(pairs), *r.Sum)
-	fmt.Fprintf(b, "%s%s_count%s %d\n", prefix, d.Name, braces(pairs), *r.Count)
+	fmt.Fprintf(b, "%s%s_sum%s %d\n", prefix, d.Name, joinLabels(labels), *r.Sum)
+	fmt.Fprintf(b, "%s%s_count%s %d\n", prefix, d.Name, joinLabels(labels), *r.Count)
 }
 
 var labelEscaper = strings.NewReplacer(`\`, `\\`, `"`, `\"`, "\n", `\n`)
 
-func pair(name, value string) string {
+func labelPair(name, value string) string {
 	return fmt.Sprintf(`%s="%s"`, name, labelEscaper.Replace(value))
 }
 
-func braces(pairs []string) string {
-	if len(pairs) == 0 {
+func joinLabels(labels []string) string {
+	if len(labels) == 0 {
 		return ""
 	}
-	return "{" + strings.Join(pairs, ",") + "}"
+	return "{" + strings.Join(labels, ",") + "}"
 }
 
 func quantileName(q float64) string { return fmt.Sprintf("%g", q) }
 
-// readings reads all series, in the order of their names and labels.
+// readings returns the current values of all series, sorted by name and label.
 func (m *Meter) readings() []reading {
 	m.mu.RLock()
 	defer m.mu.RUnlock()
--- a/meter/histogram.go
+++ b/meter/histogram.go
@@ -8,15 +8,15 @@
 	"github.com/rcrowley/go-metrics"
 )
 
-// A histogram tells values from 1 to maxValue apart to significantDigits decimal digits: ten minutes in
-// microseconds, each to within a hundredth, in about 24 KB whatever the number of values.
+// Range and precision of a histogram. It covers values from 1 to maxValue, which is ten minutes in microseconds,
+// to significantDigits decimal digits, that is within a hundredth. It takes about 24 KB for any number of values.
 const (
 	maxValue          = 600_000_000
 	significantDigits = 2
 )
 
-// histogram is a go-metrics histogram that keeps its values in an HDR histogram. The library's own
-// reservoirs lose the tail that a quantile of 0.99 is read from, and draw from the global random source.
+// histogram implements metrics.Histogram with an HDR histogram. The sampling reservoirs of go-metrics lose the
+// tail that the 0.99 quantile depends on, and use the global random source.
 type histogram struct {
 	mu   sync.Mutex
 	hist *hdrhistogram.Histogram
@@ -33,7 +33,7 @@
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	value = min(max(value, 0), maxValue)
-	_ = h.hist.RecordValue(value) // fails only past maxValue
+	_ = h.hist.RecordValue(value) // fails only above maxValue
 	h.sum += value
 }
 
@@ -78,7 +78,7 @@
 	return h.Percentiles([]float64{p})[0]
 }
 
-// Percentiles takes fractions from 0 to 1, as go-metrics does.
+// Percentiles returns the values at the given fractions, which range from 0 to 1 as in go-metrics.
 func (h *histogram) Percentiles(fractions []float64) []float64 {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -103,7 +103,7 @@
 	return h.sum
 }
 
-// Sample returns an empty sample: single values are not kept.
+// Sample returns an empty sample, since individual values are not stored.
 func (h *histogram) Sample() metrics.Sample { return metrics.NilSample{} }
 
 func (h *histogram) Variance() float64 {
--- a/meter/meter.go
+++ b/meter/meter.go
@@ -1,4 +1,4 @@
-// Package meter holds an entry's metrics and serves them as JSON and in the Prometheus text form.
+// Package meter collects an entry's metrics and serves them as JSON and in the Prometheus text format.
 package meter
 
 import (
@@ -8,19 +8,19 @@
 	"github.com/rcrowley/go-metrics"
 )
 
-// MaxLabels bounds the labels of one counter or gauge, and MaxHistogramLabels those of one histogram.
-// Labels come from configuration, which may name tens of thousands of client accounts; without a bound
-// the metrics alone would grow past what an entry may use, and a scrape of them past what one reads.
+// MaxLabels limits the label values of one counter or gauge, and MaxHistogramLabels those of one histogram.
+// Label values come from configuration, which may contain tens of thousands of client accounts. Without a limit
+// the metrics alone would exceed what an entry may use, and a scrape would be larger than its reader accepts.
 const (
 	MaxLabels          = 512
 	MaxHistogramLabels = 64
 )
 
-// OtherLabel takes the counts of labels past MaxLabels.
+// OtherLabel is the label value under which values above the limit are counted.
 const OtherLabel = "other"
 
-// Meter gives out metrics by name. It is safe for concurrent use. The metrics that it gives out may be
-// kept and updated without it. Updates take no goroutine.
+// Meter provides metrics by name. It is safe for concurrent use. The metrics that it returns may be
+// stored and updated without it. Updates start no goroutine.
 type Meter struct {
 	registry metrics.Registry
 
@@ -29,14 +29,14 @@
 	labels map[Name]int
 }
 
-// series is one metric under one label.
+// series identifies one metric with one label value.
 type series struct {
 	name  Name
 	label string
 }
 
-// New returns a Meter with every metric that has no label at zero. Packages that count by name in its
-// registry meet the same metrics there.
+// New returns a Meter in which every metric without a label exists and is zero. Packages that look metrics up by
+// name in its registry get the same metrics.
 func New() *Meter {
 	m := &Meter{
 		registry: metrics.NewRegistry(),
@@ -51,26 +51,26 @@
 	return m
 }
 
-// Counter returns the counter of the name, for the label's value where the metric has a label.
-// It panics on a name of another kind, which is a mistake in the program.
+// Counter returns the counter with the given name, for the given label value if the metric has a label.
+// It panics if the name is undefined or of another kind, which is a programming error.
 func (m *Meter) Counter(name Name, label ...string) metrics.Counter {
-	return m.get(name, KindCounter, first(label)).(metrics.Counter)
+	return m.get(name, KindCounter, optionalLabel(label)).(metrics.Counter)
 }
 
-// Gauge returns the gauge of the name, as Counter does.
+// Gauge returns the gauge with the given name. Its arguments and panics are those of Counter.
 func (m *Meter) Gauge(name Name, label ...string) metrics.Gauge {
-	return m.get(name, KindGauge, first(label)).(metrics.Gauge)
+	return m.get(name, KindGauge, optionalLabel(label)).(metrics.Gauge)
 }
 
-// Histogram returns the histogram of the name, as Counter does.
+// Histogram returns the histogram with the given name. Its arguments and panics are those of Counter.
 func (m *Meter) Histogram(name Name, label ...string) metrics.Histogram {
-	return m.get(name, KindHistogram, first(label)).(metrics.Histogram)
+	return m.get(name, KindHistogram, optionalLabel(label)).(metrics.Histogram)
 }
 
-// Registry returns the go-metrics registry behind the Meter.
+// Registry returns the go-metrics registry that the metrics are registered in.
 func (m *Meter) Registry() metrics.Registry { return m.registry }
 
-func first(label []string) string {
+func optionalLabel(label []string) string {
 	if len(label) == 0 {
 		return ""
 	}
@@ -104,7 +104,7 @@
 	metric := newMetric(key.name, kind)
 	m.series[key] = metric
 	m.labels[key.name]++
-	// The registry only lists metrics for readers; a name is added once, under mu.
+	// The registry only lists metrics for readers. Each name is registered once, under mu.
 	_ = m.registry.Register(registryName(key), metric)
 	return metric
 }
@@ -129,7 +129,7 @@
 func newMetric(name Name, kind Kind) any {
 	d, ok := definitionOf(name)
 	if !ok || d.Kind != kind {
-		panic(fmt.Sprintf("meter: %q is no %s", name, kind))
+		panic(fmt.Sprintf("meter: metric %q is not defined as a %s", name, kind))
 	}
 	switch kind {
 	case KindGauge:
--- a/meter/meter_test.go
+++ b/meter/meter_test.go
@@ -15,7 +15,7 @@
 	"geraniumline/messenger"
 )
 
-func TestBothForms(t *testing.T) {
+func TestJSONAndPrometheusFormats(t *testing.T) {
 	m := New()
 	m.Counter(RequestsReceived, "wall\"care\n").Inc(3)
 	m.Counter(RequestsReceived, "kilima").Inc(1)
@@ -34,7 +34,7 @@
 	m := New()
 	seen := map[Name]bool{}
 	for _, d := range Definitions() {
-		require.False(t, seen[d.Name], "%s stands twice", d.Name)
+		require.False(t, seen[d.Name], "%s is defined twice", d.Name)
 		seen[d.Name] = true
 		require.True(t, strings.HasSuffix(d.Help, "."), d.Name)
 		switch d.Kind {
@@ -50,9 +50,9 @@
 	require.Panics(t, func() { m.Counter("made_up") })
 }
 
-// The messenger counts by name in the registry. A name that the meter does not define would be counted
-// and never served.
-func TestMessengersCountsAreServed(t *testing.T) {
+// The messenger updates metrics by their name in the registry. A name that the meter does not define would be
+// counted but never served.
+func TestMessengerMetricsAreServed(t *testing.T) {
 	m := New()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
@@ -63,9 +63,9 @@
 	require.Len(t, m.series, registered)
 }
 
-// Tens of thousands of client accounts would each get a series of their own. Past the bound they share
-// one, no count is lost, and the metrics say that it happened.
-func TestLabelsAreBounded(t *testing.T) {
+// Tens of thousands of client accounts would each create a series. Above the limit they share one, no count is
+// lost, and labels_dropped counts it.
+func TestLabelsAreLimited(t *testing.T) {
 	m := New()
 	var wg sync.WaitGroup
 	for worker := range 4 {
