--- a/explainer/cause.go
+++ b/explainer/cause.go
@@ -1,7 +1,7 @@
 package explainer
 
-// causes tells what each reason in the line of a request's end means, and what to do. A test compares them with the
-// reasons that requests end with.
+// causes maps each reason in the log line of a failed request to its meaning and to what to check next. A test
+// compares the keys with the reasons in the forwarder's sources.
 var causes = map[string]string{
 	"starting":          "the entry did not know the configuration or the endpoints yet; it has not run. Look for 'store does not answer'.",
 	"noRoute":           "no route of the version in force has this host and path. Compare 'version' with the operator's newest.",
@@ -33,7 +33,7 @@
 	"callerGone":        "the caller left before the answer; the endpoint's work was ended.",
 }
 
-// Explain tells what a reason means.
+// Explain returns the meaning of a reason, or a text saying that the reason is unknown.
 func Explain(reason string) string {
 	if text, known := causes[reason]; known {
 		return text
@@ -41,7 +41,7 @@
 	return "this version knows no such reason"
 }
 
-// Reasons lists the reasons that Explain knows.
+// Reasons returns the reasons that Explain knows, in no particular order.
 func Reasons() []string {
 	list := make([]string, 0, len(causes))
 	for reason := range causes {
--- a/explainer/explainer.go
+++ b/explainer/explainer.go
@@ -1,4 +1,4 @@
-// Package explainer reads the log lines of several entries and tells what happened to one request, in order, and why it
+// Package explainer reads the logs of several entries and reports in order what happened to one request, and why it
 // failed.
 package explainer
 
@@ -14,29 +14,29 @@
 	"time"
 )
 
-// maxLine bounds one line of a log.
+// maxLine limits the length of a log line, in bytes.
 const maxLine = 1 << 20
 
-// Line is one log line that concerns the request.
+// Line is a log line that concerns the request.
 type Line struct {
 	At      time.Time
 	Entry   string
 	Message string
-	// Fields are all others.
+	// Fields holds the fields other than time, entry, message and level.
 	Fields map[string]any
 }
 
-// Report is what the logs tell of one request.
+// Report holds the log lines of one request and the cause of its failure.
 type Report struct {
 	Request string
 	Lines   []Line
-	// Cause is the reason in the line of the request's end, empty where there is none or it was answered.
+	// Cause is the reason in the log line of the request's failure, empty if there is no such line.
 	Cause string
-	// Unreadable counts the lines that could not be read.
+	// Unreadable is the number of lines that contain the request's ID but could not be parsed.
 	Unreadable int
 }
 
-// The fields of a line that name its parts.
+// Names of log fields.
 const (
 	fieldTime     = "time"
 	fieldEntry    = "entry"
@@ -47,10 +47,11 @@
 	fieldReason   = "reason"
 )
 
-const messageFailed = "request failed"
+const messageRequestFailed = "request failed"
 
-// knowledge are the messages on what an entry knows. A request was handled by that, and its own lines don't repeat it.
-var knowledge = map[string]bool{
+// stateMessages lists the messages that report a change of an entry's state, such as its configuration. This state
+// affects how a request is handled, and the request's own lines don't repeat it.
+var stateMessages = map[string]bool{
 	"configuration in force":   true,
 	"endpoint asks for rest":   true,
 	"endpoint leaves":          true,
@@ -61,47 +62,48 @@
 	"store has returned from an older copy; what was written since may be lost": true,
 }
 
-// knowledgeSpan is how long before a request's first line a change of knowledge is told of.
-const knowledgeSpan = 5 * time.Second
+// stateChangeWindow is how long before a request's first line state changes are included in the report.
+const stateChangeWindow = 5 * time.Second
 
-// Read reads logs and keeps what concerns the request. Text before a line's JSON is passed over: collectors of logs put
-// a host's name and a time there.
+// Read reads logs from r and returns a report on the request with the given ID. Text before the JSON object of a line
+// is ignored, since log collectors put a host name and a time there. It returns the error of reading from r, if any;
+// lines that can't be parsed are counted in the report.
 func Read(r io.Reader, request string) (Report, error) {
 	report := Report{Request: request}
 	scanner := bufio.NewScanner(r)
 	scanner.Buffer(nil, maxLine)
-	name := []byte(request)
-	var known []Line
+	id := []byte(request)
+	var stateChanges []Line
 	for scanner.Scan() {
 		text := scanner.Bytes()
-		named := bytes.Contains(text, name)
-		if !named && !tellsKnowledge(text) {
+		hasID := bytes.Contains(text, id)
+		if !hasID && !mayBeStateChange(text) {
 			continue
 		}
 		line, err := parse(text)
 		switch {
-		case err != nil && named:
+		case err != nil && hasID:
 			report.Unreadable++
 		case err != nil:
 		case line.concerns(request):
 			report.Lines = append(report.Lines, line)
-		case knowledge[line.Message]:
-			known = append(known, line)
+		case stateMessages[line.Message]:
+			stateChanges = append(stateChanges, line)
 		}
 	}
-	report.addKnowledge(known)
+	report.addStateChanges(stateChanges)
 	slices.SortStableFunc(report.Lines, func(a, b Line) int { return a.At.Compare(b.At) })
 	for _, line := range report.Lines {
-		if reason, ok := line.Fields[fieldReason].(string); ok && line.Message == messageFailed {
+		if reason, ok := line.Fields[fieldReason].(string); ok && line.Message == messageRequestFailed {
 			report.Cause = reason
 		}
 	}
 	return report, scanner.Err()
 }
 
-// tellsKnowledge tells whether a log line may be one on what an entry knows, without reading all of it.
-func tellsKnowledge(text []byte) bool {
-	for message := range knowledge {
+// mayBeStateChange reports whether a log line may be about a state change of an entry, without parsing it.
+func mayBeStateChange(text []byte) bool {
+	for message := range stateMessages {
 		if bytes.Contains(text, []byte(message)) {
 			return true
 		}
@@ -109,8 +111,9 @@
 	return false
 }
 
-// addKnowledge adds what the entries of the request's lines came to know shortly before it and in its course.
-func (r *Report) addKnowledge(known []Line) {
+// addStateChanges adds the state changes of the entries in the request's lines that happened during the request or
+// shortly before it.
+func (r *Report) addStateChanges(stateChanges []Line) {
 	if len(r.Lines) == 0 {
 		return
 	}
@@ -125,17 +128,17 @@
 			last = line.At
 		}
 	}
-	for _, line := range known {
-		if entries[line.Entry] && !line.At.Before(first.Add(-knowledgeSpan)) && !line.At.After(last) {
+	for _, line := range stateChanges {
+		if entries[line.Entry] && !line.At.Before(first.Add(-stateChangeWindow)) && !line.At.After(last) {
 			r.Lines = append(r.Lines, line)
 		}
 	}
 }
 
-// NoObjectError tells of a line without JSON.
+// NoObjectError is returned for a line without a JSON object.
 type NoObjectError struct{}
 
-func (*NoObjectError) Error() string { return "the line holds no JSON object" }
+func (*NoObjectError) Error() string { return "the line contains no JSON object" }
 
 func parse(text []byte) (Line, error) {
 	start := bytes.IndexByte(text, '{')
@@ -168,7 +171,7 @@
 	return slices.Contains(list, any(request))
 }
 
-// Write prints the report: a line for each step with the time since the first, then the cause and what to do.
+// Write prints the report to w: each line with the time since the first, then the cause and what to check next.
 func (r *Report) Write(w io.Writer) error {
 	var b strings.Builder
 	for _, line := range r.Lines {
@@ -190,7 +193,7 @@
 	return err
 }
 
-// details lists the other fields by name.
+// details formats the remaining fields, sorted by name.
 func (l *Line) details() string {
 	var b strings.Builder
 	for _, name := range slices.Sorted(maps.Keys(l.Fields)) {
--- a/explainer/explainer_test.go
+++ b/explainer/explainer_test.go
@@ -28,7 +28,7 @@
 	goldie.New(t).Assert(t, "report", []byte(b.String()))
 }
 
-func TestWhatEntriesKnewIsTold(t *testing.T) {
+func TestStateChangesAreIncluded(t *testing.T) {
 	report, err := Read(strings.NewReader(logs+
 		`{"level":"warn","time":"2025-12-31T23:59:58Z","msg":"store has returned from an older copy; what was written since may be lost","entry":"entry-a","era":2}
 {"level":"info","time":"2026-01-01T00:00:00.2Z","msg":"configuration in force","entry":"entry-b","version":7}
@@ -41,7 +41,7 @@
 	goldie.New(t).Assert(t, "knowledge", []byte(b.String()))
 }
 
-func TestNothingOnRecord(t *testing.T) {
+func TestUnknownRequest(t *testing.T) {
 	report, err := Read(strings.NewReader(logs), "id-7")
 	require.NoError(t, err)
 	var b strings.Builder
@@ -49,7 +49,7 @@
 	require.Contains(t, b.String(), "no line names id-7")
 }
 
-// Each reason in the forwarder's sources must be explained, and each that is explained must exist.
+// Each reason in the forwarder's sources must have an explanation, and each explained reason must exist there.
 func TestEachReasonIsExplained(t *testing.T) {
 	files, err := filepath.Glob(filepath.Join("..", "forwarder", "*.go"))
 	require.NoError(t, err)
@@ -66,7 +66,7 @@
 			found[m[1]+m[2]] = true
 		}
 	}
-	delete(found, "stage") // completed by a piece's reason
+	delete(found, "stage") // a prefix; a piece's reason is appended to it
 	for _, piece := range []string{"late", "inputGone", "noRoom", "failed", "overload", "evacuated", "heldBack"} {
 		found["stage"+piece] = true
 	}
@@ -76,8 +76,8 @@
 	require.Len(t, Reasons(), len(found))
 }
 
-// A message that the forwarder no longer writes would be missing from reports without a word.
-func TestMessagesOnKnowledgeExist(t *testing.T) {
+// State messages that the forwarder no longer logs would silently be missing from reports.
+func TestStateMessagesExist(t *testing.T) {
 	files, err := filepath.Glob(filepath.Join("..", "forwarder", "*.go"))
 	require.NoError(t, err)
 	var sources strings.Builder
@@ -86,7 +86,7 @@
 		require.NoError(t, err)
 		sources.Write(text)
 	}
-	for message := range knowledge {
+	for message := range stateMessages {
 		require.Contains(t, sources.String(), `"`+message+`"`)
 	}
 }
