--- a/presenter/config.go
+++ b/presenter/config.go
@@ -7,7 +7,7 @@
 	"geraniumline/operatorserver"
 )
 
-// HistoryText returns changes of configuration as a table, in the order given.
+// HistoryText returns configuration changes as a table, in the given order.
 func HistoryText(history operatorserver.ConfigHistory, coloured bool) string {
 	t := newTable("at", "verdict", "kind", "name", "version", "operator", "message")
 	for _, c := range history.Changes {
@@ -43,8 +43,8 @@
 	return cell{string(verdict), Red}
 }
 
-// DifferenceLine returns one field that differs between an object in force and a file. An empty side
-// lacks the field.
+// DifferenceLine returns a line on one field that differs between an object in force and a file. An empty value
+// means that the field is missing on that side.
 func DifferenceLine(kind, name, path, inForce, inFile string, coloured bool) string {
 	var b strings.Builder
 	b.WriteString(clean(kind + " " + name + " " + strings.TrimPrefix(path, ".") + ": "))
--- a/presenter/page.go
+++ b/presenter/page.go
@@ -3,7 +3,7 @@
 import (
 	"bytes"
 	"context"
-	_ "embed" // for the page's template
+	_ "embed" // embeds the page template
 	"fmt"
 	"html/template"
 	"net/http"
@@ -12,7 +12,7 @@
 	"geraniumline/operatorserver"
 )
 
-// refreshSeconds is how often a browser asks for the page again.
+// refreshSeconds is the interval at which a browser reloads the page.
 const refreshSeconds = 5
 
 //go:embed page.html
@@ -22,10 +22,10 @@
 	"percent": percent,
 	"grade":   grade,
 	"decimal": decimal,
-	"silence": silence,
+	"silence": formatSilence,
 }).Parse(pageText))
 
-// Page returns the status page: one HTML file that loads nothing else and runs no script.
+// Page returns the status page, a single HTML file that loads no other resources and runs no scripts.
 func Page(status operatorserver.Status, now time.Time) ([]byte, error) {
 	var page bytes.Buffer
 	err := pageTemplate.Execute(&page, struct {
@@ -39,10 +39,10 @@
 	return page.Bytes(), nil
 }
 
-// Handler serves the page. The caller has checked the operator's credential.
+// Handler returns a handler that serves the status page. The caller must have checked the operator's credential.
 //
-// Names on the page come from configuration and from peers. The template escapes them; the content
-// policy is for the case that one escapes it, and lets nothing be loaded or run.
+// Names on the page come from configuration and from peers. The template escapes them. In case a name is not
+// escaped, the Content-Security-Policy header prevents loading resources and running scripts.
 func Handler(status func(context.Context) (operatorserver.Status, error), now func() time.Time) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		current, err := status(r.Context())
@@ -60,16 +60,16 @@
 		header.Set("Content-Security-Policy", "default-src 'none'; style-src 'unsafe-inline'; frame-ancestors 'none'")
 		header.Set("X-Content-Type-Options", "nosniff")
 		header.Set("Cache-Control", "no-store")
-		_, _ = w.Write(page) // an error means that the reader has gone
+		_, _ = w.Write(page) // an error means that the client has disconnected
 	})
 }
 
-// percent shows a fraction.
+// percent formats a fraction as a percentage.
 func percent(fraction float64) string {
 	return fmt.Sprintf("%.1f%%", 100*fraction)
 }
 
-// grade names the colour of an attainment.
+// grade returns the CSS class for the colour of an attainment.
 func grade(attainment float64) string {
 	switch {
 	case attainment >= goodAttainment:
@@ -80,7 +80,7 @@
 	return "bad"
 }
 
-// decimal shows a number with as many digits as a reader needs.
+// decimal formats a number without decimals from 100 on, with one decimal below.
 func decimal(value float64) string {
 	if value >= 100 {
 		return fmt.Sprintf("%.0f", value)
@@ -88,8 +88,8 @@
 	return fmt.Sprintf("%.1f", value)
 }
 
-// silence shows how long ago an entry was heard.
-func silence(millis int64) string {
+// formatSilence formats the time since an entry was last heard from, given in milliseconds.
+func formatSilence(millis int64) string {
 	if millis < 1000 {
 		return fmt.Sprintf("%d ms", millis)
 	}
--- a/presenter/presenter_test.go
+++ b/presenter/presenter_test.go
@@ -17,8 +17,8 @@
 
 var at = time.Unix(1_800_000_000, 0)
 
-// surge is the system of one of our users while a surge is on and one availability zone is in trouble.
-func surge() operatorserver.Status {
+// surgeStatus returns the status of a system under a load surge while one availability zone has failures.
+func surgeStatus() operatorserver.Status {
 	status := operatorserver.Status{
 		Entry: "entry-1", Zone: "zone-a", Phase: "serving", Ready: true,
 		ConfigOffset: 412, ClaimsOffset: 90210,
@@ -57,8 +57,8 @@
 	return status
 }
 
-// hop is one span of the test's trace.
-func hop(name, id, parent string, start, duration int64, attributes map[string]string) operatorserver.Span {
+// childSpan returns a span of the test's trace.
+func childSpan(name, id, parent string, start, duration int64, attributes map[string]string) operatorserver.Span {
 	s := operatorserver.Span{Name: name, SpanId: id, StartMicros: start, DurationMicros: duration}
 	s.ParentId.SetTo(parent)
 	s.Attributes.SetTo(attributes)
@@ -66,7 +66,7 @@
 }
 
 func TestViews(t *testing.T) {
-	page, err := Page(surge(), at)
+	page, err := Page(surgeStatus(), at)
 	require.NoError(t, err)
 	emptyPage, err := Page(operatorserver.Status{Entry: "entry-9", Zone: "zone-c", Phase: "serving"}, at)
 	require.NoError(t, err)
@@ -77,21 +77,21 @@
 			Message: operatorserver.NewOptString("version 3 is in force, not 2")},
 	}}
 	trace := operatorserver.Trace{TraceId: "4bf92f", Spans: []operatorserver.Span{
-		hop("stage encode", "b", "a", 1200, 3000, map[string]string{"endpoint": "10.1.0.2:9000", "geraniumline.request.id": "k"}),
-		hop("request digest", "a", "caller", 1000, 40000, nil),
-		hop("attempt 1", "c", "b", 1300, 2500, map[string]string{"outcome": "answered"}),
-		hop("round", "x", "y", 1300, 1, nil),
-		hop("about", "y", "x", 1300, 1, nil),
+		childSpan("stage encode", "b", "a", 1200, 3000, map[string]string{"endpoint": "10.1.0.2:9000", "geraniumline.request.id": "k"}),
+		childSpan("request digest", "a", "caller", 1000, 40000, nil),
+		childSpan("attempt 1", "c", "b", 1300, 2500, map[string]string{"outcome": "answered"}),
+		childSpan("round", "x", "y", 1300, 1, nil),
+		childSpan("about", "y", "x", 1300, 1, nil),
 	}}
 	scenarios := []struct {
 		testName string
 		text     string
-		never    string // what a hostile name would have to get through
+		excluded string // appears only if a hostile name is not escaped
 	}{
 		{"page", string(page), "<script"},
 		{"page-empty", string(emptyPage), "<script"},
-		{"status", StatusText(surge(), false), "\x1b"},
-		{"status-coloured", StatusText(surge(), true), "\x1b[31mclub"},
+		{"status", StatusText(surgeStatus(), false), "\x1b"},
+		{"status-coloured", StatusText(surgeStatus(), true), "\x1b[31mclub"},
 		{"status-empty", StatusText(operatorserver.Status{Entry: "entry-9"}, true), "\x1b[31mclub"},
 		{"history", HistoryText(history, false), "\x1b"},
 		{"trace", TraceText(trace), "\x1b"},
@@ -99,14 +99,14 @@
 	for _, s := range scenarios {
 		t.Run(s.testName, func(t *testing.T) {
 			goldie.New(t).Assert(t, s.testName, []byte(s.text))
-			require.NotContains(t, s.text, s.never)
+			require.NotContains(t, s.text, s.excluded)
 		})
 	}
 }
 
-// A system of the size to design for has 10,000 endpoints and 43,000 client accounts. The page lists
-// the ones in trouble and counts the rest, so that a phone can still show it.
-func TestLargeSystemsAreCutShort(t *testing.T) {
+// The design size is 10,000 endpoints and 43,000 client accounts. The page lists those with problems and counts the
+// rest, so that a phone can still show it.
+func TestLargeSystemsAreTruncated(t *testing.T) {
 	status := operatorserver.Status{Entry: "entry-1"}
 	for i := range 10_000 {
 		status.Endpoints = append(status.Endpoints, operatorserver.EndpointStatus{Address: fmt.Sprint(i), Pool: "engine", State: operatorserver.EndpointStatusStateLive})
@@ -127,13 +127,13 @@
 
 func TestHandler(t *testing.T) {
 	var failure error
-	handler := Handler(func(context.Context) (operatorserver.Status, error) { return surge(), failure }, func() time.Time { return at })
+	handler := Handler(func(context.Context) (operatorserver.Status, error) { return surgeStatus(), failure }, func() time.Time { return at })
 	w := httptest.NewRecorder()
 	handler.ServeHTTP(w, httptest.NewRequest(http.MethodGet, "/", nil))
 	require.Equal(t, 200, w.Code)
 	require.Contains(t, w.Header().Get("Content-Security-Policy"), "default-src 'none'")
 
-	failure = errors.New("the reducer is behind")
+	failure = errors.New("the reducer is overloaded")
 	w = httptest.NewRecorder()
 	handler.ServeHTTP(w, httptest.NewRequest(http.MethodGet, "/", nil))
 	require.Equal(t, 503, w.Code)
--- a/presenter/status.go
+++ b/presenter/status.go
@@ -17,13 +17,13 @@
 		writeCell(&b, cell{"", Red}, "ALARM "+clean(alarm), coloured)
 		b.WriteByte('\n')
 	}
-	section(&b, "entries", s.entryTable(), coloured)
-	section(&b, "accounts", s.accountTable(), coloured)
-	more(&b, s.MoreAccounts, "accounts with a higher attainment")
-	section(&b, "cost by stage", s.costTable(), coloured)
-	section(&b, "pools", s.poolTable(), coloured)
-	section(&b, "endpoints", s.endpointTable(), coloured)
-	more(&b, s.MoreEndpoints, "endpoints")
+	writeSection(&b, "entries", s.entryTable(), coloured)
+	writeSection(&b, "accounts", s.accountTable(), coloured)
+	writeMore(&b, s.MoreAccounts, "accounts with a higher attainment")
+	writeSection(&b, "cost by stage", s.costTable(), coloured)
+	writeSection(&b, "pools", s.poolTable(), coloured)
+	writeSection(&b, "endpoints", s.endpointTable(), coloured)
+	writeMore(&b, s.MoreEndpoints, "endpoints")
 	for _, o := range status.Orderers {
 		fmt.Fprintf(&b, "\norders to %s by %s\n", clean(o.Pool), clean(o.Entry))
 	}
@@ -37,7 +37,7 @@
 	return "not ready"
 }
 
-func section(b *strings.Builder, name string, t *table, coloured bool) {
+func writeSection(b *strings.Builder, name string, t *table, coloured bool) {
 	if len(t.rows) == 0 {
 		fmt.Fprintf(b, "\n%s: none\n", name)
 		return
@@ -46,7 +46,7 @@
 	t.write(b, coloured)
 }
 
-func more(b *strings.Builder, n int, what string) {
+func writeMore(b *strings.Builder, n int, what string) {
 	if n > 0 {
 		fmt.Fprintf(b, "and %d more %s; --json has them all\n", n, what)
 	}
@@ -60,7 +60,7 @@
 			if e.ConfigOffset < s.ConfigOffset {
 				offset.colour = Yellow
 			}
-			t.add(e.Zone, e.Name, stateCell(e.State), e.CallerAddress, offset, e.InFlight, silence(e.SilentMillis))
+			t.add(e.Zone, e.Name, stateCell(e.State), e.CallerAddress, offset, e.InFlight, formatSilence(e.SilentMillis))
 		}
 	}
 	return t
@@ -99,21 +99,21 @@
 
 func (s summary) endpointTable() *table {
 	t := newTable("endpoint", "state", "pool", "zone", "in flight", "queued")
-	for _, e := range s.Listed {
+	for _, e := range s.ListedEndpoints {
 		t.add(e.Address, stateCell(string(e.State)), poolOf(e), e.Zone, e.InFlight, e.Queued)
 	}
 	return t
 }
 
-// poolOf names an endpoint's pool, and what an engine holds where it is known.
+// poolOf returns an endpoint's pool, followed by the engine's assignment if it is known.
 func poolOf(e operatorserver.EndpointStatus) string {
-	if held := e.Assignment.Value; held != "" {
-		return e.Pool + " (" + held + ")"
+	if assignment := e.Assignment.Value; assignment != "" {
+		return e.Pool + " (" + assignment + ")"
 	}
 	return e.Pool
 }
 
-// stateCell colours the state of an entry or an endpoint.
+// stateCell returns a cell with the state of an entry or an endpoint, coloured by its health.
 func stateCell(state string) cell {
 	switch state {
 	case "live", "serving":
--- a/presenter/summary.go
+++ b/presenter/summary.go
@@ -1,4 +1,4 @@
-// Package presenter shows a Status to people: as an HTML page for a browser, and as tables for a terminal.
+// Package presenter renders a Status for people: as an HTML page for a browser, and as tables for a terminal.
 package presenter
 
 import (
@@ -8,27 +8,27 @@
 	"geraniumline/operatorserver"
 )
 
-// What a page or a table lists one by one. A large system has thousands of endpoints and client
-// accounts; past these the worst are listed and the rest counted. The JSON form has them all.
+// Maximum number of endpoints and client accounts that a page or a table lists. A large system has thousands of
+// them; the worst are listed and the rest are only counted. The JSON format contains all of them.
 const (
 	maxEndpoints = 200
 	maxAccounts  = 200
 )
 
-// goodAttainment and fairAttainment are where the colour of an attainment changes.
+// goodAttainment and fairAttainment are the thresholds at which the colour of an attainment changes.
 const (
 	goodAttainment = 0.99
 	fairAttainment = 0.9
 )
 
-// zoneEntries are the entries of one availability zone.
+// zoneEntries holds the entries of one availability zone.
 type zoneEntries struct {
 	Zone    string
 	Entries []operatorserver.EntryStatus
 }
 
-// poolEndpoints are the endpoints of one pool.
-type poolEndpoints struct {
+// poolTotals counts the endpoints of one pool by state, and their calls in flight and in queue.
+type poolTotals struct {
 	Pool     string
 	Live     int
 	NotLive  int
@@ -36,27 +36,28 @@
 	Queued   int
 }
 
-// summary is a Status put in order for reading.
+// summary is a Status with its entries grouped by availability zone, its endpoints totalled by pool, and the worst
+// endpoints and accounts.
 type summary struct {
 	operatorserver.Status
-	Zones          []zoneEntries
-	Pools          []poolEndpoints
-	Listed         []operatorserver.EndpointStatus
-	MoreEndpoints  int
-	ListedAccounts []operatorserver.AccountStatus
-	MoreAccounts   int
+	Zones           []zoneEntries
+	Pools           []poolTotals
+	ListedEndpoints []operatorserver.EndpointStatus
+	MoreEndpoints   int
+	ListedAccounts  []operatorserver.AccountStatus
+	MoreAccounts    int
 }
 
 func summarise(status operatorserver.Status) summary {
 	s := summary{Status: status}
-	s.Zones = byZone(status.Entries)
-	s.Pools = byPool(status.Endpoints)
-	s.Listed, s.MoreEndpoints = firstOf(worstEndpoints(status.Endpoints), maxEndpoints)
+	s.Zones = groupByZone(status.Entries)
+	s.Pools = totalByPool(status.Endpoints)
+	s.ListedEndpoints, s.MoreEndpoints = firstOf(worstEndpoints(status.Endpoints), maxEndpoints)
 	s.ListedAccounts, s.MoreAccounts = firstOf(worstAccounts(status.Accounts), maxAccounts)
 	return s
 }
 
-func byZone(entries []operatorserver.EntryStatus) []zoneEntries {
+func groupByZone(entries []operatorserver.EntryStatus) []zoneEntries {
 	sorted := slices.Clone(entries)
 	slices.SortFunc(sorted, func(a, b operatorserver.EntryStatus) int {
 		return cmp.Or(cmp.Compare(a.Zone, b.Zone), cmp.Compare(a.Name, b.Name))
@@ -72,13 +73,13 @@
 	return zones
 }
 
-func byPool(endpoints []operatorserver.EndpointStatus) []poolEndpoints {
+func totalByPool(endpoints []operatorserver.EndpointStatus) []poolTotals {
 	sorted := slices.Clone(endpoints)
 	slices.SortStableFunc(sorted, func(a, b operatorserver.EndpointStatus) int { return cmp.Compare(a.Pool, b.Pool) })
-	var pools []poolEndpoints
+	var pools []poolTotals
 	for _, e := range sorted {
 		if len(pools) == 0 || pools[len(pools)-1].Pool != e.Pool {
-			pools = append(pools, poolEndpoints{Pool: e.Pool})
+			pools = append(pools, poolTotals{Pool: e.Pool})
 		}
 		last := &pools[len(pools)-1]
 		last.InFlight += e.InFlight
@@ -92,7 +93,7 @@
 	return pools
 }
 
-// worstEndpoints puts those that are not live first, then goes by pool and address.
+// worstEndpoints returns the endpoints sorted by liveness, those that are not live first, then by pool and address.
 func worstEndpoints(endpoints []operatorserver.EndpointStatus) []operatorserver.EndpointStatus {
 	sorted := slices.Clone(endpoints)
 	slices.SortFunc(sorted, func(a, b operatorserver.EndpointStatus) int {
@@ -112,7 +113,7 @@
 	return 0
 }
 
-// worstAccounts puts the lowest attainment first.
+// worstAccounts returns the accounts sorted by attainment, the lowest first, then by name.
 func worstAccounts(accounts []operatorserver.AccountStatus) []operatorserver.AccountStatus {
 	sorted := slices.Clone(accounts)
 	slices.SortFunc(sorted, func(a, b operatorserver.AccountStatus) int {
--- a/presenter/table.go
+++ b/presenter/table.go
@@ -7,10 +7,10 @@
 	"unicode/utf8"
 )
 
-// Colour is how a cell is shown on a terminal.
+// Colour is the terminal escape sequence that sets the colour or weight of a cell.
 type Colour string
 
-// The colours of a cell.
+// Colours of a cell.
 const (
 	Plain  Colour = ""
 	Green  Colour = "\x1b[32m"
@@ -21,7 +21,7 @@
 	reset = "\x1b[0m"
 )
 
-// columnGap is the space between two columns.
+// columnGap separates two columns.
 const columnGap = "  "
 
 // cell is one field of a table.
@@ -30,7 +30,7 @@
 	colour Colour
 }
 
-// table lines up its columns. Numbers go to the right.
+// table writes rows in aligned columns. Numeric columns are aligned to the right.
 type table struct {
 	head []string
 	rows [][]cell
@@ -38,7 +38,7 @@
 
 func newTable(head ...string) *table { return &table{head: head} }
 
-// add appends a row. A cell is a text, a number or a cell.
+// add appends a row. Each field is a string, a number or a cell.
 func (t *table) add(fields ...any) {
 	row := make([]cell, len(fields))
 	for i, f := range fields {
@@ -53,7 +53,7 @@
 	t.rows = append(t.rows, row)
 }
 
-// clean keeps names that come from configuration or peers from steering the terminal.
+// clean replaces unprintable characters, so that names from configuration or peers can't control the terminal.
 func clean(text string) string {
 	return strings.Map(func(r rune) rune {
 		if unicode.IsPrint(r) {
@@ -90,7 +90,7 @@
 	return widths
 }
 
-// pad lines a text up in its column; the last column gets no trailing space.
+// pad pads a text to the width of its column. The last column gets no trailing spaces.
 func (t *table) pad(text string, width, column int) string {
 	space := strings.Repeat(" ", width-utf8.RuneCountInString(text))
 	gap := columnGap
@@ -106,7 +106,7 @@
 	return gap + text + space
 }
 
-// numeric tells whether all cells of a column begin with a digit.
+// numeric reports whether a column has cells and all of them begin with a digit and contain no colon.
 func (t *table) numeric(column int) bool {
 	for _, row := range t.rows {
 		text := row[column].text
--- a/presenter/trace.go
+++ b/presenter/trace.go
@@ -9,10 +9,10 @@
 	"geraniumline/operatorserver"
 )
 
-// hiddenAttributes are those that every span has; the head of the text says them once.
+// hiddenAttributes lists attributes that every span has. They are not repeated for each span.
 var hiddenAttributes = map[string]bool{"geraniumline.request.id": true}
 
-// TraceText returns a request's hops as a tree, each with its start after the first and its duration.
+// TraceText returns a request's spans as a tree, each with its start relative to the first span and its duration.
 func TraceText(trace operatorserver.Trace) string {
 	var b strings.Builder
 	fmt.Fprintf(&b, "trace %s, %d spans\n", clean(trace.TraceId), len(trace.Spans))
@@ -45,8 +45,8 @@
 	children map[string][]operatorserver.Span
 }
 
-// write goes down the tree. A span's children are taken out when they are written, so that spans that
-// name each other as parents can't lead it round in a circle.
+// write writes spans and their descendants. A span's children are removed from the map when they are written, so
+// that spans that name each other as parents can't cause infinite recursion.
 func (w *traceWriter) write(spans []operatorserver.Span, depth int) {
 	for _, s := range spans {
 		fmt.Fprintf(w.b, "%10.3f ms %+10.3f ms  %s%s%s\n",
