--- a/documenter/documenter_test.go
+++ b/documenter/documenter_test.go
@@ -8,8 +8,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// The pages are committed for readers of the repository. One that lags behind the code would tell an
-// operator of a setting that is refused, so the test compares them whole.
+// The generated pages are committed for readers of the repository. An outdated page could document a setting that is
+// rejected, so the test compares the complete pages.
 func TestPagesMatchTheCode(t *testing.T) {
 	scenarios := []struct {
 		testName string
@@ -23,11 +23,11 @@
 		t.Run(s.testName, func(t *testing.T) {
 			committed, err := os.ReadFile(s.file)
 			require.NoError(t, err)
-			made, err := s.page()
+			generated, err := s.page()
 			require.NoError(t, err)
-			require.Equal(t, made, string(committed), "run: go generate ./documenter")
-			for _, line := range strings.Split(made, "\n") {
-				require.False(t, strings.HasSuffix(line, "|  |"), "no meaning: %s", line)
+			require.Equal(t, generated, string(committed), "run: go generate ./documenter")
+			for _, line := range strings.Split(generated, "\n") {
+				require.False(t, strings.HasSuffix(line, "|  |"), "row without a description: %s", line)
 			}
 		})
 	}
