--- a/starter/fleet.go
+++ b/starter/fleet.go
@@ -13,7 +13,7 @@
 	"geraniumline/verifier"
 )
 
-// operatorName is the operator that every fleet knows.
+// operatorName is the name of the operator in every entry's settings.
 const operatorName = "operator"
 
 // Pool describes the stand-ins of one pool.
@@ -21,25 +21,26 @@
 	Name      string
 	Kind      string
 	Endpoints int
-	// Args are further flags of the stand-in.
+	// Args holds additional command-line arguments of the stand-ins.
 	Args []string
 }
 
-// Config says what a fleet consists of.
+// Config describes a fleet.
 type Config struct {
-	// Bin is the folder with the two programs, Dir one for settings and logs.
+	// Bin is the directory of the two programs, Dir the directory for settings and logs.
 	Bin, Dir string
 	Entries  int
 	Zones    int
 	Pools    []Pool
 	LogArgs  []string
-	// Settings are changed or added in each entry's file.
+	// Settings holds settings to override or add in each entry's file.
 	Settings map[string]any
-	// EntrySettings are changed or added in one entry's file, when all addresses are chosen.
+	// EntrySettings, if set, returns settings to override or add in one entry's file. It is called after all
+	// addresses have been chosen.
 	EntrySettings func(*Fleet, *Entry) (map[string]any, error)
 }
 
-// Fleet is a system of entries and stand-ins, each a process of its own.
+// Fleet is a system of entries and stand-ins, each in its own process.
 type Fleet struct {
 	cfg       Config
 	operator  string
@@ -51,7 +52,7 @@
 	entries   []*Entry
 }
 
-// Endpoint is a stand-in of a pool's endpoint.
+// Endpoint is a stand-in for an endpoint of a pool.
 type Endpoint struct {
 	*Process
 	Pool   string
@@ -59,7 +60,7 @@
 	Driver *faker.Driver
 }
 
-// Entry is an entry process and where it serves.
+// Entry is an entry process with its addresses.
 type Entry struct {
 	*Process
 	Zone            string
@@ -69,7 +70,7 @@
 	settings        string
 }
 
-// Start starts all processes of a fleet. On an error those that run already are ended.
+// Start starts all processes of a fleet. If one fails to start, it stops those already running and returns the error.
 func Start(ctx context.Context, cfg Config) (*Fleet, error) {
 	f := &Fleet{
 		cfg:       cfg,
@@ -95,7 +96,7 @@
 	if err := f.RegisterVMs(ctx); err != nil {
 		return err
 	}
-	if err := f.layEntries(); err != nil {
+	if err := f.prepareEntries(); err != nil {
 		return err
 	}
 	for _, entry := range f.entries {
@@ -122,7 +123,7 @@
 	return startStandin(filepath.Join(f.cfg.Bin, "standin"), f.cfg.Dir, name, args...)
 }
 
-// startPool starts a pool's endpoints, spread over the availability zones.
+// startPool starts a pool's endpoints and distributes them over the availability zones.
 func (f *Fleet) startPool(pool Pool) error {
 	for i := range pool.Endpoints {
 		args := []string{"service", "--kind", pool.Kind}
@@ -147,7 +148,7 @@
 	return fmt.Sprintf("zone-%c", 'a'+rune(i%f.cfg.Zones))
 }
 
-// RegisterVMs tells the platform's list which VMs there are.
+// RegisterVMs writes the VMs of all endpoints and entries to the platform's list.
 func (f *Fleet) RegisterVMs(ctx context.Context) error {
 	var vms []platformserver.VM
 	for _, pool := range f.cfg.Pools {
@@ -161,8 +162,8 @@
 	return faker.NewDriver(f.vms.address).SetVMs(ctx, vms)
 }
 
-// layEntries chooses the entries' addresses and writes their settings.
-func (f *Fleet) layEntries() error {
+// prepareEntries chooses the entries' addresses and writes their settings files.
+func (f *Fleet) prepareEntries() error {
 	addresses, err := freeAddresses(3 * f.cfg.Entries)
 	if err != nil {
 		return err
@@ -185,7 +186,7 @@
 	return nil
 }
 
-// StartEntry starts an entry's process, the first time or again after its end.
+// StartEntry starts an entry's process, or restarts it after it has exited.
 func (f *Fleet) StartEntry(entry *Entry) error {
 	process, err := startEntry(filepath.Join(f.cfg.Bin, "geraniumline"), f.cfg.Dir, entry.name, entry.settings)
 	if err != nil {
@@ -195,7 +196,7 @@
 	return nil
 }
 
-// freeAddresses finds loopback addresses that nobody listens on.
+// freeAddresses returns n loopback addresses that no socket listens on.
 func freeAddresses(n int) ([]string, error) {
 	addresses := make([]string, 0, n)
 	for range n {
@@ -209,7 +210,7 @@
 	return addresses, nil
 }
 
-// Stop ends all processes that this fleet started, and no other.
+// Stop ends the processes that this fleet started, and no others.
 func (f *Fleet) Stop() error {
 	var errs []error
 	for _, entry := range f.entries {
@@ -239,22 +240,22 @@
 	return all
 }
 
-// Entries are the fleet's entries, running or not.
+// Entries returns the fleet's entries, running or not.
 func (f *Fleet) Entries() []*Entry { return f.entries }
 
-// Endpoints are the stand-ins of a pool.
+// Endpoints returns the endpoints of a pool.
 func (f *Fleet) Endpoints(pool string) []*Endpoint { return f.pools[pool] }
 
-// LogDriver drives the log's stand-in.
+// LogDriver returns a driver for the stand-in of the log.
 func (f *Fleet) LogDriver() *faker.Driver { return faker.NewDriver(f.log.address) }
 
-// LogAddress is where the log's stand-in serves.
+// LogAddress returns the address of the log's stand-in.
 func (f *Fleet) LogAddress() string { return f.log.address }
 
-// VMsDriver drives the stand-in of the list of VMsDriver.
+// VMsDriver returns a driver for the stand-in of the list of VMs.
 func (f *Fleet) VMsDriver() *faker.Driver { return faker.NewDriver(f.vms.address) }
 
-// Executions gathers the ledgers of all endpoints.
+// Executions returns the executions in the ledgers of all endpoints.
 func (f *Fleet) Executions(ctx context.Context) ([]faker.Execution, error) {
 	var all []faker.Execution
 	for _, pool := range f.cfg.Pools {
@@ -269,21 +270,23 @@
 	return all, nil
 }
 
-// AwaitReady waits until each running entry has the configuration and sees all the others.
+// AwaitReady waits until every entry reports all entries live and lists all endpoints. It returns a StartError if an
+// entry exits or the timeout passes first.
 func (f *Fleet) AwaitReady(ctx context.Context, timeout time.Duration) error {
-	until := time.Now().Add(timeout)
+	deadline := time.Now().Add(timeout)
 	for _, entry := range f.entries {
 		for !f.isReady(ctx, entry) {
-			if _, ended := entry.Wait(0); ended || time.Now().After(until) {
+			if _, ended := entry.Wait(0); ended || time.Now().After(deadline) {
 				return &StartError{Name: entry.name, Err: errNotReady}
 			}
-			time.Sleep(pollEvery)
+			time.Sleep(pollInterval)
 		}
 	}
 	return nil
 }
 
-const pollEvery = 50 * time.Millisecond
+// pollInterval is the interval at which AwaitReady checks an entry.
+const pollInterval = 50 * time.Millisecond
 
 func (f *Fleet) isReady(ctx context.Context, entry *Entry) bool {
 	client, err := f.Operator(entry)
@@ -304,9 +307,9 @@
 }
 
 func (f *Fleet) endpointCount() int {
-	n := 0
+	count := 0
 	for _, pool := range f.cfg.Pools {
-		n += pool.Endpoints
+		count += pool.Endpoints
 	}
-	return n
+	return count
 }
--- a/starter/metric.go
+++ b/starter/metric.go
@@ -9,14 +9,17 @@
 	"strings"
 )
 
-// MetricError tells that an entry publishes no metric of a name.
+// MetricError reports that an entry publishes no metric with the given name.
 type MetricError struct {
 	Entry, Metric string
 }
 
-func (e *MetricError) Error() string { return fmt.Sprintf("%s publishes no %s", e.Entry, e.Metric) }
+func (e *MetricError) Error() string {
+	return fmt.Sprintf("%s does not publish metric %s", e.Entry, e.Metric)
+}
 
-// Metric reads one unlabelled metric of an entry.
+// Metric returns the value of an unlabelled metric of an entry. The name is that of the Prometheus text format. It
+// returns a MetricError if the entry does not publish the metric.
 func (f *Fleet) Metric(ctx context.Context, entry *Entry, name string) (float64, error) {
 	request, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+entry.OperatorAddress+"/metrics", nil)
 	if err != nil {
--- a/starter/process.go
+++ b/starter/process.go
@@ -1,5 +1,5 @@
-// Package starter starts entries and stand-ins as separate processes on loopback, for the demo and for
-// proofs. The product's own processes never start another.
+// Package starter starts entries and stand-ins as separate processes on loopback, for the demo and the
+// proofs. The product's own processes never start other processes.
 package starter
 
 import (
@@ -17,13 +17,13 @@
 )
 
 const (
-	// readyTimeout bounds a stand-in's start.
+	// readyTimeout limits the time that a stand-in takes to start.
 	readyTimeout = 10 * time.Second
-	// stopTimeout bounds the end of a process that was asked to stop.
+	// stopTimeout limits the time that a process takes to exit after a request to stop.
 	stopTimeout = 10 * time.Second
 )
 
-// Process is one process that this program started.
+// Process is a process started by this program.
 type Process struct {
 	name    string
 	address string
@@ -32,7 +32,7 @@
 	err     error
 }
 
-// StartError tells which process did not start.
+// StartError reports that a process did not start or was not ready in time.
 type StartError struct {
 	Name string
 	Err  error
@@ -40,19 +40,19 @@
 
 func (e *StartError) Error() string { return fmt.Sprintf("start %s: %v", e.Name, e.Err) }
 
-// Unwrap gives the cause.
+// Unwrap returns the cause.
 func (e *StartError) Unwrap() error { return e.Err }
 
-// errNotReady tells that a process ended or was silent before it was ready.
+// errNotReady reports that a process exited before it was ready, or was not ready in time.
 var errNotReady = errors.New("not ready in time")
 
-// ready is the line that a stand-in prints when it serves.
+// ready is the line that a stand-in prints when it is ready to serve.
 type ready struct {
 	Ready   bool   `json:"ready"`
 	Address string `json:"address"`
 }
 
-// startStandin starts a stand-in and waits until it has said where it serves.
+// startStandin starts a stand-in and waits until it has printed its address.
 func startStandin(binary, dir, name string, args ...string) (*Process, error) {
 	p := &Process{name: name, command: exec.Command(binary, args...), done: make(chan struct{})}
 	stdout, err := p.command.StdoutPipe()
@@ -71,7 +71,7 @@
 	return p, nil
 }
 
-// startEntry starts an entry; its caller waits for readiness by the entry's own status.
+// startEntry starts an entry without waiting for it; the caller polls the entry's status for readiness.
 func startEntry(binary, dir, name, settings string) (*Process, error) {
 	p := &Process{name: name, command: exec.Command(binary, "entry", "--settings", settings), done: make(chan struct{})}
 	if err := p.start(dir); err != nil {
@@ -80,8 +80,8 @@
 	return p, nil
 }
 
-// StartForward starts an entry on a platform, with the file of its settings named in an environment variable. Its logs go to a
-// file of its own in the folder.
+// StartForward starts an entry that forwards requests for a platform. The environment variable holds the path of its
+// settings file. Its logs are written to a file named after it in dir.
 func StartForward(binary, dir, name, variable, settings string) (*Process, error) {
 	p := &Process{name: name, command: exec.Command(binary, "forward"), done: make(chan struct{})}
 	p.command.Env = append(os.Environ(), variable+"="+settings)
@@ -91,7 +91,8 @@
 	return p, nil
 }
 
-// start runs the command with its errors written to a file of its own.
+// start runs the command. Its standard error, and its standard output if it is not piped, are appended to a log file
+// in dir.
 func (p *Process) start(dir string) error {
 	file, err := os.OpenFile(filepath.Join(dir, p.name+".log"), os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o600)
 	if err != nil {
@@ -111,7 +112,8 @@
 	return nil
 }
 
-// awaitReady reads the ready line and then keeps the pipe empty.
+// awaitReady returns the address in the ready line. It continues to drain stdout afterwards, so that the process does
+// not block on a full pipe.
 func awaitReady(stdout io.Reader) (string, error) {
 	lines := make(chan ready, 1)
 	go func() {
@@ -132,13 +134,13 @@
 	}
 }
 
-// Name is the process's name in the fleet.
+// Name returns the process's name in the fleet.
 func (p *Process) Name() string { return p.name }
 
-// Address is where a stand-in serves.
+// Address returns the address of a stand-in.
 func (p *Process) Address() string { return p.address }
 
-// Kill ends the process at once.
+// Kill kills the process and waits until it has exited.
 func (p *Process) Kill() error {
 	if err := p.command.Process.Kill(); err != nil && !errors.Is(err, os.ErrProcessDone) {
 		return err
@@ -147,16 +149,16 @@
 	return nil
 }
 
-// Suspend stops the process in its tracks; Thaw lets it go on.
+// Suspend pauses the process with SIGSTOP until Resume is called.
 func (p *Process) Suspend() error { return p.command.Process.Signal(syscall.SIGSTOP) }
 
-// Resume lets a frozen process go on.
+// Resume continues a suspended process.
 func (p *Process) Resume() error { return p.command.Process.Signal(syscall.SIGCONT) }
 
-// Terminate asks the process to stop as planned.
+// Terminate asks the process to shut down gracefully.
 func (p *Process) Terminate() error { return p.command.Process.Signal(syscall.SIGTERM) }
 
-// Wait waits for the end and gives the exit code; false if it did not come in time.
+// Wait waits for the process to exit and returns its exit code. ended is false if the timeout passed first.
 func (p *Process) Wait(timeout time.Duration) (code int, ended bool) {
 	select {
 	case <-p.done:
@@ -166,7 +168,7 @@
 	}
 }
 
-// stop ends the process: as planned where it obeys in time, else at once.
+// stop shuts the process down gracefully, and kills it if it has not exited after stopTimeout.
 func (p *Process) stop() error {
 	_ = p.Terminate()
 	if _, ended := p.Wait(stopTimeout); ended {
@@ -175,5 +177,5 @@
 	return p.Kill()
 }
 
-// PID is the process's number.
+// PID returns the process ID.
 func (p *Process) PID() int { return p.command.Process.Pid }
--- a/starter/settings.go
+++ b/starter/settings.go
@@ -34,11 +34,11 @@
 	}
 	maps.Copy(settings, f.cfg.Settings)
 	if f.cfg.EntrySettings != nil {
-		own, err := f.cfg.EntrySettings(f, entry)
+		overrides, err := f.cfg.EntrySettings(f, entry)
 		if err != nil {
 			return err
 		}
-		maps.Copy(settings, own)
+		maps.Copy(settings, overrides)
 	}
 	data, err := json.MarshalIndent(settings, "", "\t")
 	if err != nil {
@@ -47,15 +47,15 @@
 	return os.WriteFile(entry.settings, data, 0o600)
 }
 
-// operatorCredential proves the fleet's operator.
+// operatorCredential authenticates the fleet's operator.
 type operatorCredential struct{ credential string }
 
-// BasicAuth is for the generated client.
+// BasicAuth returns the credentials for the generated client.
 func (o operatorCredential) BasicAuth(context.Context, operatorserver.OperationName) (operatorserver.BasicAuth, error) {
 	return operatorserver.BasicAuth{Username: operatorName, Password: o.credential}, nil
 }
 
-// Operator is a client of an entry's operators' interface.
+// Operator returns a client of an entry's operator API.
 func (f *Fleet) Operator(entry *Entry) (*operatorserver.Client, error) {
 	return operatorserver.NewClient("http://"+entry.OperatorAddress, operatorCredential{credential: f.operator})
 }
