--- a/demonstrator/configuration.go
+++ b/demonstrator/configuration.go
@@ -1,5 +1,5 @@
-// Package demonstrator shows the whole path: it starts a fleet on loopback, publishes pipelines and
-// contracts, sends requests of all accounts and counts at the endpoints' own ledgers.
+// Package demonstrator runs an end-to-end demo: it starts a fleet on loopback, publishes pipelines and
+// contracts, sends requests of all accounts and checks the results against the endpoints' ledgers.
 package demonstrator
 
 import (
@@ -10,13 +10,13 @@
 	"geraniumline/verifier"
 )
 
-// The pipelines of the demo.
+// Names of the demo's pipelines.
 const (
 	pipelineSummary = "case-summary"
 	pipelineTicket  = "ticket-log"
 )
 
-// Pools are the demo's stand-ins.
+// Pools returns the pools of the demo's stand-ins.
 func Pools() []starter.Pool {
 	return []starter.Pool{
 		{Name: "encoders", Kind: "encoder", Endpoints: 3},
@@ -27,9 +27,10 @@
 	}
 }
 
+// generatedTokens is the maximum number of tokens that a generate stage returns.
 const generatedTokens = 16
 
-// Objects are the demo's pools and pipelines as configuration.
+// Objects returns the demo's pools and pipelines as configuration objects.
 func Objects() []any {
 	return []any{
 		publisher.Pool{Name: "encoders", Kind: publisher.PoolEncoder, SlotsPerEndpoint: 8},
@@ -42,7 +43,7 @@
 	}
 }
 
-// SummaryPipeline is the pipeline whose stages may all be repeated.
+// SummaryPipeline returns the pipeline whose stages are all repeatable.
 func SummaryPipeline() publisher.Pipeline {
 	return publisher.Pipeline{Name: pipelineSummary, Stages: []publisher.Stage{
 		{Name: "encode", Pool: "encoders", Repeatable: true, ExpectedMillis: 5},
@@ -52,7 +53,7 @@
 	}}
 }
 
-// TicketPipeline is the pipeline whose last stage must not be repeated.
+// TicketPipeline returns the pipeline whose last stage must not be repeated.
 func TicketPipeline() publisher.Pipeline {
 	return publisher.Pipeline{Name: pipelineTicket, Stages: []publisher.Stage{
 		{Name: "encode", Pool: "encoders", Repeatable: true, ExpectedMillis: 5},
@@ -66,12 +67,13 @@
 	Name       string
 	Credential string
 	Weight     float64
-	Rate       float64
-	// Requests is how many the demo sends for it.
+	// Rate is the contract's limit, in requests per second.
+	Rate float64
+	// Requests is the number of requests that the demo sends for the account.
 	Requests int
 }
 
-// Accounts are one small, two middling and two large accounts.
+// Accounts returns one small, two medium and two large accounts, with new credentials.
 func Accounts() []Account {
 	return []Account{
 		{Name: "school-station", Credential: verifier.GenerateCredential(), Weight: 1, Rate: 20, Requests: 30},
@@ -82,10 +84,10 @@
 	}
 }
 
-// costOfRequest is what a request of the demo costs at most, in endpoint milliseconds.
-const costOfRequest = 200
+// maxRequestCost is the maximum cost of a request of the demo, in endpoint milliseconds.
+const maxRequestCost = 200
 
-// Contract is an account's contract.
+// Contract returns the account's contract.
 func (a Account) Contract() publisher.Contract {
 	return publisher.Contract{
 		Account:          a.Name,
@@ -94,14 +96,14 @@
 		RatePerSecond:    a.Rate,
 		Burst:            a.Rate,
 		Concurrency:      int(a.Rate),
-		CostPerSecond:    a.Rate * costOfRequest,
+		CostPerSecond:    a.Rate * maxRequestCost,
 		Urgency:          publisher.Normal,
 		Pipelines:        []string{pipelineSummary, pipelineTicket},
 	}
 }
 
-// nameOf gives an object's kind, name and body.
-func nameOf(object any) (kind, name string, body []byte, err error) {
+// encodeObject returns the kind, name and JSON body of a configuration object. Kind and name are empty for other types.
+func encodeObject(object any) (kind, name string, body []byte, err error) {
 	body, err = json.Marshal(object)
 	switch o := object.(type) {
 	case publisher.Pool:
--- a/demonstrator/demonstrator.go
+++ b/demonstrator/demonstrator.go
@@ -16,31 +16,32 @@
 )
 
 const (
-	entries      = 7
-	zones        = 3
+	entryCount   = 7
+	zoneCount    = 3
 	readyTimeout = 20 * time.Second
 	deadline     = 5 * time.Second
-	// concurrency is how many requests of one account are under way at a time.
+	// concurrency is the maximum number of concurrent requests of one account.
 	concurrency = 6
 )
 
-// Config says where the programs are and where the report goes.
+// Config holds the directory of the programs (Bin), the directory for settings and logs (Dir), and the writer that the
+// report is printed to (Out).
 type Config struct {
 	Bin, Dir string
 	Out      io.Writer
 }
 
-// FailedError tells that the ledgers show what must never be.
+// FailedError reports that the ledgers show lost, doubled or crossed requests.
 type FailedError struct{ Report Report }
 
 func (e *FailedError) Error() string {
 	return fmt.Sprintf("lost=%d doubled=%d crossed=%d", e.Report.Lost, e.Report.Doubled, e.Report.Crossed)
 }
 
-// Run runs the demo and prints its report.
+// Run runs the demo and prints its report. It returns a FailedError if requests were lost, doubled or crossed.
 func Run(ctx context.Context, cfg Config) (err error) {
-	say(cfg.Out, "starting %d entries in %d availability zones, and the stand-ins", entries, zones)
-	fleet, err := starter.Start(ctx, starter.Config{Bin: cfg.Bin, Dir: cfg.Dir, Entries: entries, Zones: zones, Pools: Pools()})
+	printLine(cfg.Out, "starting %d entries in %d availability zones, and the stand-ins", entryCount, zoneCount)
+	fleet, err := starter.Start(ctx, starter.Config{Bin: cfg.Bin, Dir: cfg.Dir, Entries: entryCount, Zones: zoneCount, Pools: Pools()})
 	if err != nil {
 		return err
 	}
@@ -49,12 +50,12 @@
 		return err
 	}
 	accounts := Accounts()
-	say(cfg.Out, "publishing %d objects and %d contracts", len(Objects()), len(accounts))
+	printLine(cfg.Out, "publishing %d objects and %d contracts", len(Objects()), len(accounts))
 	if err := Publish(ctx, fleet, accounts); err != nil {
 		return err
 	}
-	say(cfg.Out, "sending requests")
-	results := send(ctx, fleet, accounts)
+	printLine(cfg.Out, "sending requests")
+	results := sendAll(ctx, fleet, accounts)
 	executions, err := fleet.Executions(ctx)
 	if err != nil {
 		return err
@@ -67,11 +68,11 @@
 	return nil
 }
 
-func say(w io.Writer, format string, args ...any) {
+func printLine(w io.Writer, format string, args ...any) {
 	_, _ = fmt.Fprintf(w, "demo: "+format+"\n", args...)
 }
 
-// RefusedChangeError tells that a change was not accepted.
+// RefusedChangeError reports that a configuration change was not accepted.
 type RefusedChangeError struct {
 	Kind, Name string
 	Verdict    operatorserver.ConfigVerdict
@@ -81,7 +82,8 @@
 	return fmt.Sprintf("%s %s: %s %s", e.Kind, e.Name, e.Verdict.Verdict, e.Verdict.Message.Value)
 }
 
-// Publish publishes the demo's configuration at the first entry and waits until it is in force at all.
+// Publish publishes the demo's configuration at the first entry and waits until it is in force at all entries. It returns
+// a RefusedChangeError if a change is not accepted.
 func Publish(ctx context.Context, fleet *starter.Fleet, accounts []Account) error {
 	objects := Objects()
 	for _, account := range accounts {
@@ -93,7 +95,7 @@
 	}
 	version := int64(0)
 	for i, object := range objects {
-		kind, name, body, err := nameOf(object)
+		kind, name, body, err := encodeObject(object)
 		if err != nil {
 			return err
 		}
@@ -114,7 +116,7 @@
 	return awaitVersion(ctx, fleet, version)
 }
 
-// awaitVersion waits until every entry has the version in force.
+// awaitVersion waits until the version is in force at every entry.
 func awaitVersion(ctx context.Context, fleet *starter.Fleet, version int64) error {
 	for _, entry := range fleet.Entries() {
 		client, err := fleet.Operator(entry)
@@ -135,7 +137,7 @@
 	return nil
 }
 
-// result is what became of one request.
+// result is the outcome of one request.
 type result struct {
 	account  string
 	pipeline string
@@ -143,11 +145,11 @@
 	input    string
 	answer   caller.Answer
 	err      error
-	took     time.Duration
+	duration time.Duration
 }
 
-// send sends all accounts' requests, each account's a few at a time.
-func send(ctx context.Context, fleet *starter.Fleet, accounts []Account) []result {
+// sendAll sends the requests of all accounts, at most concurrency per account at a time.
+func sendAll(ctx context.Context, fleet *starter.Fleet, accounts []Account) []result {
 	var addresses []string
 	for _, entry := range fleet.Entries() {
 		addresses = append(addresses, entry.CallerAddress)
@@ -176,12 +178,12 @@
 	return results
 }
 
-// ticketEvery makes each so-manieth request one that must not be repeated.
-const ticketEvery = 3
+// ticketInterval is the interval between requests to the ticket pipeline, counted in requests of an account.
+const ticketInterval = 3
 
 func sendOne(ctx context.Context, client *caller.Caller, account Account, i int) result {
 	r := result{account: account.Name, pipeline: pipelineSummary, input: fmt.Sprintf("%s writes report %d", account.Name, i)}
-	if i%ticketEvery == 0 {
+	if i%ticketInterval == 0 {
 		r.pipeline = pipelineTicket
 	}
 	key, err := caller.NewKey()
@@ -192,6 +194,6 @@
 	r.key = key
 	start := time.Now()
 	r.answer, r.err = client.Send(ctx, caller.Request{Pipeline: r.pipeline, Key: key, Input: r.input, Deadline: deadline})
-	r.took = time.Since(start)
+	r.duration = time.Since(start)
 	return r
 }
--- a/demonstrator/report.go
+++ b/demonstrator/report.go
@@ -15,87 +15,87 @@
 	"geraniumline/publisher"
 )
 
-// Report counts what became of the requests. Lost, Doubled and Crossed must be 0.
+// Report counts requests by outcome. Lost, Doubled and Crossed must be 0.
 type Report struct {
 	Sent, Answered, InTime, NotRun, Unknown int
-	// Lost counts requests that were answered but that no ledger shows whole, and requests without any
-	// truthful end.
+	// Lost counts requests that were answered but appear in no ledger, and requests that ended with neither an answer
+	// nor a valid outcome.
 	Lost int
-	// Doubled counts calls that may not be repeated and that ran more than once.
+	// Doubled counts calls that must not be repeated but ran more than once.
 	Doubled int
-	// Crossed counts answers that are not their request's own, and requests told notRun that did run.
+	// Crossed counts answers that belong to another request, and requests answered with notRun that did run.
 	Crossed int
 
 	rows map[string]*row
-	// strange is the last end of a request that was not an answer.
-	strange error
+	// lastFailure is the error of the last request that was lost or not run.
+	lastFailure error
 }
 
-// row is one account's part of the report.
+// row holds the report on one account.
 type row struct {
 	sent, answered, inTime int
-	millis                 *hdrhistogram.Histogram
+	latencyMicros          *hdrhistogram.Histogram
 	cost                   map[string]float64
 }
 
 const (
-	maxMicros      = 60_000_000
-	significant    = 3
-	microsInMillis = 1000
+	maxMicros         = 60_000_000
+	significantDigits = 3
+	microsPerMilli    = 1000
 )
 
 func newReport(accounts []Account, results []result, executions []faker.Execution) Report {
 	report := Report{rows: map[string]*row{}}
 	for _, account := range accounts {
-		report.rows[account.Name] = &row{millis: hdrhistogram.New(1, maxMicros, significant), cost: map[string]float64{}}
+		report.rows[account.Name] = &row{latencyMicros: hdrhistogram.New(1, maxMicros, significantDigits), cost: map[string]float64{}}
 	}
-	ran := map[string]bool{}
+	executed := map[string]bool{}
 	for _, execution := range executions {
-		ran[execution.IdempotencyKey] = true
+		executed[execution.IdempotencyKey] = true
 		if r, known := report.rows[execution.Account]; known {
 			r.cost[execution.Stage] += execution.Cost
 		}
 	}
 	for _, result := range results {
-		report.count(result, ran)
+		report.count(result, executed)
 	}
 	report.Doubled = len(faker.Doubled(executions))
 	return report
 }
 
-func (r *Report) count(result result, ran map[string]bool) {
+func (r *Report) count(result result, executed map[string]bool) {
 	row := r.rows[result.account]
 	r.Sent++
 	row.sent++
 	if result.err == nil {
-		r.countAnswer(result, row, ran)
+		r.countAnswer(result, row, executed)
 		return
 	}
 	var failed *caller.FailedError
 	switch {
 	case !errors.As(result.err, &failed):
 		r.Lost++
-		r.strange = result.err
+		r.lastFailure = result.err
 	case failed.Outcome == "unknown":
 		r.Unknown++
 	default:
 		r.NotRun++
-		r.strange = result.err
-		if ran[result.key] {
+		r.lastFailure = result.err
+		if executed[result.key] {
 			r.Crossed++
 		}
 	}
 }
 
-func (r *Report) countAnswer(result result, row *row, ran map[string]bool) {
+func (r *Report) countAnswer(result result, row *row, executed map[string]bool) {
 	r.Answered++
 	row.answered++
-	_ = row.millis.RecordValue(result.took.Microseconds())
-	if result.took <= deadline {
+	_ = row.latencyMicros.RecordValue(result.duration.Microseconds())
+	if result.duration <= deadline {
 		r.InTime++
 		row.inTime++
 	}
-	if !ran[result.key] {
+	if !executed[result.key] {
 		r.Lost++
 	}
 	if !IsExpectedAnswer(result.pipeline, result.input, result.answer.Text) {
@@ -103,17 +103,18 @@
 	}
 }
 
-// IsExpectedAnswer tells whether an answer is whole and that of the input: the stand-ins' text depends on both.
+// IsExpectedAnswer reports whether text is the complete answer of the pipeline to the input. The text that the stand-ins
+// produce depends on both.
 func IsExpectedAnswer(pipeline, input, text string) bool {
 	config := SummaryPipeline()
 	if pipeline == pipelineTicket {
 		config = TicketPipeline()
 	}
-	return text == faker.ExpectPipeline(requestOf(text), input, expected(config))
+	return text == faker.ExpectPipeline(requestID(text), input, expectedStages(config))
 }
 
-// requestOf reads the request's name out of "stage:requestId:...".
-func requestOf(text string) string {
+// requestID returns the request ID in an answer of the form "stage:requestId:...", or an empty string.
+func requestID(text string) string {
 	fields := strings.SplitN(text, ":", 3)
 	if len(fields) < 3 {
 		return ""
@@ -121,7 +122,7 @@
 	return fields[1]
 }
 
-func expected(pipeline publisher.Pipeline) []faker.ExpectedStage {
+func expectedStages(pipeline publisher.Pipeline) []faker.ExpectedStage {
 	var stages []faker.ExpectedStage
 	for _, stage := range pipeline.Stages {
 		stages = append(stages, faker.ExpectedStage{Name: stage.Name, Tokens: max(stage.MaxTokens, 1)})
@@ -140,21 +141,21 @@
 	for _, name := range names {
 		row := r.rows[name]
 		_, _ = fmt.Fprintf(table, "%s\t%d\t%d\t%.1f\t%.1f\t%.1f\t%s\t\n", name, row.sent, row.inTime,
-			row.quantile(50), row.quantile(95), row.quantile(99), costs(row.cost))
+			row.quantileMillis(50), row.quantileMillis(95), row.quantileMillis(99), formatCosts(row.cost))
 	}
 	_ = table.Flush()
-	if r.strange != nil {
-		_, _ = fmt.Fprintf(w, "demo: one request ended with: %v\n", r.strange)
+	if r.lastFailure != nil {
+		_, _ = fmt.Fprintf(w, "demo: one request ended with: %v\n", r.lastFailure)
 	}
 	_, _ = fmt.Fprintf(w, "demo: sent=%d answered=%d inTime=%d notRun=%d unknown=%d lost=%d doubled=%d crossed=%d\n",
 		r.Sent, r.Answered, r.InTime, r.NotRun, r.Unknown, r.Lost, r.Doubled, r.Crossed)
 }
 
-func (r *row) quantile(percent float64) float64 {
-	return float64(r.millis.ValueAtQuantile(percent)) / microsInMillis
+func (r *row) quantileMillis(percent float64) float64 {
+	return float64(r.latencyMicros.ValueAtQuantile(percent)) / microsPerMilli
 }
 
-func costs(cost map[string]float64) string {
+func formatCosts(cost map[string]float64) string {
 	stages := make([]string, 0, len(cost))
 	for stage := range cost {
 		stages = append(stages, stage)
