--- a/reducer/claim.go
+++ b/reducer/claim.go
@@ -10,51 +10,52 @@
 )
 
 const (
-	// logRetryAfter tells a caller when to come back while the log is not available.
+	// logRetryAfter is the least Retry-After sent to callers while the log is unavailable.
 	logRetryAfter = time.Second
-	// logSilence is how long the claims stream may be silent before this entry stops claiming.
-	logSilence = 3 * time.Second
-	// uncertainGrace is how long a claim may take to be read back once its append's end is uncertain.
-	uncertainGrace = 300 * time.Millisecond
-	// claimDelayDecay is the weight of the newest claim in the mean of claims' delays.
-	claimDelayDecay = 0.2
+	// maxClaimsSilence is the longest time since the last read of the claims stream at which this entry still claims.
+	maxClaimsSilence = 3 * time.Second
+	// uncertainClaimTimeout bounds the wait for a claim to be read back once the result of its append is uncertain.
+	uncertainClaimTimeout = 300 * time.Millisecond
+	// claimDelayWeight is the weight of the newest sample in the moving average of claim delays.
+	claimDelayWeight = 0.2
 )
 
-// logHealth is what is known of a stream of the log.
-type logHealth struct {
-	// caughtUp tells that the stream was read to its end at least once.
+// streamHealth is the state of reading one stream of the log.
+type streamHealth struct {
+	// caughtUp is set once the stream has been read to its end.
 	caughtUp bool
-	readAt   time.Time
+	lastRead time.Time
 	failing  bool
 	reason   string
-	// era is that of the pages read; renewed tells that it has changed while this process read the stream.
-	era     int64
-	renewed bool
+	// era is the highest era of the pages read. eraChanged is set if it has changed since this process's first read.
+	era        int64
+	eraChanged bool
 }
 
-// takeEra notes the era of a page.
-func (h *logHealth) takeEra(era int64) {
-	h.renewed = h.renewed || era > h.era && !h.readAt.IsZero()
+// observeEra records the era of a page.
+func (h *streamHealth) observeEra(era int64) {
+	h.eraChanged = h.eraChanged || era > h.era && !h.lastRead.IsZero()
 	h.era = max(h.era, era)
 }
 
-// claimsReady tells whether this entry may claim: it has read the stream to its end, so that it knows
-// every earlier claim within the horizon, and can read and append now.
-func (c *Core) claimsReady(now time.Time) bool {
-	health := c.logs[StreamClaims]
-	return health.caughtUp && !health.failing && now.Sub(health.readAt) < logSilence
+// canClaim reports whether this entry may claim keys: it has read the claims stream to its end, so that it knows
+// every earlier claim within the horizon, and its last reads succeeded.
+func (c *Core) canClaim(now time.Time) bool {
+	health := c.streams[StreamClaims]
+	return health.caughtUp && !health.failing && now.Sub(health.lastRead) < maxClaimsSilence
 }
 
-// claimDelay is how long a claim made now will take to be read back: the mean of recent ones, or what the
-// batcher expects if that is greater.
+// claimDelay estimates how long a claim made now takes to be read back: the moving average of recent claims, or the
+// batcher's estimate if that is greater.
 func (c *Core) claimDelay(now time.Time) time.Duration {
-	return max(c.claimMean, c.batcher.Delay(now))
+	return max(c.meanClaimDelay, c.batcher.ExpectedDelay(now))
 }
 
-// claim appends the request's claim. Nothing is dispatched before it is read back as the key's first.
-func (c *Core) claim(r *request, now time.Time) {
-	c.nextClaim++
-	r.claimID = c.nextClaim
+// appendClaim queues the request's claim for the log. No stage is dispatched before the claim has been read back
+// as the first for its key.
+func (c *Core) appendClaim(r *request, now time.Time) {
+	c.lastClaimID++
+	r.claimID = c.lastClaimID
 	r.phase = phaseClaiming
 	c.claiming[r.claimID] = r
 	c.counters.ClaimsSent++
@@ -62,16 +63,17 @@
 	c.schedule(timer{at: now.Add(c.claimTimeout(r, now)), kind: timerClaim, subject: r.claimID})
 }
 
-// claimTimeout leaves the stages the time that they need after the claim.
+// claimTimeout returns how long to wait for the claim: the time left until the deadline less the estimated time of
+// the stages, but at least half of the time left.
 func (c *Core) claimTimeout(r *request, now time.Time) time.Duration {
-	needed := time.Duration(r.estimated) * time.Millisecond
+	needed := time.Duration(r.estimatedCost) * time.Millisecond
 	left := r.deadline.Sub(now)
 	return max(left-needed, left/2)
 }
 
-// passClaimTimeout gives up a request whose claim was not read back in time, and says so at once.
-// The claim may still land: it is then never dispatched, since its request is gone, and released.
-func (c *Core) passClaimTimeout(subject uint64, now time.Time) {
+// handleClaimTimeout fails a request whose claim was not read back in time. The claim may still be read later; it is
+// then released and never dispatched, since its request has ended.
+func (c *Core) handleClaimTimeout(subject uint64, now time.Time) {
 	r, waiting := c.claiming[subject]
 	if !waiting {
 		return
@@ -79,8 +81,8 @@
 	c.fail(r, CodeLogUnavailable, "the claim was not confirmed in time", logRetryAfter, now)
 }
 
-// pumpClaims appends what the batcher says is due.
-func (c *Core) pumpClaims(now time.Time) {
+// appendDueClaims emits appends for all batches that are due.
+func (c *Core) appendDueClaims(now time.Time) {
 	for {
 		batch, due := c.batcher.Due(now)
 		if !due {
@@ -88,47 +90,47 @@
 		}
 		data, err := claimer.Encode(batch)
 		if err != nil {
-			c.emit(LogChange{Message: "claims can't be encoded", Subject: err.Error()})
+			c.emit(LogChange{Message: "failed to encode claims", Subject: err.Error()})
 			c.batcher.Appended(batch.BatchID, claimer.AppendDone{}, now)
 			continue
 		}
-		c.appending++
+		c.claimAppendsInFlight++
 		c.emit(Append{Stream: StreamClaims, BatchID: batch.BatchID, Data: data})
 	}
 }
 
-// takeAppended takes the end of an append.
-func (c *Core) takeAppended(e Appended, now time.Time) {
+// handleAppended handles the result of an append to any stream.
+func (c *Core) handleAppended(e Appended, now time.Time) {
 	switch e.Stream {
 	case StreamConfig:
-		c.takeConfigAppended(e, now)
+		c.handleConfigAppended(e, now)
 		return
 	case StreamLeases:
-		c.leaser.Ended(e.BatchID, e.Result, now)
+		c.leaser.AppendFinished(e.BatchID, e.Result, now)
 		return
 	}
-	c.appending--
+	c.claimAppendsInFlight--
 	c.batcher.Appended(e.BatchID, e.Result, now)
 	switch result := e.Result.(type) {
 	case claimer.AppendRefused:
-		c.refuseClaims(max(result.RetryAfter, logRetryAfter), now)
+		c.failRefusedClaims(max(result.RetryAfter, logRetryAfter), now)
 	case claimer.AppendUncertain:
-		c.hurryClaims(now)
+		c.shortenClaimTimeouts(now)
 	}
 }
 
-// hurryClaims gives claims whose append's end is uncertain, and those that wait behind it, a short time to be read
-// back. A lost reply shows within that time, and the log then takes the next ones; an append that hangs would
-// otherwise hold its callers to the end of their deadlines.
-func (c *Core) hurryClaims(now time.Time) {
+// shortenClaimTimeouts limits the wait for claims whose append's result is uncertain, and for those queued behind it,
+// to uncertainClaimTimeout. If only the reply was lost, the claim is read back within that time and the log accepts
+// the next ones; an append that hangs would otherwise hold its callers until their deadlines.
+func (c *Core) shortenClaimTimeouts(now time.Time) {
 	for id := range c.claiming {
-		c.schedule(timer{at: now.Add(uncertainGrace), kind: timerClaim, subject: id})
+		c.schedule(timer{at: now.Add(uncertainClaimTimeout), kind: timerClaim, subject: id})
 	}
 }
 
-// refuseClaims gives up, at once, the requests whose claims are surely not in the log: holding them while
-// the log refuses appends would only make their callers wait for the same answer.
-func (c *Core) refuseClaims(retryAfter time.Duration, now time.Time) {
+// failRefusedClaims fails the requests whose claims are certainly not in the log. Holding them while the log refuses
+// appends would only delay the same answer.
+func (c *Core) failRefusedClaims(retryAfter time.Duration, now time.Time) {
 	ids := slices.Sorted(maps.Keys(c.claiming))
 	for _, id := range ids {
 		if c.batcher.Withdraw(id) {
@@ -137,51 +139,52 @@
 	}
 }
 
-// takeClaimDecision acts on what a record of the claims stream has settled.
-func (c *Core) takeClaimDecision(decision claimer.Decision, now time.Time) {
+// handleClaimDecision handles a decision that follows from a record of the claims stream.
+func (c *Core) handleClaimDecision(decision claimer.Decision, now time.Time) {
 	switch d := decision.(type) {
 	case claimer.Won:
-		c.takeWon(d, now)
+		c.handleClaimWon(d, now)
 	case claimer.Lost:
-		c.takeLost(d, now)
+		c.handleClaimLost(d, now)
 	case claimer.Voided:
-		c.takeVoided(d.ClaimID, voidCode(d.Reason), now)
-	case claimer.Unproved:
-		c.takeUnproved(d, now)
+		c.handleClaimVoided(d.ClaimID, voidCode(d.Reason), now)
+	case claimer.Unverified:
+		c.handleClaimUnproved(d, now)
 	case claimer.ForeignOutcome:
-		c.takeForeignOutcome(d, now)
-	case claimer.ClosedOwner:
-		c.ownerDied(d.Entry)
-	case claimer.Landed:
-		c.batcher.Landed(d.BatchID, now)
+		c.handleForeignOutcome(d, now)
+	case claimer.IncarnationClosed:
+		c.failOwnerQueries(d.Entry)
+	case claimer.BatchCommitted:
+		c.batcher.Committed(d.BatchID, now)
 	}
 }
 
-// takeWon starts the stages of a request whose claim is the key's first.
-func (c *Core) takeWon(d claimer.Won, now time.Time) {
+// handleClaimWon starts the stages of a request whose claim is the first for its key.
+func (c *Core) handleClaimWon(d claimer.Won, now time.Time) {
 	r, waiting := c.claiming[d.ClaimID]
 	if !waiting {
-		// The caller was told notRun already. Without the release the key could never be tried
-		// again; with it nobody can run it twice, since this entry never dispatches a claim
-		// whose request is gone.
+		// The caller has already received notRun. Without the release, the key could never be tried
+		// again. Releasing it can't make it run twice, since this entry never dispatches a claim
+		// whose request has ended.
 		c.counters.ClaimsLate++
 		c.batcher.Add(claimer.Release{Key: d.Key, ClaimID: d.ClaimID})
 		return
 	}
 	c.counters.ClaimsWon++
-	c.noteClaimDelay(now.Sub(r.arrived))
+	c.recordClaimDelay(now.Sub(r.arrived))
 	delete(c.claiming, d.ClaimID)
 	r.claimed = true
 	r.fence = d.Offset
 	c.enqueue(r, now)
 }
 
-func (c *Core) noteClaimDelay(delay time.Duration) {
-	c.claimMean += time.Duration(claimDelayDecay * float64(delay-c.claimMean))
+// recordClaimDelay adds a sample to the moving average of claim delays.
+func (c *Core) recordClaimDelay(delay time.Duration) {
+	c.meanClaimDelay += time.Duration(claimDelayWeight * float64(delay-c.meanClaimDelay))
 }
 
-// takeLost answers a request whose key another claim holds.
-func (c *Core) takeLost(d claimer.Lost, now time.Time) {
+// handleClaimLost answers a request whose key is held by another claim.
+func (c *Core) handleClaimLost(d claimer.Lost, now time.Time) {
 	r, waiting := c.claiming[d.ClaimID]
 	if !waiting {
 		return
@@ -190,24 +193,25 @@
 	c.answerByHolder(r, d.Holder, now)
 }
 
-// answerByHolder answers the callers of a request that another claim serves.
-func (c *Core) answerByHolder(r *request, holder claimer.Holding, now time.Time) {
+// answerByHolder drops a request whose key another claim holds, and answers its callers from that claim.
+func (c *Core) answerByHolder(r *request, holder claimer.KeyStatus, now time.Time) {
 	callers := append([]uint64{r.id}, r.joined...)
-	c.drop(r, now)
+	c.dropRequest(r, now)
 	for _, id := range callers {
-		c.answerHeld(id, r.key, r.digest, holder, r.deadline, now)
+		c.answerClaimed(id, r.key, r.digest, holder, r.deadline, now)
 	}
 }
 
-// drop forgets a request that another claim serves.
-func (c *Core) drop(r *request, now time.Time) {
+// dropRequest removes a request whose key another claim holds, without recording an outcome.
+func (c *Core) dropRequest(r *request, now time.Time) {
 	delete(c.claiming, r.claimID)
-	c.forget(r)
-	c.limiter.Release(r.key.Account, r.estimated, 0, now)
+	c.removeRequest(r)
+	c.limiter.Release(r.key.Account, r.estimatedCost, 0, now)
 }
 
-// endClaim records a claimed request's end, so that any entry can answer for it.
-func (c *Core) endClaim(r *request, outcome Outcome) {
+// recordClaimEnd appends the end of a claimed request to the claims stream, so that any entry can answer for its key.
+// A claim that has not been read back is withdrawn instead, and one whose request did not run is released.
+func (c *Core) recordClaimEnd(r *request, outcome Outcome) {
 	if !r.plan.sideEffect {
 		return
 	}
@@ -223,7 +227,7 @@
 	c.batcher.Add(claimer.Outcome{
 		Key:     r.key,
 		ClaimID: r.claimID,
-		State:   claimState(outcome.State),
+		State:   stateToClaim(outcome.State),
 		Answer:  outcome.Answer,
 		Parts:   outcome.Parts,
 		Code:    string(outcome.Failure.Code),
@@ -231,17 +235,18 @@
 	})
 }
 
-func ageFailure(err error) *Failure {
+// keyAgeFailure converts an error of claimer.CheckAge to a failure.
+func keyAgeFailure(err error) *Failure {
 	var old *claimer.KeyTooOldError
 	if errors.As(err, &old) {
-		// Whether it ran once is no longer known, so "not run" might be untrue. It did not run now.
+		// Whether the key ran earlier is no longer known, so "not run" might be false. It did not run now.
 		return &Failure{Code: CodeKeyTooOld, Message: old.Error() + "; it was not run now", State: StateUnknown}
 	}
 	return &Failure{Code: CodeKeyFromFuture, Message: err.Error(), State: StateNotRun}
 }
 
-// takeVoided ends a request whose claim holds nothing, for anyone.
-func (c *Core) takeVoided(claimID uint64, code Code, now time.Time) {
+// handleClaimVoided ends a request whose claim is void. It is answered by the key's holder if there is one.
+func (c *Core) handleClaimVoided(claimID uint64, code Code, now time.Time) {
 	r, waiting := c.claiming[claimID]
 	if !waiting {
 		return
@@ -254,17 +259,17 @@
 	c.answerByHolder(r, holding, now)
 }
 
-// takeUnproved ends a request whose claim is the first that this entry knows, although it may have missed
-// earlier ones. It is neither dispatched nor released, and an earlier claim may have run.
-func (c *Core) takeUnproved(d claimer.Unproved, now time.Time) {
+// handleClaimUnproved ends a request whose claim is the first for its key that this entry has read, although it may
+// have missed earlier ones. The claim is neither dispatched nor released, since an earlier one may have run.
+func (c *Core) handleClaimUnproved(d claimer.Unverified, now time.Time) {
 	r, waiting := c.claiming[d.ClaimID]
 	if !waiting {
 		return
 	}
 	callers := append([]uint64{r.id}, r.joined...)
-	c.drop(r, now)
+	c.dropRequest(r, now)
 	for _, id := range callers {
-		c.emit(SendFailure{ID: id, Failure: mayHaveRun(r.key, 0)})
+		c.emit(SendFailure{ID: id, Failure: mayHaveRunFailure(r.key, 0)})
 	}
 }
 
@@ -281,14 +286,14 @@
 	}
 }
 
-func claimState(state State) claimer.State {
+func stateToClaim(state State) claimer.OutcomeState {
 	if state == StateAnswered {
 		return claimer.StateAnswered
 	}
 	return claimer.StateUnknown
 }
 
-func stateOfClaim(state claimer.State) State {
+func stateFromClaim(state claimer.OutcomeState) State {
 	if state == claimer.StateAnswered {
 		return StateAnswered
 	}
--- a/reducer/order.go
+++ b/reducer/order.go
@@ -16,31 +16,32 @@
 )
 
 const (
-	// orderEvery is how often the orders to engines are decided.
-	orderEvery = 500 * time.Millisecond
-	// readAssignmentEvery is how often an engine is asked what it holds.
-	readAssignmentEvery = 2 * time.Second
-	// readAgainEvery bounds the readings of all engines after failed calls.
-	readAgainEvery = 200 * time.Millisecond
-	// orderTimeout bounds one order, and leastOrderTime is what must be left of the lease to begin one.
-	orderTimeout   = 2 * time.Second
-	leastOrderTime = 500 * time.Millisecond
-	// demandKept is how long the demand that a peer tells is believed.
-	demandKept = 5 * time.Second
+	// orderInterval is the time between two decisions on orders to engines.
+	orderInterval = 500 * time.Millisecond
+	// readAssignmentInterval is the time between two reads of an engine's assignment.
+	readAssignmentInterval = 2 * time.Second
+	// minRereadInterval is the least time between two reads of all engines that failed calls cause.
+	minRereadInterval = 200 * time.Millisecond
+	// orderTimeout bounds one order. minOrderTime is the least time that must be left of the lease to begin one.
+	orderTimeout = 2 * time.Second
+	minOrderTime = 500 * time.Millisecond
+	// peerDemandTTL is how long a peer's reported demand is used.
+	peerDemandTTL = 5 * time.Second
 )
 
-// ordering is what the core knows of a pool whose engines a placement places.
-type ordering struct {
+// placedPool is the state of a pool whose engines are assigned models by a placement.
+type placedPool struct {
 	pool   string
 	placer *placer.Placer
-	// lacks is the placer's, kept so that no choice of an endpoint has to make it.
-	lacks func(address, model string, now time.Time) bool
-	asked map[string]time.Time
-	// doubted is when a failed call last had all engines read.
-	doubted time.Time
-	peers   map[string]peerDemand
+	// cannotServe is the placer's method value, kept to avoid an allocation at each choice of an endpoint.
+	cannotServe func(address, model string, now time.Time) bool
+	lastReads   map[string]time.Time
+	// lastReread is when a failed call last caused a read of all engines.
+	lastReread  time.Time
+	peerDemands map[string]peerDemand
 }
 
+// peerDemand is the demand for a pool's models that a peer reported last.
 type peerDemand struct {
 	models []carrier.ModelDemand
 	at     time.Time
@@ -53,56 +54,57 @@
 	return lease
 }
 
-func (c *Core) newOrdering(pool string) *ordering {
-	o := &ordering{pool: pool, placer: placer.New(c.cfg.Placer), asked: map[string]time.Time{}, peers: map[string]peerDemand{}}
-	o.lacks = o.placer.CannotServe
-	return o
+func (c *Core) newPlacedPool(pool string) *placedPool {
+	p := &placedPool{pool: pool, placer: placer.New(c.cfg.Placer), lastReads: map[string]time.Time{}, peerDemands: map[string]peerDemand{}}
+	p.cannotServe = p.placer.CannotServe
+	return p
 }
 
-// stepOrders reads engines back, keeps the lease on each placed pool and gives the orders that are due.
-func (c *Core) stepOrders(now time.Time) {
-	if now.Before(c.orderAt) {
+// updatePlacedPools reads the engines' assignments, bids for or renews the lease on each pool with a placement and
+// sends the orders that are due.
+func (c *Core) updatePlacedPools(now time.Time) {
+	if now.Before(c.nextOrders) {
 		return
 	}
-	c.orderAt = now.Add(orderEvery)
+	c.nextOrders = now.Add(orderInterval)
 	placed := map[string]bool{}
 	for _, placement := range c.fold.Placements() {
 		if placed[placement.Pool] {
 			continue
 		}
 		placed[placement.Pool] = true
-		o, known := c.orderings[placement.Pool]
+		p, known := c.placedPools[placement.Pool]
 		if !known {
-			o = c.newOrdering(placement.Pool)
-			c.orderings[placement.Pool] = o
+			p = c.newPlacedPool(placement.Pool)
+			c.placedPools[placement.Pool] = p
 		}
-		c.stepOrdering(o, placement, now)
+		c.updatePlacedPool(p, placement, now)
 	}
-	for pool, o := range c.orderings {
-		o.placer.SetPoolCount(len(placed))
+	for pool, p := range c.placedPools {
+		p.placer.SetPoolCount(len(placed))
 		if !placed[pool] {
-			delete(c.orderings, pool)
+			delete(c.placedPools, pool)
 		}
 	}
 }
 
-func (c *Core) stepOrdering(o *ordering, placement *publisher.Placement, now time.Time) {
-	c.readBack(o, now)
-	c.bidForLease(o.pool, now)
-	own := c.modelDemand(o.pool)
-	lease, held := c.leaser.Held(o.pool, now)
+func (c *Core) updatePlacedPool(p *placedPool, placement *publisher.Placement, now time.Time) {
+	c.readAssignments(p, now)
+	c.bidForLease(p.pool, now)
+	own := c.modelDemand(p.pool)
+	lease, held := c.leaser.Held(p.pool, now)
 	if !held {
-		c.tellDemand(o.pool, own)
+		c.sendDemand(p.pool, own)
 		return
 	}
-	o.placer.ObserveDemand(o.total(own, now), now)
-	if lease.Left < leastOrderTime || c.drainer.Phase() != drainer.Serving {
+	p.placer.ObserveDemand(p.totalDemand(own, now), now)
+	if lease.Remaining < minOrderTime || c.drainer.Phase() != drainer.Serving {
 		return
 	}
-	right := placer.Lease{Fence: lease.Fence, Granted: lease.Granted}
-	for _, order := range o.placer.Orders(placement, c.modelsInUse(o.pool), right, now) {
+	placerLease := placer.Lease{Fence: lease.Fence, Granted: lease.Granted}
+	for _, order := range p.placer.Orders(placement, c.modelsInUse(p.pool), placerLease, now) {
 		c.countOrder(&order)
-		c.emit(OrderEngine{Pool: o.pool, Address: order.Address, State: order.State, Until: now.Add(min(lease.Left, orderTimeout))})
+		c.emit(OrderEngine{Pool: p.pool, Address: order.Address, State: order.State, Deadline: now.Add(min(lease.Remaining, orderTimeout))})
 	}
 }
 
@@ -113,61 +115,62 @@
 	}
 }
 
-// readBack asks engines what they hold: each now and then, and at once where an order's end is uncertain.
-func (c *Core) readBack(o *ordering, now time.Time) {
-	addresses := c.router.PoolAddresses(o.pool)
-	o.placer.SetEngines(addresses)
-	for _, address := range o.placer.Unsettled() {
-		if now.Sub(o.asked[address]) > orderEvery {
-			o.asked[address] = time.Time{}
+// readAssignments reads the engines' assignments: each at intervals, and sooner where an order's result is uncertain.
+func (c *Core) readAssignments(p *placedPool, now time.Time) {
+	addresses := c.router.PoolAddresses(p.pool)
+	p.placer.SetEngines(addresses)
+	for _, address := range p.placer.Unsettled() {
+		if now.Sub(p.lastReads[address]) > orderInterval {
+			p.lastReads[address] = time.Time{}
 		}
 	}
-	asked := make(map[string]time.Time, len(addresses))
+	reads := make(map[string]time.Time, len(addresses))
 	for _, address := range addresses {
-		asked[address] = o.asked[address]
-		if now.Sub(asked[address]) < readAssignmentEvery || o.placer.OrderInFlight(address) {
+		reads[address] = p.lastReads[address]
+		if now.Sub(reads[address]) < readAssignmentInterval || p.placer.OrderInFlight(address) {
 			continue
 		}
-		asked[address] = now
-		c.emit(ReadAssignment{Pool: o.pool, Address: address, Asked: now})
+		reads[address] = now
+		c.emit(ReadAssignment{Pool: p.pool, Address: address, RequestedAt: now})
 	}
-	o.asked = asked
+	p.lastReads = reads
 }
 
-// readAgain has a pool's engines read back at once when one of them failed a call: it may hold another model than it
-// did, and the model that the call needs may be elsewhere. Until it is read the engine gets no calls: a stage that is
-// tried again would go to it, be refused and have no tries left before the truth is known.
-func (c *Core) readAgain(pool, address string, now time.Time) {
-	o, placed := c.orderings[pool]
+// rereadAssignments reads all assignments of a pool when one of its engines failed a call: that engine may hold
+// another model than before, and the model that the call needs may be elsewhere. The engine gets no calls until its
+// assignment is read: a stage that is tried again could otherwise use up its attempts there before that.
+func (c *Core) rereadAssignments(pool, address string, now time.Time) {
+	p, placed := c.placedPools[pool]
 	if !placed {
 		return
 	}
-	o.placer.MarkDoubtful(address)
-	o.asked[address] = time.Time{}
-	if now.Sub(o.doubted) < readAgainEvery {
+	p.placer.MarkDoubtful(address)
+	p.lastReads[address] = time.Time{}
+	if now.Sub(p.lastReread) < minRereadInterval {
 		return
 	}
-	o.doubted = now
-	clear(o.asked)
-	c.readBack(o, now)
+	p.lastReread = now
+	clear(p.lastReads)
+	c.readAssignments(p, now)
 }
 
-// bidForLease appends to the leases stream if a bid or a renewal is due. An entry that can't read the stream would
-// not see its own record, and one that is stopping leaves the lease to others.
+// bidForLease appends to the leases stream if a bid or a renewal is due. An entry that can't read the stream does
+// not bid, since it would not see its own record. Neither does one that is stopping, which leaves the lease to others.
 func (c *Core) bidForLease(pool string, now time.Time) {
-	health := c.logs[StreamLeases]
+	health := c.streams[StreamLeases]
 	if !health.caughtUp || health.failing || c.drainer.Phase() != drainer.Serving {
 		return
 	}
-	data, id, due := c.leaser.Bid(pool, c.orderRank(pool), now)
+	data, id, due := c.leaser.AcquireOrRenew(pool, c.leaseRank(pool), now)
 	if due {
 		c.emit(Append{Stream: StreamLeases, BatchID: id, Data: data})
 	}
 }
 
-// orderRank is this entry's place among the live ones for a pool, by rendezvous hash, so that pools have different
-// orderers. Entries that differ about who lives only bid at the same time; the log decides.
-func (c *Core) orderRank(pool string) int {
+// leaseRank returns this entry's rank among the live entries for a pool by rendezvous hashing, so that different
+// entries send the orders of different pools. If entries disagree about which ones live, they may only bid at
+// the same time; the log then decides.
+func (c *Core) leaseRank(pool string) int {
 	own := xxhash.Sum64String(pool + "/" + c.cfg.Entry)
 	rank := 0
 	for _, member := range c.detector.Members() {
@@ -178,39 +181,40 @@
 	return rank
 }
 
+// foldLeases applies the records of a page to the leases.
 func (c *Core) foldLeases(e LogRead, now time.Time) {
-	if c.leaser.Gap(e.First, now) {
-		c.emit(LogChange{Message: "the log cut leases before they were read", Subject: string(StreamLeases)})
+	if c.leaser.ResetOnGap(e.First, now) {
+		c.emit(LogChange{Message: "log truncated leases before they were read", Subject: string(StreamLeases)})
 	}
 	for _, record := range e.Records {
 		change, changed := c.leaser.Apply(record, now)
-		if changed && c.logs[StreamLeases].caughtUp {
+		if changed && c.streams[StreamLeases].caughtUp {
 			c.emit(LogChange{Message: "orderer", Subject: change.Pool, To: change.Entry})
 		}
 	}
 }
 
-func (c *Core) takeAssignment(e AssignmentRead, now time.Time) {
-	if o, placed := c.orderings[e.Pool]; placed {
-		o.placer.ObserveState(e.Address, e.State, e.Asked, now)
-		c.pump(e.Pool, now)
+func (c *Core) handleAssignmentRead(e AssignmentRead, now time.Time) {
+	if p, placed := c.placedPools[e.Pool]; placed {
+		p.placer.ObserveState(e.Address, e.State, e.RequestedAt, now)
+		c.dispatchQueued(e.Pool, now)
 	}
 }
 
-func (c *Core) takeOrderEnded(e OrderEnded, now time.Time) {
+func (c *Core) handleOrderEnded(e OrderEnded, now time.Time) {
 	switch e.Result.(type) {
 	case placer.Refused:
 		c.counters.OrdersRefused++
 	case placer.Uncertain:
 		c.counters.OrdersUncertain++
 	}
-	if o, placed := c.orderings[e.Pool]; placed {
-		o.placer.RecordResult(e.Address, e.Result, now)
+	if p, placed := c.placedPools[e.Pool]; placed {
+		p.placer.RecordResult(e.Address, e.Result, now)
 	}
 }
 
-// modelDemand is the work that this entry's requests still have for the pool's models, in endpoint milliseconds.
-// It is summed up in whole numbers: the order of a map would show in the last digits of a sum of fractions.
+// modelDemand returns the remaining work of this entry's requests for the pool's models, in endpoint milliseconds.
+// It is summed in integers, since a floating-point sum would depend on the iteration order of the map.
 func (c *Core) modelDemand(pool string) map[string]int64 {
 	demand := map[string]int64{}
 	for _, r := range c.requests {
@@ -224,8 +228,9 @@
 	return demand
 }
 
-// tellDemand tells the pool's orderer what waits here. It alone needs to know, so it is not in the heartbeats.
-func (c *Core) tellDemand(pool string, own map[string]int64) {
+// sendDemand sends this entry's demand to the holder of the pool's lease. No other entry needs it, so it is not
+// part of the heartbeats.
+func (c *Core) sendDemand(pool string, own map[string]int64) {
 	holder, _ := c.leaser.Holder(pool)
 	member, known := c.detector.Member(holder)
 	if !known || member.State != detector.Live || holder == c.cfg.Entry || len(own) == 0 {
@@ -238,21 +243,22 @@
 	c.emit(SendPeer{Address: member.PeerAddress, Message: message})
 }
 
-func (c *Core) takeDemand(from string, message *carrier.Demand, now time.Time) {
-	if o, placed := c.orderings[message.Pool]; placed {
-		o.peers[from] = peerDemand{models: message.Models, at: now}
+// handleDemand stores the demand that a peer reported.
+func (c *Core) handleDemand(from string, message *carrier.Demand, now time.Time) {
+	if p, placed := c.placedPools[message.Pool]; placed {
+		p.peerDemands[from] = peerDemand{models: message.Models, at: now}
 	}
 }
 
-// total adds the peers' demand to this entry's own.
-func (o *ordering) total(own map[string]int64, now time.Time) map[string]float64 {
+// totalDemand returns the sum of this entry's demand and the recent demand of peers, by model.
+func (p *placedPool) totalDemand(own map[string]int64, now time.Time) map[string]float64 {
 	total := map[string]float64{}
 	for model, millis := range own {
 		total[model] = float64(millis)
 	}
-	for from, demand := range o.peers {
-		if now.Sub(demand.at) > demandKept {
-			delete(o.peers, from)
+	for from, demand := range p.peerDemands {
+		if now.Sub(demand.at) > peerDemandTTL {
+			delete(p.peerDemands, from)
 			continue
 		}
 		for _, model := range demand.models {
@@ -262,8 +268,8 @@
 	return total
 }
 
-// modelsInUse are the models of the pool that a pipeline in force names. Demand alone would not tell: an account
-// whose requests other entries serve may need a model that this one never saw in use.
+// modelsInUse returns the models of the pool that a pipeline in force names. Demand alone does not show them: an
+// account whose requests other entries serve may need a model for which this entry has had no request.
 func (c *Core) modelsInUse(pool string) map[string]bool {
 	used := map[string]bool{}
 	for _, pipeline := range c.fold.Pipelines() {
