--- a/prover/endpoints.go
+++ b/prover/endpoints.go
@@ -100,7 +100,7 @@
 			vms = append(vms, vm)
 		}
 	}
-	return b.fleet.VMs().SetVMs(ctx, vms)
+	return b.fleet.VMsDriver().SetVMs(ctx, vms)
 }
 
 // setPoolFaults sets the faults of all endpoints of a pool.
@@ -180,11 +180,11 @@
 	time.Sleep(time.Second)
 	frozen := []*starter.Endpoint{b.fleet.Endpoints("engines")[2], b.fleet.Endpoints("tickets")[1]}
 	for _, endpoint := range frozen {
-		err = firstError(err, endpoint.Freeze())
+		err = firstError(err, endpoint.Suspend())
 	}
 	time.Sleep(3 * time.Second)
 	for _, endpoint := range frozen {
-		err = firstError(err, endpoint.Thaw())
+		err = firstError(err, endpoint.Resume())
 	}
 	time.Sleep(time.Second)
 	return err
--- a/prover/logs.go
+++ b/prover/logs.go
@@ -36,14 +36,14 @@
 		start := time.Now()
 		time.Sleep(2 * time.Second)
 		down := time.Now()
-		err := b.fleet.Log().SetFaults(ctx, faker.LogFaults{Outage: kind})
+		err := b.fleet.LogDriver().SetFaults(ctx, faker.LogFaults{Outage: kind})
 		length := outageTime
 		if kind == faker.OutageHang {
 			length *= 2
 		}
 		time.Sleep(length)
 		restored := time.Now()
-		err = firstError(err, b.fleet.Log().SetFaults(ctx, faker.LogFaults{}))
+		err = firstError(err, b.fleet.LogDriver().SetFaults(ctx, faker.LogFaults{}))
 		time.Sleep(2 * time.Second)
 		stopTickets()
 		stopSummaries()
@@ -75,7 +75,7 @@
 // then never run. Once entries detect the slow log, they refuse further such requests immediately. Repeatable requests are
 // not affected, and once the log is fast again, a refused key can run.
 func proveSlowLog(ctx context.Context, b *bench) error {
-	if err := b.fleet.Log().SetFaults(ctx, faker.LogFaults{SlowAppendMillis: 5000}); err != nil {
+	if err := b.fleet.LogDriver().SetFaults(ctx, faker.LogFaults{SlowAppendMillis: 5000}); err != nil {
 		return err
 	}
 	from := time.Now()
@@ -98,7 +98,7 @@
 	if ran := b.count(ctx).Untrue; ran > 0 {
 		return violated("%d requests told notRun ran when their claims landed", ran)
 	}
-	if err := b.fleet.Log().SetFaults(ctx, faker.LogFaults{}); err != nil {
+	if err := b.fleet.LogDriver().SetFaults(ctx, faker.LogFaults{}); err != nil {
 		return err
 	}
 	retried := refused[0]
@@ -112,7 +112,7 @@
 // proveAppendReplyLost loses the replies of half of the appends, which take effect. Entries read their claims back from the
 // log, so that every request is answered and none runs twice.
 func proveAppendReplyLost(ctx context.Context, b *bench) error {
-	if err := b.fleet.Log().SetFaults(ctx, faker.LogFaults{LoseReplyRate: 0.5}); err != nil {
+	if err := b.fleet.LogDriver().SetFaults(ctx, faker.LogFaults{LoseReplyRate: 0.5}); err != nil {
 		return err
 	}
 	from := time.Now()
@@ -137,7 +137,7 @@
 	if err != nil {
 		return err
 	}
-	if err := b.fleet.Log().Trim(ctx, faker.TrimCall{Stream: "config", Before: last}); err != nil {
+	if err := b.fleet.LogDriver().Trim(ctx, faker.TrimCall{Stream: "config", Before: last}); err != nil {
 		return err
 	}
 	if err := b.underLoad(ctx, func() error { return b.replaceEntries(ctx, last) }); err != nil {
@@ -186,7 +186,7 @@
 	if err != nil {
 		return err
 	}
-	if err := b.fleet.Log().SetFaults(ctx, faker.LogFaults{Outage: faker.OutageFail}); err != nil {
+	if err := b.fleet.LogDriver().SetFaults(ctx, faker.LogFaults{Outage: faker.OutageFail}); err != nil {
 		return err
 	}
 	if err := b.underLoad(ctx, func() error { return b.replaceEntries(ctx, version) }); err != nil {
--- a/prover/traffic.go
+++ b/prover/traffic.go
@@ -53,8 +53,8 @@
 	Untrue int
 }
 
-func ticket() string  { return demonstrator.Ticket().Name }
-func summary() string { return demonstrator.Summary().Name }
+func ticket() string  { return demonstrator.TicketPipeline().Name }
+func summary() string { return demonstrator.SummaryPipeline().Name }
 
 // request records a new request with a unique key and input.
 func (b *bench) request(pipeline string) (*sent, error) {
@@ -196,7 +196,7 @@
 		if !executed {
 			c.Lost++
 		}
-		if !demonstrator.IsOwnAnswer(s.pipeline, s.input, s.answer.Text) {
+		if !demonstrator.IsExpectedAnswer(s.pipeline, s.input, s.answer.Text) {
 			c.Untrue++
 		}
 	case failed == nil:
--- a/soaker/fleet.go
+++ b/soaker/fleet.go
@@ -127,7 +127,7 @@
 	for _, e := range f.entries {
 		if process, _ := e.current(); process != nil {
 			// The process may have ended already.
-			_ = process.Thaw()
+			_ = process.Resume()
 			_ = process.Kill()
 		}
 		for _, relay := range []*relayer.Relay{e.storeRelay, e.callerRelay} {
--- a/soaker/world.go
+++ b/soaker/world.go
@@ -141,9 +141,9 @@
 		r.injectIntoProcess(f.Entry, r.restart)
 	case PauseEntry:
 		r.injectIntoProcess(f.Entry, func(_ *entry, process *starter.Process) {
-			if process.Freeze() == nil {
+			if process.Suspend() == nil {
 				waitForEnd()
-				_ = process.Thaw()
+				_ = process.Resume()
 			}
 		})
 	case StopEntry:
