--- a/demonstrator/report.go
+++ b/demonstrator/report.go
@@ -59,7 +59,7 @@
 	for _, result := range results {
 		report.count(result, ran)
 	}
-	report.Doubled = len(faker.Doubled(executions))
+	report.Doubled = len(faker.RepeatedSideEffects(executions))
 	return report
 }
 
@@ -109,7 +109,7 @@
 	if pipeline == pipelineTicket {
 		config = Ticket()
 	}
-	return text == faker.ExpectPipeline(requestOf(text), input, expected(config))
+	return text == faker.ExpectedPipelineOutput(requestOf(text), input, expected(config))
 }
 
 // requestOf reads the request's name out of "stage:requestId:...".
--- a/faker/control_test.go
+++ b/faker/control_test.go
@@ -52,7 +52,7 @@
 	require.NoError(t, err)
 	require.Empty(t, list.Vms)
 	set := []platformserver.VM{{Address: "127.0.0.1:1", Zone: "z1", Pool: "entry", State: platformserver.VMStateLeaving}}
-	require.NoError(t, faker.NewDriver(url[len("http://"):]).SetVMs(ctx, set))
+	require.NoError(t, faker.NewControlClient(url[len("http://"):]).SetVMs(ctx, set))
 	eventually(t, func() bool {
 		list, err := client.ListVms(ctx)
 		return err == nil && len(list.Vms) == 1 && list.Vms[0] == set[0]
--- a/faker/driver.go
+++ b/faker/driver.go
@@ -12,15 +12,15 @@
 	"geraniumline/platformserver"
 )
 
-// Driver drives a stand-in that runs as another process, by its control paths.
-type Driver struct {
+// ControlClient drives a stand-in that runs as another process, by its control paths.
+type ControlClient struct {
 	base   string
 	client *http.Client
 }
 
-// NewDriver returns a driver of the stand-in at host:port.
-func NewDriver(address string) *Driver {
-	return &Driver{base: "http://" + address, client: &http.Client{}}
+// NewControlClient returns a driver of the stand-in at host:port.
+func NewControlClient(address string) *ControlClient {
+	return &ControlClient{base: "http://" + address, client: &http.Client{}}
 }
 
 // ControlError is a stand-in's refusal of a control call.
@@ -36,45 +36,45 @@
 }
 
 // SetFaults replaces all switches; faults is a Faults, LogFaults, VMFaults or WeightFaults.
-func (d *Driver) SetFaults(ctx context.Context, faults any) error {
+func (d *ControlClient) SetFaults(ctx context.Context, faults any) error {
 	return d.call(ctx, http.MethodPut, faultsPath, faults, nil)
 }
 
 // SetVMs replaces the list of VMs.
-func (d *Driver) SetVMs(ctx context.Context, vms []platformserver.VM) error {
+func (d *ControlClient) SetVMs(ctx context.Context, vms []platformserver.VM) error {
 	return d.call(ctx, http.MethodPut, vmsPath, vmList{VMs: vms}, nil)
 }
 
 // Ledger returns an endpoint's executions.
-func (d *Driver) Ledger(ctx context.Context) (LedgerPage, error) {
+func (d *ControlClient) Ledger(ctx context.Context) (LedgerPage, error) {
 	var page LedgerPage
 	err := d.call(ctx, http.MethodGet, ledgerPath, nil, &page)
 	return page, err
 }
 
 // LogLedger returns the log service's counts.
-func (d *Driver) LogLedger(ctx context.Context) (LogLedger, error) {
+func (d *ControlClient) LogLedger(ctx context.Context) (LogLedger, error) {
 	var ledger LogLedger
 	err := d.call(ctx, http.MethodGet, ledgerPath, nil, &ledger)
 	return ledger, err
 }
 
 // ClearLedger forgets the executions of an endpoint or the counts of the log service.
-func (d *Driver) ClearLedger(ctx context.Context) error {
+func (d *ControlClient) ClearLedger(ctx context.Context) error {
 	return d.call(ctx, http.MethodDelete, ledgerPath, nil, nil)
 }
 
 // Trim drops the records of a stream of the log service below an offset.
-func (d *Driver) Trim(ctx context.Context, call TrimCall) error {
+func (d *ControlClient) Trim(ctx context.Context, call TrimCall) error {
 	return d.call(ctx, http.MethodPost, trimPath, call, nil)
 }
 
-// Return has the log return from an older copy.
-func (d *Driver) Return(ctx context.Context, call ReturnCall) error {
+// Restore has the log return from an older copy.
+func (d *ControlClient) Restore(ctx context.Context, call RestoreCall) error {
 	return d.call(ctx, http.MethodPost, returnPath, call, nil)
 }
 
-func (d *Driver) call(ctx context.Context, method, path string, in, out any) (err error) {
+func (d *ControlClient) call(ctx context.Context, method, path string, in, out any) (err error) {
 	var body bytes.Buffer
 	if in != nil {
 		if err := json.NewEncoder(&body).Encode(in); err != nil {
--- a/faker/engine_test.go
+++ b/faker/engine_test.go
@@ -66,7 +66,7 @@
 	}
 	require.Equal(t, 6, parts[5].Total.Value)
 	require.Positive(t, parts[5].Cost.Value)
-	require.Equal(t, faker.Expect("generate", "r1", "input of r1", 6), textOf(parts))
+	require.Equal(t, faker.ExpectedOutput("generate", "r1", "input of r1", 6), textOf(parts))
 	require.Equal(t, []faker.Outcome{faker.OutcomeDone}, outcomes(e))
 }
 
@@ -99,7 +99,7 @@
 	parts := runCall(t, url, stageCall("r1"))
 	require.Len(t, parts, 2)
 	parts = append(parts, resume(t, url, parts[0].StreamId, 2).rest(t)...)
-	require.Equal(t, faker.Expect("generate", "r1", "input of r1", 6), textOf(parts))
+	require.Equal(t, faker.ExpectedOutput("generate", "r1", "input of r1", 6), textOf(parts))
 	require.Len(t, e.Ledger().Executions, 1)
 	unknown := resume(t, url, "nothing", 0)
 	require.Equal(t, endpointserver.RefusalCodeUnknownStream, refusalCode(t, unknown))
--- a/faker/ledger.go
+++ b/faker/ledger.go
@@ -119,9 +119,9 @@
 	Stage          string
 }
 
-// Doubled returns the side effects that the executions, gathered from all endpoints, contain more than
+// RepeatedSideEffects returns the side effects that the executions, gathered from all endpoints, contain more than
 // once, with their counts. Executions without a key or marked repeatable are passed over.
-func Doubled(executions []Execution) map[SideEffect]int {
+func RepeatedSideEffects(executions []Execution) map[SideEffect]int {
 	counts := make(map[SideEffect]int)
 	for _, execution := range executions {
 		if execution.Repeatable || execution.IdempotencyKey == "" {
--- a/faker/log.go
+++ b/faker/log.go
@@ -124,7 +124,7 @@
 	}
 	reservation.CancelAt(now)
 	l.count(func(ledger *LogLedger) { ledger.RateLimited++ })
-	return &PlatformFailedError{
+	return &PlatformError{
 		Code:             codeRateLimited,
 		Message:          "too many appends",
 		RetryAfterMillis: wait.Milliseconds() + 1,
@@ -156,7 +156,7 @@
 		return s, nil
 	}
 	if len(l.streams) >= maxLogStreams {
-		return nil, &PlatformFailedError{Code: codeFailed, Message: "too many streams"}
+		return nil, &PlatformError{Code: codeFailed, Message: "too many streams"}
 	}
 	s := newLogStream(retention{age: l.cfg.KeepFor, records: l.cfg.KeepRecords, bytes: l.cfg.KeepBytes})
 	l.streams[name] = s
@@ -206,9 +206,9 @@
 	return page, s.changed, nil
 }
 
-// ReturnFromCopy has the log return from a copy of so long ago: the records since are gone, and their offsets are given out
+// RestoreFromCopy has the log return from a copy of so long ago: the records since are gone, and their offsets are given out
 // again.
-func (l *Log) ReturnFromCopy(age time.Duration, now time.Time) {
+func (l *Log) RestoreFromCopy(age time.Duration, now time.Time) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.era++
--- a/faker/log_test.go
+++ b/faker/log_test.go
@@ -14,12 +14,12 @@
 	"geraniumline/platformserver"
 )
 
-func serveLog(t *testing.T, cfg faker.LogConfig) (*faker.Log, *platformserver.Client, *faker.Driver) {
+func serveLog(t *testing.T, cfg faker.LogConfig) (*faker.Log, *platformserver.Client, *faker.ControlClient) {
 	l := faker.NewLog(cfg)
 	url := serve(t, l.Handler(), l.Close)
 	client, err := platformserver.NewClient(url)
 	require.NoError(t, err)
-	return l, client, faker.NewDriver(url[len("http://"):])
+	return l, client, faker.NewControlClient(url[len("http://"):])
 }
 
 func appendTo(ctx context.Context, client *platformserver.Client, text string) (int64, error) {
@@ -257,7 +257,7 @@
 		appendOne()
 	}
 	// The copy is older than all of them.
-	l.ReturnFromCopy(time.Minute, time.Now())
+	l.RestoreFromCopy(time.Minute, time.Now())
 	require.Equal(t, int64(1), appendOne())
 	page, err := l.ReadRecords(t.Context(), platformserver.ReadRecordsParams{Stream: "s", From: 1})
 	require.NoError(t, err)
--- a/faker/logledger.go
+++ b/faker/logledger.go
@@ -62,8 +62,8 @@
 	return ledger
 }
 
-// ReturnCall has the log return from a copy of so long ago.
-type ReturnCall struct {
+// RestoreCall has the log return from a copy of so long ago.
+type RestoreCall struct {
 	AgeMillis int64 `json:"ageMillis"`
 }
 
@@ -98,11 +98,11 @@
 		w.WriteHeader(http.StatusNoContent)
 	})
 	mux.HandleFunc("POST "+returnPath, func(w http.ResponseWriter, r *http.Request) {
-		var call ReturnCall
+		var call RestoreCall
 		if !readJSON(w, r, &call) {
 			return
 		}
-		l.ReturnFromCopy(millis(call.AgeMillis), time.Now())
+		l.RestoreFromCopy(millis(call.AgeMillis), time.Now())
 		w.WriteHeader(http.StatusNoContent)
 	})
 }
--- a/faker/output.go
+++ b/faker/output.go
@@ -82,13 +82,13 @@
 	}
 }
 
-// Expect returns the whole text that a stage's stand-in answers: an engine with tokens parts, a
+// ExpectedOutput returns the whole text that a stage's stand-in answers: an engine with tokens parts, a
 // service with tokens 1.
-func Expect(stage, requestID, input string, tokens int) string {
+func ExpectedOutput(stage, requestID, input string, tokens int) string {
 	return strings.Join(newOutput(stage, requestID, input, tokens, 0).parts(), "")
 }
 
-// ExpectedStage is one stage of a pipeline as ExpectPipeline needs it.
+// ExpectedStage is one stage of a pipeline as ExpectedPipelineOutput needs it.
 type ExpectedStage struct {
 	Name string
 	// Tokens is 1 for a service.
@@ -97,8 +97,8 @@
 	KeepPrefix int
 }
 
-// ExpectPipeline returns the last stage's text where each stage's input is the text of the one before.
-func ExpectPipeline(requestID, input string, stages []ExpectedStage) string {
+// ExpectedPipelineOutput returns the last stage's text where each stage's input is the text of the one before.
+func ExpectedPipelineOutput(requestID, input string, stages []ExpectedStage) string {
 	text := input
 	for _, stage := range stages {
 		text = strings.Join(newOutput(stage.Name, requestID, text, stage.Tokens, stage.KeepPrefix).parts(), "")
--- a/faker/platform.go
+++ b/faker/platform.go
@@ -53,19 +53,19 @@
 	return errOutage
 }
 
-// PlatformFailedError is a platform service's refusal.
-type PlatformFailedError struct {
+// PlatformError is a platform service's refusal.
+type PlatformError struct {
 	Code             string
 	Message          string
 	RetryAfterMillis int64
 }
 
 // Error gives the code and the message.
-func (e *PlatformFailedError) Error() string {
+func (e *PlatformError) Error() string {
 	return fmt.Sprintf("%s: %s", e.Code, e.Message)
 }
 
-var errOutage = &PlatformFailedError{Code: codeOutage, Message: "the service is down"}
+var errOutage = &PlatformError{Code: codeOutage, Message: "the service is down"}
 
 func platformStatus(code string) int {
 	switch code {
@@ -83,7 +83,7 @@
 // unserved refuses all of the platform's calls; each service overrides those that it serves.
 type unserved struct{}
 
-var errNotServed = &PlatformFailedError{Code: codeNotServed, Message: "another service serves this path"}
+var errNotServed = &PlatformError{Code: codeNotServed, Message: "another service serves this path"}
 
 func (unserved) AppendRecord(
 	context.Context, *platformserver.AppendCall, platformserver.AppendRecordParams,
@@ -107,7 +107,7 @@
 
 func (unserved) NewError(_ context.Context, err error) *platformserver.PlatformErrorStatusCode {
 	reply := platformserver.PlatformError{Code: codeFailed, Message: err.Error()}
-	var failed *PlatformFailedError
+	var failed *PlatformError
 	if errors.As(err, &failed) {
 		reply.Code = failed.Code
 		reply.Message = failed.Message
--- a/faker/service_test.go
+++ b/faker/service_test.go
@@ -53,7 +53,7 @@
 				require.Equal(t, 2, second[0].Attempt)
 			}
 			require.Equal(t, s.expectedRuns, e.Ledger().Started)
-			require.Equal(t, s.expectedRuns > 1, len(faker.Doubled(e.Ledger().Executions)) > 0)
+			require.Equal(t, s.expectedRuns > 1, len(faker.RepeatedSideEffects(e.Ledger().Executions)) > 0)
 		})
 	}
 }
@@ -69,7 +69,7 @@
 	}
 	wg.Wait()
 	for _, reply := range replies {
-		require.Equal(t, faker.Expect("generate", "r1", "input of r1", 1), reply)
+		require.Equal(t, faker.ExpectedOutput("generate", "r1", "input of r1", 1), reply)
 	}
 	require.Equal(t, int64(1), e.Ledger().Started)
 }
@@ -140,7 +140,7 @@
 	})
 	require.Empty(t, e.Ledger().Executions)
 	e.SetFaults(faker.Faults{})
-	require.Equal(t, faker.Expect("generate", "r1", "input of r1", 1), textOf(<-answers))
+	require.Equal(t, faker.ExpectedOutput("generate", "r1", "input of r1", 1), textOf(<-answers))
 }
 
 // The stages before generation keep the account's instructions at the front, so that engines can have
@@ -152,7 +152,7 @@
 	call.Input = "Bé é rule"
 	parts := runCall(t, serveEndpoint(t, faker.NewService(cfg)), call)
 	stages := []faker.ExpectedStage{{Name: "generate", Tokens: 1, KeepPrefix: 5}}
-	require.Equal(t, faker.ExpectPipeline("r1", call.Input, stages), textOf(parts))
+	require.Equal(t, faker.ExpectedPipelineOutput("r1", call.Input, stages), textOf(parts))
 	require.Equal(t, "Bé generate:r1:", textOf(parts)[:len("Bé generate:r1:")])
 }
 
--- a/faker/weights.go
+++ b/faker/weights.go
@@ -115,7 +115,7 @@
 	if wait := reservation.DelayFrom(now); wait > 0 {
 		reservation.CancelAt(now)
 		s.ledger.RateLimited++
-		return &PlatformFailedError{
+		return &PlatformError{
 			Code:             codeRateLimited,
 			Message:          "too many loads",
 			RetryAfterMillis: wait.Milliseconds() + 1,
--- a/prover/traffic.go
+++ b/prover/traffic.go
@@ -175,7 +175,7 @@
 	}
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	counts := Counts{Requests: len(b.sent), Doubled: len(faker.Doubled(executions))}
+	counts := Counts{Requests: len(b.sent), Doubled: len(faker.RepeatedSideEffects(executions))}
 	if err != nil {
 		counts.Lost = len(b.sent)
 		return counts
--- a/starter/fleet.go
+++ b/starter/fleet.go
@@ -56,7 +56,7 @@
 	*Process
 	Pool   string
 	Zone   string
-	Driver *faker.Driver
+	Driver *faker.ControlClient
 }
 
 // Entry is an entry process and where it serves.
@@ -137,7 +137,7 @@
 			Process: process,
 			Pool:    pool.Name,
 			Zone:    f.zone(i),
-			Driver:  faker.NewDriver(process.address),
+			Driver:  faker.NewControlClient(process.address),
 		})
 	}
 	return nil
@@ -158,7 +158,7 @@
 	for _, entry := range f.entries {
 		vms = append(vms, platformserver.VM{Address: entry.PeerAddress, Zone: entry.Zone, Pool: "entry", State: platformserver.VMStateLive})
 	}
-	return faker.NewDriver(f.vms.address).SetVMs(ctx, vms)
+	return faker.NewControlClient(f.vms.address).SetVMs(ctx, vms)
 }
 
 // layEntries chooses the entries' addresses and writes their settings.
@@ -246,13 +246,13 @@
 func (f *Fleet) Endpoints(pool string) []*Endpoint { return f.pools[pool] }
 
 // Log drives the log's stand-in.
-func (f *Fleet) Log() *faker.Driver { return faker.NewDriver(f.log.address) }
+func (f *Fleet) Log() *faker.ControlClient { return faker.NewControlClient(f.log.address) }
 
 // LogAddress is where the log's stand-in serves.
 func (f *Fleet) LogAddress() string { return f.log.address }
 
 // VMs drives the stand-in of the list of VMs.
-func (f *Fleet) VMs() *faker.Driver { return faker.NewDriver(f.vms.address) }
+func (f *Fleet) VMs() *faker.ControlClient { return faker.NewControlClient(f.vms.address) }
 
 // Executions gathers the ledgers of all endpoints.
 func (f *Fleet) Executions(ctx context.Context) ([]faker.Execution, error) {
