--- a/faker/assignment.go
+++ b/faker/assignment.go
@@ -15,31 +15,31 @@
 const loadRetryMillis = 100
 
 // holder keeps what an engine holds: a model in a version, adapters and a role.
-type holder struct {
-	cfg   EngineConfig
-	mu    sync.Mutex
-	state endpointserver.Assignment
-	load  int64
+type assignmentState struct {
+	cfg     EngineConfig
+	mu      sync.Mutex
+	current endpointserver.Assignment
+	loadID  int64
 }
 
-func newHolder(cfg EngineConfig) *holder {
-	return &holder{cfg: cfg, state: endpointserver.Assignment{
+func newAssignmentState(cfg EngineConfig) *assignmentState {
+	return &assignmentState{cfg: cfg, current: endpointserver.Assignment{
 		Model:   cfg.Model,
 		Version: cfg.Version,
 		Role:    endpointserver.AssignmentRoleBoth,
 	}}
 }
 
-func (h *holder) check(model string) error {
-	h.mu.Lock()
-	defer h.mu.Unlock()
-	if model == "" || h.state.Model == "" {
+func (a *assignmentState) checkModel(model string) error {
+	a.mu.Lock()
+	defer a.mu.Unlock()
+	if model == "" || a.current.Model == "" {
 		return nil
 	}
-	if model != h.state.Model {
+	if model != a.current.Model {
 		return refuse(endpointserver.RefusalCodeFailed, fmt.Sprintf("model %s is not held", model))
 	}
-	if h.state.Loading {
+	if a.current.Loading {
 		return &RefusedError{
 			Code:             endpointserver.RefusalCodeOverloaded,
 			Message:          fmt.Sprintf("model %s is loading", model),
@@ -49,51 +49,51 @@
 	return nil
 }
 
-func (h *holder) assignment() *endpointserver.Assignment {
-	h.mu.Lock()
-	defer h.mu.Unlock()
-	state := h.state
-	state.Adapters = slices.Clone(h.state.Adapters)
-	return &state
+func (a *assignmentState) snapshot() *endpointserver.Assignment {
+	a.mu.Lock()
+	defer a.mu.Unlock()
+	current := a.current
+	current.Adapters = slices.Clone(a.current.Adapters)
+	return &current
 }
 
 // take makes the order the engine's state. The number that it returns is the load to do, 0 for none.
-func (h *holder) take(order *endpointserver.AssignmentOrder, ignoreFence bool) (int64, error) {
-	h.mu.Lock()
-	defer h.mu.Unlock()
-	if !ignoreFence && order.Fence < h.state.Fence {
-		message := fmt.Sprintf("fence %d is below %d", order.Fence, h.state.Fence)
+func (a *assignmentState) applyOrder(order *endpointserver.AssignmentOrder, ignoreFence bool) (int64, error) {
+	a.mu.Lock()
+	defer a.mu.Unlock()
+	if !ignoreFence && order.Fence < a.current.Fence {
+		message := fmt.Sprintf("fence %d is below %d", order.Fence, a.current.Fence)
 		return 0, refuse(endpointserver.RefusalCodeStaleFence, message)
 	}
-	same := order.Model == h.state.Model && order.Version == h.state.Version &&
-		slices.Equal(order.Adapters, h.state.Adapters)
-	h.state.Fence = order.Fence
-	h.state.Role = endpointserver.AssignmentRole(order.Role)
-	if same {
+	unchanged := order.Model == a.current.Model && order.Version == a.current.Version &&
+		slices.Equal(order.Adapters, a.current.Adapters)
+	a.current.Fence = order.Fence
+	a.current.Role = endpointserver.AssignmentRole(order.Role)
+	if unchanged {
 		return 0, nil
 	}
-	h.state.Model = order.Model
-	h.state.Version = order.Version
-	h.state.Adapters = slices.Clone(order.Adapters)
-	h.state.Loading = true
-	h.load++
-	return h.load, nil
+	a.current.Model = order.Model
+	a.current.Version = order.Version
+	a.current.Adapters = slices.Clone(order.Adapters)
+	a.current.Loading = true
+	a.loadID++
+	return a.loadID, nil
 }
 
 // loaded ends a load, unless a later order has begun another.
-func (h *holder) loaded(load int64) {
-	h.mu.Lock()
-	defer h.mu.Unlock()
-	if h.load == load {
-		h.state.Loading = false
+func (a *assignmentState) finishLoad(loadID int64) {
+	a.mu.Lock()
+	defer a.mu.Unlock()
+	if a.loadID == loadID {
+		a.current.Loading = false
 	}
 }
 
-func (h *holder) fetch(ctx context.Context, model, version string) error {
-	if h.cfg.WeightsURL == "" {
-		return sleep(ctx, h.cfg.LoadTime)
+func (a *assignmentState) loadWeights(ctx context.Context, model, version string) error {
+	if a.cfg.WeightsURL == "" {
+		return sleep(ctx, a.cfg.LoadTime)
 	}
-	client, err := platformserver.NewClient(h.cfg.WeightsURL)
+	client, err := platformserver.NewClient(a.cfg.WeightsURL)
 	if err != nil {
 		return err
 	}
@@ -118,32 +118,32 @@
 
 // GetAssignment returns what the engine holds now.
 func (e *Endpoint) GetAssignment(context.Context) (*endpointserver.Assignment, error) {
-	g, ok := e.work.(*generator)
+	g, ok := e.processor.(*generator)
 	if !ok {
 		return nil, refuse(endpointserver.RefusalCodeBadCall, "a service holds no model")
 	}
-	return g.holder.assignment(), nil
+	return g.assignment.snapshot(), nil
 }
 
 // OrderAssignment takes an order and loads what it names.
 func (e *Endpoint) OrderAssignment(
 	_ context.Context, order *endpointserver.AssignmentOrder,
 ) (*endpointserver.Assignment, error) {
-	g, ok := e.work.(*generator)
+	g, ok := e.processor.(*generator)
 	if !ok {
 		return nil, refuse(endpointserver.RefusalCodeBadCall, "a service holds no model")
 	}
-	load, err := g.holder.take(order, e.faults.get().IgnoreOrderFence)
+	loadID, err := g.assignment.applyOrder(order, e.faults.get().IgnoreOrderFence)
 	if err != nil {
 		return nil, err
 	}
-	if load > 0 {
+	if loadID > 0 {
 		g.cache.clear(time.Now())
 		e.wg.Go(func() {
-			if g.holder.fetch(e.ctx, order.Model, order.Version) == nil {
-				g.holder.loaded(load)
+			if g.assignment.loadWeights(e.ctx, order.Model, order.Version) == nil {
+				g.assignment.finishLoad(loadID)
 			}
 		})
 	}
-	return g.holder.assignment(), nil
+	return g.assignment.snapshot(), nil
 }
--- a/faker/assignment_test.go
+++ b/faker/assignment_test.go
@@ -10,7 +10,7 @@
 	"geraniumline/faker"
 )
 
-func order(fence int64, model string) *endpointserver.AssignmentOrder {
+func assignmentOrder(fence int64, model string) *endpointserver.AssignmentOrder {
 	return &endpointserver.AssignmentOrder{
 		Fence: fence, Model: model, Version: "1", Role: endpointserver.AssignmentOrderRoleBoth,
 	}
@@ -34,11 +34,11 @@
 			cfg.Model = "first"
 			cfg.Faults.IgnoreOrderFence = s.ignoreFence
 			client := endpointClient(t, serveEndpoint(t, faker.NewEngine(cfg)))
-			_, err := client.OrderAssignment(ctx, order(8, "new"))
+			_, err := client.OrderAssignment(ctx, assignmentOrder(8, "new"))
 			require.NoError(t, err)
-			_, err = client.OrderAssignment(ctx, order(8, "new"))
+			_, err = client.OrderAssignment(ctx, assignmentOrder(8, "new"))
 			require.NoError(t, err)
-			_, err = client.OrderAssignment(ctx, order(7, "old"))
+			_, err = client.OrderAssignment(ctx, assignmentOrder(7, "old"))
 			var refused *endpointserver.RefusalStatusCode
 			require.Equal(t, !s.ignoreFence, errors.As(err, &refused))
 			if refused != nil {
@@ -62,7 +62,7 @@
 	cfg.Model = "first"
 	cfg.WeightsURL = serve(t, weights.Handler(), func() {})
 	url := serveEndpoint(t, faker.NewEngine(cfg))
-	state, err := endpointClient(t, url).OrderAssignment(ctx, order(1, "second"))
+	state, err := endpointClient(t, url).OrderAssignment(ctx, assignmentOrder(1, "second"))
 	require.NoError(t, err)
 	require.True(t, state.Loading)
 	call := stageCall("r1")
--- a/faker/config.go
+++ b/faker/config.go
@@ -41,10 +41,10 @@
 	return nil
 }
 
-func defaultTo[T comparable](value, otherwise T) T {
+func valueOrDefault[T comparable](value, defaultValue T) T {
 	var zero T
 	if value == zero {
-		return otherwise
+		return defaultValue
 	}
 	return value
 }
--- a/faker/control.go
+++ b/faker/control.go
@@ -7,12 +7,12 @@
 
 // Paths by which a test drives a stand-in. They are no part of the interfaces that the product sees.
 const (
-	faultsPath  = "/control/faults"
-	ledgerPath  = "/control/ledger"
-	vmsPath     = "/control/vms"
-	trimPath    = "/control/trim"
-	returnPath  = "/control/return"
-	controlBody = 1 << 20
+	faultsPath          = "/control/faults"
+	ledgerPath          = "/control/ledger"
+	vmsPath             = "/control/vms"
+	trimPath            = "/control/trim"
+	returnPath          = "/control/return"
+	maxControlBodyBytes = 1 << 20
 )
 
 type controlError struct {
@@ -27,10 +27,10 @@
 	_ = json.NewEncoder(w).Encode(value)
 }
 
-func readJSON(w http.ResponseWriter, r *http.Request, into any) bool {
-	decoder := json.NewDecoder(http.MaxBytesReader(w, r.Body, controlBody))
+func readJSON(w http.ResponseWriter, r *http.Request, target any) bool {
+	decoder := json.NewDecoder(http.MaxBytesReader(w, r.Body, maxControlBodyBytes))
 	decoder.DisallowUnknownFields()
-	if err := decoder.Decode(into); err != nil {
+	if err := decoder.Decode(target); err != nil {
 		writeJSON(w, http.StatusBadRequest, controlError{Code: "badCall", Message: err.Error()})
 		return false
 	}
--- a/faker/driver.go
+++ b/faker/driver.go
@@ -91,7 +91,7 @@
 	}
 	defer func() { err = errors.Join(err, resp.Body.Close()) }()
 	if resp.StatusCode >= http.StatusBadRequest {
-		text, _ := io.ReadAll(io.LimitReader(resp.Body, controlBody))
+		text, _ := io.ReadAll(io.LimitReader(resp.Body, maxControlBodyBytes))
 		return &ControlError{Path: path, Status: resp.StatusCode, Body: string(text)}
 	}
 	if out == nil {
--- a/faker/endpoint.go
+++ b/faker/endpoint.go
@@ -13,7 +13,7 @@
 )
 
 // maxStageBody bounds the body of a call to an endpoint, in bytes.
-const maxStageBody = 1 << 20
+const maxStageBodyBytes = 1 << 20
 
 // EndpointConfig is what engines and services have in common. Zero fields take the defaults in brackets.
 type EndpointConfig struct {
@@ -34,45 +34,45 @@
 }
 
 func (cfg EndpointConfig) withDefaults() EndpointConfig {
-	cfg.Name = defaultTo(cfg.Name, "endpoint")
-	cfg.Slots = defaultTo(cfg.Slots, 8)
-	cfg.MaxWaiting = defaultTo(cfg.MaxWaiting, 256)
-	cfg.LoadLag = defaultTo(cfg.LoadLag, 200*time.Millisecond)
+	cfg.Name = valueOrDefault(cfg.Name, "endpoint")
+	cfg.Slots = valueOrDefault(cfg.Slots, 8)
+	cfg.MaxWaiting = valueOrDefault(cfg.MaxWaiting, 256)
+	cfg.LoadLag = valueOrDefault(cfg.LoadLag, 200*time.Millisecond)
 	return cfg
 }
 
 // Endpoint is a running stand-in of an engine or a service.
 type Endpoint struct {
-	cfg     EndpointConfig
-	work    work
-	faults  *switches[Faults]
-	ledger  *ledger
-	streams *streamStore
-	queue   *slotQueue
-	load    *loadHistory
-	fences  *fenceTable
-	handler http.Handler
-	ctx     context.Context
-	stop    context.CancelFunc
-	wg      sync.WaitGroup
-	rngMu   sync.Mutex
-	rng     *rand.Rand
+	cfg       EndpointConfig
+	processor processor
+	faults    *switches[Faults]
+	ledger    *ledger
+	streams   *streamStore
+	queue     *slotQueue
+	load      *loadHistory
+	fences    *fenceTable
+	handler   http.Handler
+	ctx       context.Context
+	stop      context.CancelFunc
+	wg        sync.WaitGroup
+	rngMu     sync.Mutex
+	rng       *rand.Rand
 }
 
-func newEndpoint(cfg EndpointConfig, work work) *Endpoint {
+func newEndpoint(cfg EndpointConfig, processor processor) *Endpoint {
 	cfg = cfg.withDefaults()
 	ctx, stop := context.WithCancel(context.Background())
 	e := &Endpoint{
-		cfg:     cfg,
-		work:    work,
-		faults:  newSwitches(cfg.Faults),
-		ledger:  &ledger{},
-		streams: newStreamStore(streamPrefix(cfg.Name, time.Now())),
-		load:    &loadHistory{},
-		fences:  &fenceTable{results: make(map[fencedKey]fencedResult)},
-		ctx:     ctx,
-		stop:    stop,
-		rng:     rand.New(rand.NewPCG(cfg.Seed, cfg.Seed)),
+		cfg:       cfg,
+		processor: processor,
+		faults:    newSwitches(cfg.Faults),
+		ledger:    &ledger{},
+		streams:   newStreamStore(streamPrefix(cfg.Name, time.Now())),
+		load:      &loadHistory{},
+		fences:    &fenceTable{results: make(map[fencedKey]fencedResult)},
+		ctx:       ctx,
+		stop:      stop,
+		rng:       rand.New(rand.NewPCG(cfg.Seed, cfg.Seed)),
 	}
 	e.queue = &slotQueue{slots: cfg.Slots, maxWaiting: cfg.MaxWaiting, onChange: func(running, waiting int) {
 		e.load.record(time.Now(), running, waiting)
@@ -93,7 +93,7 @@
 		panic(err) // Only a broken global metrics provider makes it fail.
 	}
 	mux := http.NewServeMux()
-	mux.Handle("/v1/", http.MaxBytesHandler(server, maxStageBody))
+	mux.Handle("/v1/", http.MaxBytesHandler(server, maxStageBodyBytes))
 	handleSwitches(mux, e.faults, Faults.check)
 	e.ledger.handle(mux)
 	return mux
@@ -126,11 +126,11 @@
 	if err := e.admit(call, faults); err != nil {
 		return err
 	}
-	s, err := e.startOrFind(call, faults)
+	s, err := e.startOrFindStream(call, faults)
 	if err != nil {
 		return err
 	}
-	reply := &reply{endpoint: e, w: w, stream: s, attempt: call.Attempt, faults: faults}
+	reply := &replyWriter{endpoint: e, w: w, stream: s, attempt: call.Attempt, faults: faults}
 	return reply.run(ctx)
 }
 
@@ -145,7 +145,7 @@
 	faults := e.faults.get()
 	faults.CutStreamAfterParts = 0
 	faults.DropReplyAfterRun = false
-	reply := &reply{endpoint: e, w: w, stream: s, attempt: s.call.Attempt, from: params.From, faults: faults}
+	reply := &replyWriter{endpoint: e, w: w, stream: s, attempt: s.call.Attempt, from: params.From, faults: faults}
 	return reply.run(ctx)
 }
 
@@ -162,14 +162,14 @@
 	if err := e.checkCall(call); err != nil {
 		return err
 	}
-	e.crashOn(call.Input, faults.CrashOnInput)
+	e.crashIfContains(call.Input, faults.CrashOnInput)
 	if faults.Leaving {
 		return refuse(endpointserver.RefusalCodeLeaving, "the endpoint is leaving")
 	}
 	if faults.RefuseAll {
 		return refuse(endpointserver.RefusalCodeOverloaded, "refused by switch")
 	}
-	if faults.FailFast || e.chance(faults.ErrorRate) {
+	if faults.FailFast || e.occursAtRate(faults.ErrorRate) {
 		return refuse(endpointserver.RefusalCodeFailed, "failed by switch")
 	}
 	return nil
@@ -179,15 +179,15 @@
 	if call.RequestId == "" || call.Stage == "" {
 		return refuse(endpointserver.RefusalCodeBadCall, "requestId and stage must be given")
 	}
-	switch work := e.work.(type) {
+	switch processor := e.processor.(type) {
 	case *generator:
-		return work.check(call)
+		return processor.check(call)
 	default:
 		return nil
 	}
 }
 
-func (e *Endpoint) startOrFind(call *endpointserver.StageCall, faults Faults) (*stream, error) {
+func (e *Endpoint) startOrFindStream(call *endpointserver.StageCall, faults Faults) (*stream, error) {
 	start := func() (*stream, error) { return e.start(call) }
 	if faults.IgnoreFence {
 		return start()
@@ -200,21 +200,21 @@
 	if e.ctx.Err() != nil {
 		return nil, refuse(endpointserver.RefusalCodeLeaving, "the endpoint has stopped")
 	}
-	place, ok := e.queue.enqueue(call.Priority.Or(0))
+	waiter, ok := e.queue.enqueue(call.Priority.Or(0))
 	if !ok {
 		return nil, refuse(endpointserver.RefusalCodeOverloaded, "the queue is full")
 	}
 	ctx, cancel := context.WithCancel(e.ctx)
-	s := e.streams.add(call, e.outputOf(call), cancel, time.Now())
+	s := e.streams.add(call, e.expectedOutput(call), cancel, time.Now())
 	e.wg.Go(func() {
 		defer cancel()
-		e.execute(ctx, s, call.Input, place)
+		e.execute(ctx, s, call.Input, waiter)
 	})
 	return s, nil
 }
 
-func (e *Endpoint) execute(ctx context.Context, s *stream, input string, place *waiter) {
-	if err := e.queue.wait(ctx, place); err != nil {
+func (e *Endpoint) execute(ctx context.Context, s *stream, input string, waiter *waiter) {
+	if err := e.queue.wait(ctx, waiter); err != nil {
 		s.finish(result{}, "cancelled before it ran", 0, time.Now())
 		return
 	}
@@ -225,9 +225,9 @@
 	}
 	started := time.Now()
 	execution := e.ledger.begin(s.call, started)
-	r, err := e.runWork(ctx, s, input)
-	if err == nil && e.chance(e.faults.get().RunErrorRate) {
-		err = errFailedBySwitch
+	r, err := e.process(ctx, s, input)
+	if err == nil && e.occursAtRate(e.faults.get().RunErrorRate) {
+		err = errInjectedFailure
 	}
 	ended := time.Now()
 	cost := float64(ended.Sub(started)) / float64(time.Millisecond)
@@ -236,7 +236,7 @@
 	s.finish(r, failure, cost, ended)
 }
 
-var errFailedBySwitch = errors.New("failed by switch after it ran")
+var errInjectedFailure = errors.New("failed by switch after it ran")
 
 func outcomeOf(err error) (Outcome, string) {
 	switch {
@@ -249,8 +249,8 @@
 	}
 }
 
-func (e *Endpoint) crashOn(input, mark string) {
-	if mark == "" || !containsMark(input, mark) {
+func (e *Endpoint) crashIfContains(input, marker string) {
+	if marker == "" || !containsMarker(input, marker) {
 		return
 	}
 	if e.cfg.OnCrash != nil {
@@ -259,7 +259,7 @@
 	panic(http.ErrAbortHandler)
 }
 
-func (e *Endpoint) chance(rate float64) bool {
+func (e *Endpoint) occursAtRate(rate float64) bool {
 	if rate <= 0 {
 		return false
 	}
--- a/faker/engine.go
+++ b/faker/engine.go
@@ -40,33 +40,33 @@
 
 // NewEngine starts a stand-in of a model engine.
 func NewEngine(cfg EngineConfig) *Endpoint {
-	cfg.TokenTime = defaultTo(cfg.TokenTime, 2*time.Millisecond)
-	cfg.PrefillTime = defaultTo(cfg.PrefillTime, 20*time.Microsecond)
-	cfg.Tokens = defaultTo(cfg.Tokens, 16)
-	cfg.CacheBlocks = defaultTo(cfg.CacheBlocks, 1024)
-	cfg.CacheEventDelay = defaultTo(cfg.CacheEventDelay, 200*time.Millisecond)
-	cfg.LoadTime = defaultTo(cfg.LoadTime, 500*time.Millisecond)
+	cfg.TokenTime = valueOrDefault(cfg.TokenTime, 2*time.Millisecond)
+	cfg.PrefillTime = valueOrDefault(cfg.PrefillTime, 20*time.Microsecond)
+	cfg.Tokens = valueOrDefault(cfg.Tokens, 16)
+	cfg.CacheBlocks = valueOrDefault(cfg.CacheBlocks, 1024)
+	cfg.CacheEventDelay = valueOrDefault(cfg.CacheEventDelay, 200*time.Millisecond)
+	cfg.LoadTime = valueOrDefault(cfg.LoadTime, 500*time.Millisecond)
 	g := &generator{
-		cfg:    cfg,
-		cache:  newPrefixCache(cfg.CacheBlocks),
-		holder: newHolder(cfg),
+		cfg:        cfg,
+		cache:      newPrefixCache(cfg.CacheBlocks),
+		assignment: newAssignmentState(cfg),
 	}
 	return newEndpoint(cfg.EndpointConfig, g)
 }
 
 // generator produces tokens, as many calls side by side as the endpoint has slots.
 type generator struct {
-	cfg    EngineConfig
-	cache  *prefixCache
-	holder *holder
+	cfg        EngineConfig
+	cache      *prefixCache
+	assignment *assignmentState
 }
 
 // generation is what a run needs to know of its endpoint while it goes on.
 type generation struct {
-	input   string
-	slow    func() float64
-	running func() int
-	gap     func() bool
+	input      string
+	slowFactor func() float64
+	running    func() int
+	isLost     func() bool
 }
 
 func (g *generator) check(call *endpointserver.StageCall) error {
@@ -74,7 +74,7 @@
 		message := fmt.Sprintf("maxTokens is %d, want 1 to %d", n, maxTokensOfCall)
 		return refuse(endpointserver.RefusalCodeBadCall, message)
 	}
-	return g.holder.check(call.Model.Or(""))
+	return g.assignment.checkModel(call.Model.Or(""))
 }
 
 func (g *generator) generate(ctx context.Context, s *stream, run generation) (result, error) {
@@ -102,14 +102,14 @@
 	total := (len(run.input) + bytesPerToken - 1) / bytesPerToken
 	cached := g.cache.match(prefixes) * BlockBytes / bytesPerToken
 	uncached := float64(total - cached)
-	if err := sleep(ctx, scale(g.cfg.PrefillTime, uncached*run.slow())); err != nil {
+	if err := sleep(ctx, scale(g.cfg.PrefillTime, uncached*run.slowFactor())); err != nil {
 		return cached, err
 	}
-	g.cache.store(prefixes, time.Now(), run.gap)
+	g.cache.store(prefixes, time.Now(), run.isLost)
 	return cached, nil
 }
 
 func (g *generator) tokenTime(run generation) time.Duration {
 	growth := g.cfg.TokenTimeGrowth * float64(run.running()-1)
-	return scale(g.cfg.TokenTime, run.slow()*(1+growth))
+	return scale(g.cfg.TokenTime, run.slowFactor()*(1+growth))
 }
--- a/faker/engine_test.go
+++ b/faker/engine_test.go
@@ -81,7 +81,7 @@
 	require.Equal(t, []faker.Outcome{faker.OutcomeRunning}, outcomes(e))
 	require.Equal(t, first.StreamId, reader.resp.Header.Get(faker.StreamIDHeader))
 	cancelStream(t, url, first.StreamId)
-	rest := reader.rest(t)
+	rest := reader.readAll(t)
 	last := rest[len(rest)-1]
 	require.True(t, last.Final)
 	require.Equal(t, "cancelled", last.Error.Value)
@@ -98,7 +98,7 @@
 	url := serveEndpoint(t, e)
 	parts := runCall(t, url, stageCall("r1"))
 	require.Len(t, parts, 2)
-	parts = append(parts, resume(t, url, parts[0].StreamId, 2).rest(t)...)
+	parts = append(parts, resume(t, url, parts[0].StreamId, 2).readAll(t)...)
 	require.Equal(t, faker.ExpectedOutput("generate", "r1", "input of r1", 6), textOf(parts))
 	require.Len(t, e.Ledger().Executions, 1)
 	unknown := resume(t, url, "nothing", 0)
@@ -121,7 +121,7 @@
 	}
 	cancelStream(t, url, running.resp.Header.Get(faker.StreamIDHeader))
 	for _, reader := range readers {
-		reader.rest(t)
+		reader.readAll(t)
 	}
 	var order []string
 	for _, execution := range e.Ledger().Executions {
@@ -144,7 +144,7 @@
 		return err == nil && load.Running == 1 && load.Waiting == 1 && load.Slots == 1
 	})
 	cancelStream(t, url, waiting.resp.Header.Get(faker.StreamIDHeader))
-	parts := waiting.rest(t)
+	parts := waiting.readAll(t)
 	require.Equal(t, "cancelled before it ran", parts[0].Error.Value)
 	require.Len(t, e.Ledger().Executions, 1)
 }
--- a/faker/enginecache.go
+++ b/faker/enginecache.go
@@ -41,14 +41,14 @@
 type prefixCache struct {
 	mu       sync.Mutex
 	capacity int
-	recent   *list.List
+	lru      *list.List
 	byHash   map[string]*list.Element
 	events   []cacheEvent
 	nextSeq  int64
 }
 
 func newPrefixCache(capacity int) *prefixCache {
-	return &prefixCache{capacity: capacity, recent: list.New(), byHash: make(map[string]*list.Element)}
+	return &prefixCache{capacity: capacity, lru: list.New(), byHash: make(map[string]*list.Element)}
 }
 
 // match returns how many leading blocks are held, and marks them as used.
@@ -60,31 +60,31 @@
 		if !held {
 			return i
 		}
-		c.recent.MoveToFront(element)
+		c.lru.MoveToFront(element)
 	}
 	return len(prefixes)
 }
 
-func (c *prefixCache) store(prefixes []string, now time.Time, gap func() bool) {
+func (c *prefixCache) store(prefixes []string, now time.Time, isLost func() bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for _, prefix := range prefixes {
 		if element, held := c.byHash[prefix]; held {
-			c.recent.MoveToFront(element)
+			c.lru.MoveToFront(element)
 			continue
 		}
-		c.byHash[prefix] = c.recent.PushFront(prefix)
-		c.tell(endpointserver.CacheEventKindStored, prefix, now, gap())
-		c.evict(now, gap)
+		c.byHash[prefix] = c.lru.PushFront(prefix)
+		c.addEvent(endpointserver.CacheEventKindStored, prefix, now, isLost())
+		c.evict(now, isLost)
 	}
 }
 
-func (c *prefixCache) evict(now time.Time, gap func() bool) {
-	for c.recent.Len() > c.capacity {
-		oldest := c.recent.Back()
-		prefix := c.recent.Remove(oldest).(string)
+func (c *prefixCache) evict(now time.Time, isLost func() bool) {
+	for c.lru.Len() > c.capacity {
+		oldest := c.lru.Back()
+		prefix := c.lru.Remove(oldest).(string)
 		delete(c.byHash, prefix)
-		c.tell(endpointserver.CacheEventKindEvicted, prefix, now, gap())
+		c.addEvent(endpointserver.CacheEventKindEvicted, prefix, now, isLost())
 	}
 }
 
@@ -92,12 +92,12 @@
 func (c *prefixCache) clear(now time.Time) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.recent.Init()
+	c.lru.Init()
 	clear(c.byHash)
-	c.tell(endpointserver.CacheEventKindCleared, "", now, false)
+	c.addEvent(endpointserver.CacheEventKindCleared, "", now, false)
 }
 
-func (c *prefixCache) tell(kind endpointserver.CacheEventKind, prefix string, now time.Time, lost bool) {
+func (c *prefixCache) addEvent(kind endpointserver.CacheEventKind, prefix string, now time.Time, lost bool) {
 	if len(c.events) >= maxCacheEvents {
 		c.events = append(c.events[:0:0], c.events[maxCacheEvents/2:]...)
 	}
@@ -107,7 +107,7 @@
 }
 
 // since returns the events from a sequence number on that happened until the cutoff.
-func (c *prefixCache) since(from int64, cutoff time.Time) *endpointserver.CacheEventPage {
+func (c *prefixCache) eventsSince(from int64, cutoff time.Time) *endpointserver.CacheEventPage {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	page := &endpointserver.CacheEventPage{Events: []endpointserver.CacheEvent{}}
@@ -124,14 +124,14 @@
 }
 
 func (e *Endpoint) cacheEventLost() bool {
-	return e.chance(e.faults.get().CacheEventGapRate)
+	return e.occursAtRate(e.faults.get().CacheEventGapRate)
 }
 
 // ListCacheEvents returns an engine's events, late and perhaps with gaps. A service has none.
 func (e *Endpoint) ListCacheEvents(
 	_ context.Context, params endpointserver.ListCacheEventsParams,
 ) (*endpointserver.CacheEventPage, error) {
-	g, ok := e.work.(*generator)
+	g, ok := e.processor.(*generator)
 	if !ok {
 		return &endpointserver.CacheEventPage{Events: []endpointserver.CacheEvent{}}, nil
 	}
@@ -139,5 +139,5 @@
 	if n := e.faults.get().CacheEventDelayMillis; n > 0 {
 		delay = time.Duration(n) * time.Millisecond
 	}
-	return g.cache.since(params.From, time.Now().Add(-delay)), nil
+	return g.cache.eventsSince(params.From, time.Now().Add(-delay)), nil
 }
--- a/faker/faults.go
+++ b/faker/faults.go
@@ -56,5 +56,5 @@
 }
 
 func (f Faults) slowFactor() float64 {
-	return defaultTo(f.SlowFactor, 1)
+	return valueOrDefault(f.SlowFactor, 1)
 }
--- a/faker/fence.go
+++ b/faker/fence.go
@@ -29,7 +29,7 @@
 	order   []fencedKey
 }
 
-func keyOf(call *endpointserver.StageCall) (fencedKey, bool) {
+func fencedKeyOf(call *endpointserver.StageCall) (fencedKey, bool) {
 	key := fencedKey{account: call.Account, idempotencyKey: call.IdempotencyKey.Or(""), stage: call.Stage}
 	fenced := key.idempotencyKey != "" && call.Fence.Or(0) > 0
 	return key, fenced
@@ -38,7 +38,7 @@
 // startOnce returns the stored stream of an equal fence, or has start make the stream of a higher one.
 // The table is locked over start, so that two equal calls at one moment cannot both run.
 func (t *fenceTable) startOnce(call *endpointserver.StageCall, start func() (*stream, error)) (*stream, error) {
-	key, fenced := keyOf(call)
+	key, fenced := fencedKeyOf(call)
 	if !fenced {
 		return start()
 	}
--- a/faker/history_test.go
+++ b/faker/history_test.go
@@ -39,7 +39,7 @@
 	require.Equal(t, leaving, h.at(start))
 	require.Equal(t, leaving, h.at(start.Add(999*time.Millisecond)))
 	require.Empty(t, h.at(start.Add(time.Second)))
-	require.Empty(t, h.newest())
+	require.Empty(t, h.latest())
 }
 
 func TestLoadHistoryLags(t *testing.T) {
@@ -55,16 +55,16 @@
 func TestCacheEventsComeLateAndWithGaps(t *testing.T) {
 	start := time.UnixMilli(1_000_000)
 	lost := false
-	gap := func() bool { lost = !lost; return lost }
+	isLost := func() bool { lost = !lost; return lost }
 	c := newPrefixCache(2)
-	c.store([]string{"a", "b"}, start, gap)
-	c.store([]string{"c"}, start.Add(time.Second), gap)
-	require.Empty(t, c.since(0, start.Add(-time.Millisecond)).Events)
-	page := c.since(0, start)
+	c.store([]string{"a", "b"}, start, isLost)
+	c.store([]string{"c"}, start.Add(time.Second), isLost)
+	require.Empty(t, c.eventsSince(0, start.Add(-time.Millisecond)).Events)
+	page := c.eventsSince(0, start)
 	require.Equal(t, int64(2), page.Next)
 	require.Len(t, page.Events, 1)
 	require.Equal(t, int64(1), page.Events[0].Seq)
-	page = c.since(2, start.Add(time.Second))
+	page = c.eventsSince(2, start.Add(time.Second))
 	require.Equal(t, int64(4), page.Next)
 	require.Equal(t, endpointserver.CacheEvent{Seq: 3, Kind: endpointserver.CacheEventKindEvicted, Prefix: "a"}, page.Events[0])
 	require.Equal(t, 0, c.match([]string{"a", "b"}))
--- a/faker/ledger.go
+++ b/faker/ledger.go
@@ -47,10 +47,10 @@
 }
 
 type ledger struct {
-	mu      sync.Mutex
-	kept    []*Execution
-	started int64
-	dropped int64
+	mu         sync.Mutex
+	executions []*Execution
+	started    int64
+	dropped    int64
 }
 
 func (l *ledger) begin(call *endpointserver.StageCall, now time.Time) *Execution {
@@ -67,11 +67,11 @@
 	}
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if len(l.kept) >= maxLedgerEntries {
-		l.kept = append(l.kept[:0:0], l.kept[maxLedgerEntries/2:]...)
+	if len(l.executions) >= maxLedgerEntries {
+		l.executions = append(l.executions[:0:0], l.executions[maxLedgerEntries/2:]...)
 		l.dropped += maxLedgerEntries / 2
 	}
-	l.kept = append(l.kept, execution)
+	l.executions = append(l.executions, execution)
 	l.started++
 	return execution
 }
@@ -87,8 +87,8 @@
 func (l *ledger) page() LedgerPage {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	page := LedgerPage{Executions: make([]Execution, 0, len(l.kept)), Started: l.started, Dropped: l.dropped}
-	for _, execution := range l.kept {
+	page := LedgerPage{Executions: make([]Execution, 0, len(l.executions)), Started: l.started, Dropped: l.dropped}
+	for _, execution := range l.executions {
 		page.Executions = append(page.Executions, *execution)
 	}
 	return page
@@ -97,7 +97,7 @@
 func (l *ledger) clear() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.kept = nil
+	l.executions = nil
 	l.started = 0
 	l.dropped = 0
 }
--- a/faker/log.go
+++ b/faker/log.go
@@ -35,19 +35,19 @@
 }
 
 func (cfg LogConfig) withDefaults() LogConfig {
-	cfg.AppendsPerSecond = defaultTo(cfg.AppendsPerSecond, 500)
-	cfg.AppendBurst = defaultTo(cfg.AppendBurst, max(1, int(cfg.AppendsPerSecond/10)))
-	cfg.KeepRecords = defaultTo(cfg.KeepRecords, 100_000)
-	cfg.KeepBytes = defaultTo(cfg.KeepBytes, 64<<20)
+	cfg.AppendsPerSecond = valueOrDefault(cfg.AppendsPerSecond, 500)
+	cfg.AppendBurst = valueOrDefault(cfg.AppendBurst, max(1, int(cfg.AppendsPerSecond/10)))
+	cfg.KeepRecords = valueOrDefault(cfg.KeepRecords, 100_000)
+	cfg.KeepBytes = valueOrDefault(cfg.KeepBytes, 64<<20)
 	return cfg
 }
 
 // Log is a running stand-in of the append-only log service.
 type Log struct {
-	unserved
+	unimplemented
 	cfg     LogConfig
 	faults  *switches[LogFaults]
-	limit   *rate.Limiter
+	limiter *rate.Limiter
 	handler http.Handler
 	ctx     context.Context
 	stop    context.CancelFunc
@@ -66,13 +66,13 @@
 	l := &Log{
 		cfg:     cfg,
 		faults:  newSwitches(cfg.Faults),
-		limit:   rate.NewLimiter(rate.Limit(cfg.AppendsPerSecond), cfg.AppendBurst),
+		limiter: rate.NewLimiter(rate.Limit(cfg.AppendsPerSecond), cfg.AppendBurst),
 		ctx:     ctx,
 		stop:    stop,
 		streams: make(map[string]*logStream),
 		rng:     rand.New(rand.NewPCG(cfg.Seed, cfg.Seed)),
 	}
-	mux := platformMux(l)
+	mux := newPlatformMux(l)
 	handleSwitches(mux, l.faults, LogFaults.check)
 	l.handleLedger(mux)
 	l.handler = mux
@@ -110,20 +110,20 @@
 	if err != nil {
 		return nil, err
 	}
-	l.loseReply()
+	l.maybeLoseReply()
 	// The effect stands; a caller who has gone needs no reply.
 	_ = sleep(ctx, millis(faults.SlowAppendReplyMillis))
 	return &platformserver.AppendReply{Offset: offset}, nil
 }
 
 func (l *Log) limitAppends(now time.Time) error {
-	reservation := l.limit.ReserveN(now, 1)
+	reservation := l.limiter.ReserveN(now, 1)
 	wait := reservation.DelayFrom(now)
 	if wait == 0 {
 		return nil
 	}
 	reservation.CancelAt(now)
-	l.count(func(ledger *LogLedger) { ledger.RateLimited++ })
+	l.updateLedger(func(ledger *LogLedger) { ledger.RateLimited++ })
 	return &PlatformError{
 		Code:             codeRateLimited,
 		Message:          "too many appends",
@@ -134,24 +134,24 @@
 func (l *Log) append(name string, data []byte, now time.Time) (int64, error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	s, err := l.stream(name)
+	s, err := l.getOrCreateStream(name)
 	if err != nil {
 		return 0, err
 	}
 	l.ledger.Appends++
 	l.ledger.AppendedBytes += int64(len(data))
-	return s.append(data, l.hole(), now), nil
+	return s.append(data, l.skippedOffsets(), now), nil
 }
 
 // hole returns how many offsets to leave out before the next record.
-func (l *Log) hole() int64 {
+func (l *Log) skippedOffsets() int64 {
 	if l.cfg.HoleRate <= 0 || l.rng.Float64() >= l.cfg.HoleRate {
 		return 0
 	}
 	return 1 + l.rng.Int64N(3)
 }
 
-func (l *Log) stream(name string) (*logStream, error) {
+func (l *Log) getOrCreateStream(name string) (*logStream, error) {
 	if s, ok := l.streams[name]; ok {
 		return s, nil
 	}
@@ -175,15 +175,15 @@
 	}
 	waitCtx, cancel := context.WithTimeout(ctx, millis(int64(params.WaitMillis.Or(0))))
 	defer cancel()
-	l.count(func(ledger *LogLedger) { ledger.Reads++ })
+	l.updateLedger(func(ledger *LogLedger) { ledger.Reads++ })
 	for {
 		// The switches are watched from before the read, so that no change falls between the two.
-		_, switched := l.faults.watch()
+		_, faultsChanged := l.faults.watch()
 		page, appended, err := l.read(params, time.Now())
 		if err != nil || len(page.Records) > 0 {
 			return page, err
 		}
-		if !l.waitForChange(waitCtx, appended, switched) {
+		if !l.waitForChange(waitCtx, appended, faultsChanged) {
 			return page, nil
 		}
 		if err := l.failInOutage(ctx); err != nil {
@@ -197,7 +197,7 @@
 ) (*platformserver.RecordPage, <-chan struct{}, error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	s, err := l.stream(params.Stream)
+	s, err := l.getOrCreateStream(params.Stream)
 	if err != nil {
 		return nil, nil, err
 	}
@@ -213,15 +213,15 @@
 	defer l.mu.Unlock()
 	l.era++
 	for _, s := range l.streams {
-		s.cutAfter(now.Add(-age).UnixMilli())
+		s.truncateAfter(now.Add(-age).UnixMilli())
 	}
 }
 
-func (l *Log) waitForChange(ctx context.Context, appended, switched <-chan struct{}) bool {
+func (l *Log) waitForChange(ctx context.Context, appended, faultsChanged <-chan struct{}) bool {
 	select {
 	case <-appended:
 		return true
-	case <-switched:
+	case <-faultsChanged:
 		return true
 	case <-ctx.Done():
 		return false
@@ -230,7 +230,7 @@
 	}
 }
 
-func (l *Log) chance(rate float64) bool {
+func (l *Log) occursAtRate(rate float64) bool {
 	if rate <= 0 {
 		return false
 	}
--- a/faker/log_test.go
+++ b/faker/log_test.go
@@ -14,7 +14,7 @@
 	"geraniumline/platformserver"
 )
 
-func serveLog(t *testing.T, cfg faker.LogConfig) (*faker.Log, *platformserver.Client, *faker.ControlClient) {
+func startLog(t *testing.T, cfg faker.LogConfig) (*faker.Log, *platformserver.Client, *faker.ControlClient) {
 	l := faker.NewLog(cfg)
 	url := serve(t, l.Handler(), l.Close)
 	client, err := platformserver.NewClient(url)
@@ -41,7 +41,7 @@
 	})
 }
 
-func texts(page *platformserver.RecordPage) []string {
+func recordTexts(page *platformserver.RecordPage) []string {
 	list := []string{}
 	for _, record := range page.Records {
 		list = append(list, string(record.Data))
@@ -72,7 +72,7 @@
 	for _, s := range scenarios {
 		t.Run(s.testName, func(t *testing.T) {
 			ctx := testContext(t)
-			_, client, driver := serveLog(t, s.cfg)
+			_, client, driver := startLog(t, s.cfg)
 			for i, text := range []string{"a", "b", "c", "d"} {
 				offset, err := appendTo(ctx, client, text)
 				require.NoError(t, err)
@@ -82,7 +82,7 @@
 			page, err := readFrom(ctx, client, 0, 0)
 			require.NoError(t, err)
 			require.Equal(t, s.expectedFirst, page.First)
-			require.Equal(t, s.expectedTexts, texts(page))
+			require.Equal(t, s.expectedTexts, recordTexts(page))
 			require.Equal(t, int64(5), page.Next)
 		})
 	}
@@ -92,7 +92,7 @@
 // no record may be missed or read twice; a hole must not look like records lost to retention.
 func TestLogOffsetsHaveHoles(t *testing.T) {
 	ctx := testContext(t)
-	_, client, _ := serveLog(t, faker.LogConfig{HoleRate: 0.5, Seed: 7})
+	_, client, _ := startLog(t, faker.LogConfig{HoleRate: 0.5, Seed: 7})
 	var appended []int64
 	for range 20 {
 		offset, err := appendTo(ctx, client, "x")
@@ -120,7 +120,7 @@
 // and the next append gets its reply.
 func TestLogLosesReplyAfterEffect(t *testing.T) {
 	ctx := testContext(t)
-	l, client, driver := serveLog(t, faker.LogConfig{})
+	l, client, driver := startLog(t, faker.LogConfig{})
 	require.NoError(t, driver.SetFaults(ctx, faker.LogFaults{LoseReplies: 1}))
 	_, err := appendTo(ctx, client, "lost")
 	require.Error(t, err)
@@ -129,7 +129,7 @@
 	require.Equal(t, int64(2), offset)
 	page, err := readFrom(ctx, client, 0, 0)
 	require.NoError(t, err)
-	require.Equal(t, []string{"lost", "kept"}, texts(page))
+	require.Equal(t, []string{"lost", "kept"}, recordTexts(page))
 	ledger, err := driver.LogLedger(ctx)
 	require.NoError(t, err)
 	require.Equal(t, int64(2), ledger.Appends)
@@ -150,7 +150,7 @@
 	for _, s := range scenarios {
 		t.Run(s.testName, func(t *testing.T) {
 			ctx := testContext(t)
-			l, client, _ := serveLog(t, faker.LogConfig{Faults: faker.LogFaults{Outage: s.outage}})
+			l, client, _ := startLog(t, faker.LogConfig{Faults: faker.LogFaults{Outage: s.outage}})
 			failed := make(chan error, 1)
 			go func() {
 				_, err := appendTo(ctx, client, "x")
@@ -176,7 +176,7 @@
 func TestLogWakesWaitingReader(t *testing.T) {
 	scenarios := []struct {
 		testName      string
-		wake          func(ctx context.Context, l *faker.Log, client *platformserver.Client) error
+		trigger       func(ctx context.Context, l *faker.Log, client *platformserver.Client) error
 		expectedTexts []string
 	}{
 		{"append", func(ctx context.Context, _ *faker.Log, client *platformserver.Client) error {
@@ -191,23 +191,23 @@
 	for _, s := range scenarios {
 		t.Run(s.testName, func(t *testing.T) {
 			ctx := testContext(t)
-			l, client, _ := serveLog(t, faker.LogConfig{})
-			woken := make(chan error, 1)
+			l, client, _ := startLog(t, faker.LogConfig{})
+			readDone := make(chan error, 1)
 			var page *platformserver.RecordPage
 			go func() {
 				var err error
-				page, err = readFrom(ctx, client, 1, waitLimit)
-				woken <- err
+				page, err = readFrom(ctx, client, 1, testTimeout)
+				readDone <- err
 			}()
 			eventually(t, func() bool { return l.Ledger().Reads == 1 })
-			require.NoError(t, s.wake(ctx, l, client))
-			err := <-woken
+			require.NoError(t, s.trigger(ctx, l, client))
+			err := <-readDone
 			if s.expectedTexts == nil {
 				require.Equal(t, "outage", platformCode(t, err))
 				return
 			}
 			require.NoError(t, err)
-			require.Equal(t, s.expectedTexts, texts(page))
+			require.Equal(t, s.expectedTexts, recordTexts(page))
 		})
 	}
 }
@@ -216,11 +216,11 @@
 // lands afterwards all the same.
 func TestLogSlowAppendLandsAfterItsCallerLeft(t *testing.T) {
 	l := faker.NewLog(faker.LogConfig{Faults: faker.LogFaults{SlowAppendMillis: 1}})
-	ctx, leave := context.WithCancel(testContext(t))
+	ctx, cancel := context.WithCancel(testContext(t))
 	url := serve(t, http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		body, _ := io.ReadAll(r.Body)
 		r.Body = io.NopCloser(bytes.NewReader(body))
-		leave()
+		cancel()
 		<-r.Context().Done()
 		l.Handler().ServeHTTP(w, r)
 	}), l.Close)
@@ -233,7 +233,7 @@
 
 func TestLogLimitsAppends(t *testing.T) {
 	ctx := testContext(t)
-	_, client, _ := serveLog(t, faker.LogConfig{AppendsPerSecond: 0.001, AppendBurst: 1})
+	_, client, _ := startLog(t, faker.LogConfig{AppendsPerSecond: 0.001, AppendBurst: 1})
 	_, err := appendTo(ctx, client, "first")
 	require.NoError(t, err)
 	_, err = appendTo(ctx, client, "second")
--- a/faker/logfaults.go
+++ b/faker/logfaults.go
@@ -35,13 +35,13 @@
 func (l *Log) failInOutage(ctx context.Context) error {
 	err := failInOutage(ctx, l.faults, func(f LogFaults) Outage { return f.Outage })
 	if err != nil {
-		l.count(func(ledger *LogLedger) { ledger.Refused++ })
+		l.updateLedger(func(ledger *LogLedger) { ledger.Refused++ })
 	}
 	return err
 }
 
 // loseReply closes the connection in place of a reply, if the switches say so.
-func (l *Log) loseReply() {
+func (l *Log) maybeLoseReply() {
 	lost := false
 	if l.faults.get().LoseReplies > 0 {
 		l.faults.update(func(f *LogFaults) {
@@ -49,10 +49,10 @@
 			f.LoseReplies = max(0, f.LoseReplies-1)
 		})
 	}
-	lost = lost || l.chance(l.faults.get().LoseReplyRate)
+	lost = lost || l.occursAtRate(l.faults.get().LoseReplyRate)
 	if !lost {
 		return
 	}
-	l.count(func(ledger *LogLedger) { ledger.LostReplies++ })
+	l.updateLedger(func(ledger *LogLedger) { ledger.LostReplies++ })
 	panic(http.ErrAbortHandler)
 }
--- a/faker/logledger.go
+++ b/faker/logledger.go
@@ -35,7 +35,7 @@
 	Before int64  `json:"before"`
 }
 
-func (l *Log) count(change func(*LogLedger)) {
+func (l *Log) updateLedger(change func(*LogLedger)) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	change(&l.ledger)
@@ -54,8 +54,8 @@
 			Next:          s.next,
 			Kept:          len(s.records),
 			KeptBytes:     s.bytes,
-			Appends:       s.appended,
-			AppendedBytes: s.sumBytes,
+			Appends:       s.appendCount,
+			AppendedBytes: s.appendedBytes,
 		})
 	}
 	slices.SortFunc(ledger.Streams, func(a, b StreamState) int { return strings.Compare(a.Name, b.Name) })
@@ -69,7 +69,7 @@
 
 // ClearLedger sets the counts to 0; the streams stay.
 func (l *Log) ClearLedger() {
-	l.count(func(ledger *LogLedger) { *ledger = LogLedger{} })
+	l.updateLedger(func(ledger *LogLedger) { *ledger = LogLedger{} })
 }
 
 // Trim drops a stream's records below an offset, as if retention had run.
--- a/faker/logstream.go
+++ b/faker/logstream.go
@@ -24,14 +24,14 @@
 
 // logStream is one named stream of records. Its offsets only grow and may have holes.
 type logStream struct {
-	records   []platformserver.LogRecord
-	bytes     int64
-	next      int64
-	first     int64
-	appended  int64
-	sumBytes  int64
-	changed   chan struct{}
-	retention retention
+	records       []platformserver.LogRecord
+	bytes         int64
+	next          int64
+	first         int64
+	appendCount   int64
+	appendedBytes int64
+	changed       chan struct{}
+	retention     retention
 }
 
 func newLogStream(r retention) *logStream {
@@ -39,13 +39,13 @@
 }
 
 // append adds a record after a hole of so many offsets, and wakes the readers.
-func (s *logStream) append(data []byte, hole int64, now time.Time) int64 {
-	offset := s.next + hole
+func (s *logStream) append(data []byte, skippedOffsets int64, now time.Time) int64 {
+	offset := s.next + skippedOffsets
 	s.next = offset + 1
 	s.records = append(s.records, platformserver.LogRecord{Offset: offset, AtMillis: now.UnixMilli(), Data: data})
 	s.bytes += int64(len(data))
-	s.appended++
-	s.sumBytes += int64(len(data))
+	s.appendCount++
+	s.appendedBytes += int64(len(data))
 	s.expire(now)
 	close(s.changed)
 	s.changed = make(chan struct{})
@@ -57,8 +57,8 @@
 	oldest := now.Add(-s.retention.age).UnixMilli()
 	for len(s.records) > 0 {
 		tooOld := s.retention.age > 0 && s.records[0].AtMillis < oldest
-		tooMany := len(s.records) > s.retention.records || s.bytes > s.retention.bytes
-		if !tooOld && !tooMany {
+		overLimit := len(s.records) > s.retention.records || s.bytes > s.retention.bytes
+		if !tooOld && !overLimit {
 			return
 		}
 		s.dropOldest()
@@ -66,7 +66,7 @@
 }
 
 // cutAfter drops the records that were appended after a time, and gives their offsets out again. Reads that wait are answered.
-func (s *logStream) cutAfter(millis int64) {
+func (s *logStream) truncateAfter(millis int64) {
 	for n := len(s.records); n > 0 && s.records[n-1].AtMillis > millis; n = len(s.records) {
 		s.next = s.records[n-1].Offset
 		s.bytes -= int64(len(s.records[n-1].Data))
--- a/faker/main_test.go
+++ b/faker/main_test.go
@@ -23,7 +23,7 @@
 }
 
 // waitLimit bounds a wait for something that must come; no test asserts how long it took.
-const waitLimit = 30 * time.Second
+const testTimeout = 30 * time.Second
 
 // serve starts a server and returns its URL. Everything is closed at the test's end.
 func serve(t testing.TB, handler http.Handler, closeHandler func()) string {
@@ -53,7 +53,7 @@
 }
 
 // sideEffect is a call that must not be repeated, under a claim's fence.
-func sideEffect(requestID string, fence int64) *endpointserver.StageCall {
+func sideEffectCall(requestID string, fence int64) *endpointserver.StageCall {
 	call := stageCall(requestID)
 	call.IdempotencyKey = endpointserver.NewOptString("key")
 	call.Repeatable = endpointserver.NewOptBool(false)
@@ -90,7 +90,7 @@
 	return part, true
 }
 
-func (r *partReader) rest(t testing.TB) []endpointserver.StagePart {
+func (r *partReader) readAll(t testing.TB) []endpointserver.StagePart {
 	var parts []endpointserver.StagePart
 	for {
 		part, ok := r.next(t)
@@ -104,7 +104,7 @@
 func runCall(t testing.TB, url string, call *endpointserver.StageCall) []endpointserver.StagePart {
 	reader := openCall(t, url, call)
 	require.Equal(t, http.StatusOK, reader.resp.StatusCode)
-	return reader.rest(t)
+	return reader.readAll(t)
 }
 
 func textOf(parts []endpointserver.StagePart) string {
@@ -122,7 +122,7 @@
 }
 
 func testContext(t testing.TB) context.Context {
-	ctx, cancel := context.WithTimeout(context.Background(), waitLimit)
+	ctx, cancel := context.WithTimeout(context.Background(), testTimeout)
 	t.Cleanup(cancel)
 	return ctx
 }
@@ -130,7 +130,7 @@
 // eventually waits for what another goroutine does; it fails only if that never comes.
 func eventually(t testing.TB, ok func() bool) {
 	t.Helper()
-	require.Eventually(t, ok, waitLimit, time.Millisecond)
+	require.Eventually(t, ok, testTimeout, time.Millisecond)
 }
 
 func outcomes(e *faker.Endpoint) []faker.Outcome {
--- a/faker/output.go
+++ b/faker/output.go
@@ -25,7 +25,7 @@
 	return output{
 		head:   head,
 		seed:   sha256.Sum256([]byte(head + "\x00" + input)),
-		prefix: strings.Clone(prefixOf(input, keepPrefix)),
+		prefix: strings.Clone(utf8Prefix(input, keepPrefix)),
 		tokens: tokens,
 	}
 }
@@ -43,24 +43,24 @@
 	head := o.prefix + o.head
 	digest := o.seed
 	if o.tokens <= 1 {
-		return []string{head + digits(digest)}
+		return []string{head + hexDigest(digest)}
 	}
 	parts := make([]string, 0, o.tokens)
 	parts = append(parts, head)
 	for i := 1; i < o.tokens-1; i++ {
 		digest = sha256.Sum256(digest[:])
-		parts = append(parts, fmt.Sprintf("%d:%s ", i, digits(digest)[:4]))
+		parts = append(parts, fmt.Sprintf("%d:%s ", i, hexDigest(digest)[:4]))
 	}
 	digest = sha256.Sum256(digest[:])
-	return append(parts, digits(digest))
+	return append(parts, hexDigest(digest))
 }
 
-func digits(digest [sha256.Size]byte) string {
+func hexDigest(digest [sha256.Size]byte) string {
 	return hex.EncodeToString(digest[:digestDigits/2])
 }
 
 // prefixOf returns up to n bytes of the input, and no half character.
-func prefixOf(input string, n int) string {
+func utf8Prefix(input string, n int) string {
 	if n >= len(input) {
 		return input
 	}
@@ -71,12 +71,12 @@
 }
 
 // outputOf returns what the endpoint will answer to the call.
-func (e *Endpoint) outputOf(call *endpointserver.StageCall) output {
-	switch work := e.work.(type) {
+func (e *Endpoint) expectedOutput(call *endpointserver.StageCall) output {
+	switch processor := e.processor.(type) {
 	case *generator:
-		return newOutput(call.Stage, call.RequestId, call.Input, call.MaxTokens.Or(work.cfg.Tokens), 0)
-	case *answerer:
-		return newOutput(call.Stage, call.RequestId, call.Input, 1, work.keepPrefix)
+		return newOutput(call.Stage, call.RequestId, call.Input, call.MaxTokens.Or(processor.cfg.Tokens), 0)
+	case *responder:
+		return newOutput(call.Stage, call.RequestId, call.Input, 1, processor.keepPrefix)
 	default:
 		return output{}
 	}
--- a/faker/platform.go
+++ b/faker/platform.go
@@ -11,7 +11,7 @@
 )
 
 // maxPlatformBody bounds a body in bytes: a record of 1 MiB in base64, and what goes around it.
-const maxPlatformBody = 1<<20*4/3 + 4096
+const maxPlatformBodyBytes = 1<<20*4/3 + 4096
 
 // The codes of the platform's errors.
 const (
@@ -81,31 +81,33 @@
 }
 
 // unserved refuses all of the platform's calls; each service overrides those that it serves.
-type unserved struct{}
+type unimplemented struct{}
 
 var errNotServed = &PlatformError{Code: codeNotServed, Message: "another service serves this path"}
 
-func (unserved) AppendRecord(
+func (unimplemented) AppendRecord(
 	context.Context, *platformserver.AppendCall, platformserver.AppendRecordParams,
 ) (*platformserver.AppendReply, error) {
 	return nil, errNotServed
 }
 
-func (unserved) ReadRecords(
+func (unimplemented) ReadRecords(
 	context.Context, platformserver.ReadRecordsParams,
 ) (*platformserver.RecordPage, error) {
 	return nil, errNotServed
 }
 
-func (unserved) ListVms(context.Context) (*platformserver.VmList, error) { return nil, errNotServed }
+func (unimplemented) ListVms(context.Context) (*platformserver.VmList, error) {
+	return nil, errNotServed
+}
 
-func (unserved) GetWeights(
+func (unimplemented) GetWeights(
 	context.Context, platformserver.GetWeightsParams,
 ) (*platformserver.Weights, error) {
 	return nil, errNotServed
 }
 
-func (unserved) NewError(_ context.Context, err error) *platformserver.PlatformErrorStatusCode {
+func (unimplemented) NewError(_ context.Context, err error) *platformserver.PlatformErrorStatusCode {
 	reply := platformserver.PlatformError{Code: codeFailed, Message: err.Error()}
 	var failed *PlatformError
 	if errors.As(err, &failed) {
@@ -118,13 +120,13 @@
 	return &platformserver.PlatformErrorStatusCode{StatusCode: platformStatus(reply.Code), Response: reply}
 }
 
-func platformMux(handler platformserver.Handler) *http.ServeMux {
+func newPlatformMux(handler platformserver.Handler) *http.ServeMux {
 	server, err := platformserver.NewServer(handler, platformserver.WithErrorHandler(writeBadCall))
 	if err != nil {
 		panic(err) // Only a broken global metrics provider makes it fail.
 	}
 	mux := http.NewServeMux()
-	mux.Handle("/v1/", http.MaxBytesHandler(server, maxPlatformBody))
+	mux.Handle("/v1/", http.MaxBytesHandler(server, maxPlatformBodyBytes))
 	return mux
 }
 
--- a/faker/reply.go
+++ b/faker/reply.go
@@ -15,7 +15,7 @@
 const StreamIDHeader = "Stream-Id"
 
 // reply sends one stream's parts over one connection, with the faults that its endpoint is to show.
-type reply struct {
+type replyWriter struct {
 	endpoint *Endpoint
 	w        http.ResponseWriter
 	stream   *stream
@@ -23,12 +23,12 @@
 	from     int
 	faults   Faults
 	sent     int
-	held     *endpointserver.StagePart
+	heldPart *endpointserver.StagePart
 	encoder  jx.Encoder
 }
 
-func (p *reply) run(ctx context.Context) error {
-	if err := p.holdBack(ctx); err != nil {
+func (p *replyWriter) run(ctx context.Context) error {
+	if err := p.delayOrDrop(ctx); err != nil {
 		panic(http.ErrAbortHandler)
 	}
 	p.writeHeader()
@@ -39,7 +39,7 @@
 			panic(http.ErrAbortHandler)
 		}
 		if len(parts) == 0 {
-			p.writeHeld()
+			p.writeHeldPart()
 			return nil
 		}
 		for i := range parts {
@@ -50,7 +50,7 @@
 }
 
 // holdBack delays or drops the reply before its first byte.
-func (p *reply) holdBack(ctx context.Context) error {
+func (p *replyWriter) delayOrDrop(ctx context.Context) error {
 	if p.faults.DropReplyAfterRun {
 		// A panic with ErrAbortHandler has net/http close the connection without a reply.
 		_ = p.stream.waitDone(ctx)
@@ -59,31 +59,31 @@
 	return sleep(ctx, time.Duration(p.faults.DelayReplyMillis)*time.Millisecond)
 }
 
-func (p *reply) writeHeader() {
+func (p *replyWriter) writeHeader() {
 	p.w.Header().Set("Content-Type", "application/x-ndjson")
 	p.w.Header().Set(StreamIDHeader, p.stream.id)
 	p.w.WriteHeader(http.StatusOK)
-	if _, generates := p.endpoint.work.(*generator); generates {
+	if _, isEngine := p.endpoint.processor.(*generator); isEngine {
 		p.flush()
 	}
 }
 
-func (p *reply) send(part endpointserver.StagePart) {
+func (p *replyWriter) send(part endpointserver.StagePart) {
 	part.Attempt = p.attempt
 	if p.faults.SwapReplies {
-		part = p.swapped(part)
+		part = p.swapWithOther(part)
 	}
-	if p.faults.OutOfOrder && p.held == nil && !part.Final {
-		p.held = &part
+	if p.faults.OutOfOrder && p.heldPart == nil && !part.Final {
+		p.heldPart = &part
 		return
 	}
 	p.write(part)
-	p.writeHeld()
+	p.writeHeldPart()
 }
 
 // swapped gives the part another request's ids and text.
-func (p *reply) swapped(part endpointserver.StagePart) endpointserver.StagePart {
-	other := p.endpoint.streams.other(p.stream)
+func (p *replyWriter) swapWithOther(part endpointserver.StagePart) endpointserver.StagePart {
+	other := p.endpoint.streams.findOther(p.stream)
 	if other == nil {
 		return part
 	}
@@ -95,16 +95,16 @@
 	return part
 }
 
-func (p *reply) writeHeld() {
-	if p.held == nil {
+func (p *replyWriter) writeHeldPart() {
+	if p.heldPart == nil {
 		return
 	}
-	held := *p.held
-	p.held = nil
-	p.write(held)
+	heldPart := *p.heldPart
+	p.heldPart = nil
+	p.write(heldPart)
 }
 
-func (p *reply) write(part endpointserver.StagePart) {
+func (p *replyWriter) write(part endpointserver.StagePart) {
 	p.writeLine(part)
 	if p.faults.DuplicateParts {
 		p.writeLine(part)
@@ -116,7 +116,7 @@
 	}
 }
 
-func (p *reply) writeLine(part endpointserver.StagePart) {
+func (p *replyWriter) writeLine(part endpointserver.StagePart) {
 	p.encoder.Reset()
 	part.Encode(&p.encoder)
 	line := append(p.encoder.Bytes(), '\n')
@@ -129,7 +129,7 @@
 }
 
 // flush passes on what was written. Without it a part would wait in net/http's buffer for the next ones.
-func (p *reply) flush() {
+func (p *replyWriter) flush() {
 	if err := http.NewResponseController(p.w).Flush(); err != nil {
 		panic(http.ErrAbortHandler)
 	}
--- a/faker/reply_test.go
+++ b/faker/reply_test.go
@@ -31,12 +31,12 @@
 			url := serveEndpoint(t, e)
 			runCall(t, url, stageCall("other"))
 			e.SetFaults(s.faults)
-			golden.Assert(t, s.testName, lines(t, runCall(t, url, stageCall("own"))))
+			golden.Assert(t, s.testName, encodeLines(t, runCall(t, url, stageCall("own"))))
 		})
 	}
 }
 
-func lines(t *testing.T, parts []endpointserver.StagePart) []byte {
+func encodeLines(t *testing.T, parts []endpointserver.StagePart) []byte {
 	var text bytes.Buffer
 	for _, part := range parts {
 		part.Cost.Reset()
--- a/faker/server.go
+++ b/faker/server.go
@@ -31,7 +31,7 @@
 	Close func()
 }
 
-type readyLine struct {
+type readyMessage struct {
 	Ready   bool   `json:"ready"`
 	Address string `json:"address"`
 }
@@ -48,14 +48,14 @@
 		IdleTimeout:       idleTimeout,
 		MaxHeaderBytes:    maxHeaderBytes,
 	}
-	ready := readyLine{Ready: true, Address: listener.Addr().String()}
+	ready := readyMessage{Ready: true, Address: listener.Addr().String()}
 	if err := json.NewEncoder(cfg.Ready).Encode(ready); err != nil {
 		return errors.Join(err, listener.Close())
 	}
-	served := make(chan error, 1)
-	go func() { served <- server.Serve(newBoundedListener(listener, maxConnections)) }()
+	serveErr := make(chan error, 1)
+	go func() { serveErr <- server.Serve(newLimitedListener(listener, maxConnections)) }()
 	select {
-	case err := <-served:
+	case err := <-serveErr:
 		return err
 	case <-ctx.Done():
 	}
@@ -75,38 +75,38 @@
 }
 
 // boundedListener closes connections over its bound at once.
-type boundedListener struct {
+type limitedListener struct {
 	net.Listener
-	places chan struct{}
+	slots chan struct{}
 }
 
-func newBoundedListener(l net.Listener, n int) *boundedListener {
-	return &boundedListener{Listener: l, places: make(chan struct{}, n)}
+func newLimitedListener(l net.Listener, n int) *limitedListener {
+	return &limitedListener{Listener: l, slots: make(chan struct{}, n)}
 }
 
 // Accept returns the next connection that has a place.
-func (l *boundedListener) Accept() (net.Conn, error) {
+func (l *limitedListener) Accept() (net.Conn, error) {
 	for {
 		conn, err := l.Listener.Accept()
 		if err != nil {
 			return nil, err
 		}
 		select {
-		case l.places <- struct{}{}:
-			return &placedConn{Conn: conn, free: sync.OnceFunc(func() { <-l.places })}, nil
+		case l.slots <- struct{}{}:
+			return &limitedConn{Conn: conn, release: sync.OnceFunc(func() { <-l.slots })}, nil
 		default:
 			_ = conn.Close() // It was never used.
 		}
 	}
 }
 
-type placedConn struct {
+type limitedConn struct {
 	net.Conn
-	free func()
+	release func()
 }
 
 // Close frees the connection's place.
-func (c *placedConn) Close() error {
-	c.free()
+func (c *limitedConn) Close() error {
+	c.release()
 	return c.Conn.Close()
 }
--- a/faker/service.go
+++ b/faker/service.go
@@ -19,23 +19,23 @@
 
 // NewService starts a stand-in of a service, which answers each call by one final part.
 func NewService(cfg ServiceConfig) *Endpoint {
-	answerer := &answerer{
-		serviceTime: defaultTo(cfg.ServiceTime, 5*time.Millisecond),
+	responder := &responder{
+		serviceTime: valueOrDefault(cfg.ServiceTime, 5*time.Millisecond),
 		variation:   cfg.Variation,
 		keepPrefix:  cfg.KeepPrefix,
 	}
-	return newEndpoint(cfg.EndpointConfig, answerer)
+	return newEndpoint(cfg.EndpointConfig, responder)
 }
 
-type answerer struct {
+type responder struct {
 	serviceTime time.Duration
 	variation   float64
 	keepPrefix  int
 }
 
 // answer works for the service time, varied by random, which is from 0 to 1.
-func (a *answerer) answer(ctx context.Context, s *stream, slow, random float64) (result, error) {
-	factor := slow * (1 + a.variation*(2*random-1))
+func (a *responder) respond(ctx context.Context, s *stream, slowFactor, random float64) (result, error) {
+	factor := slowFactor * (1 + a.variation*(2*random-1))
 	if err := sleep(ctx, scale(a.serviceTime, factor)); err != nil {
 		return result{}, err
 	}
--- a/faker/service_test.go
+++ b/faker/service_test.go
@@ -41,14 +41,14 @@
 		t.Run(s.testName, func(t *testing.T) {
 			e := faker.NewService(serviceConfig(faker.Faults{IgnoreFence: s.ignoreFence}))
 			url := serveEndpoint(t, e)
-			first := runCall(t, url, sideEffect("r1", 7))
-			call := sideEffect("r1", s.second)
+			first := runCall(t, url, sideEffectCall("r1", 7))
+			call := sideEffectCall("r1", s.second)
 			call.Attempt = 2
 			reader := openCall(t, url, call)
 			if s.expectedCode != "" {
 				require.Equal(t, s.expectedCode, refusalCode(t, reader))
 			} else {
-				second := reader.rest(t)
+				second := reader.readAll(t)
 				require.Equal(t, textOf(first), textOf(second))
 				require.Equal(t, 2, second[0].Attempt)
 			}
@@ -65,7 +65,7 @@
 	replies := make([]string, 16)
 	var wg sync.WaitGroup
 	for i := range replies {
-		wg.Go(func() { replies[i] = textOf(runCall(t, url, sideEffect("r1", 7))) })
+		wg.Go(func() { replies[i] = textOf(runCall(t, url, sideEffectCall("r1", 7))) })
 	}
 	wg.Wait()
 	for _, reply := range replies {
--- a/faker/slotqueue.go
+++ b/faker/slotqueue.go
@@ -32,26 +32,26 @@
 		return nil, false
 	}
 	q.arrivals++
-	place := &waiter{priority: priority, arrival: q.arrivals, granted: make(chan struct{})}
-	heap.Push(&q.waiting, place)
+	waiter := &waiter{priority: priority, arrival: q.arrivals, granted: make(chan struct{})}
+	heap.Push(&q.waiting, waiter)
 	q.grant()
-	return place, true
+	return waiter, true
 }
 
 // wait returns when the place has a slot. On the context's end the place is given up.
-func (q *slotQueue) wait(ctx context.Context, place *waiter) error {
+func (q *slotQueue) wait(ctx context.Context, waiter *waiter) error {
 	select {
-	case <-place.granted:
+	case <-waiter.granted:
 		return nil
 	case <-ctx.Done():
 	}
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	select {
-	case <-place.granted:
+	case <-waiter.granted:
 		q.running--
 	default:
-		heap.Remove(&q.waiting, place.index)
+		heap.Remove(&q.waiting, waiter.index)
 	}
 	q.grant()
 	return ctx.Err()
@@ -72,9 +72,9 @@
 
 func (q *slotQueue) grant() {
 	for q.running < q.slots && len(q.waiting) > 0 {
-		place := heap.Pop(&q.waiting).(*waiter)
+		waiter := heap.Pop(&q.waiting).(*waiter)
 		q.running++
-		close(place.granted)
+		close(waiter.granted)
 	}
 	q.onChange(q.running, len(q.waiting))
 }
@@ -97,15 +97,15 @@
 }
 
 func (h *waitHeap) Push(x any) {
-	place := x.(*waiter)
-	place.index = len(*h)
-	*h = append(*h, place)
+	waiter := x.(*waiter)
+	waiter.index = len(*h)
+	*h = append(*h, waiter)
 }
 
 func (h *waitHeap) Pop() any {
 	old := *h
-	place := old[len(old)-1]
+	waiter := old[len(old)-1]
 	old[len(old)-1] = nil
 	*h = old[:len(old)-1]
-	return place
+	return waiter
 }
--- a/faker/stream.go
+++ b/faker/stream.go
@@ -11,8 +11,8 @@
 
 // Bounds of the streams that an endpoint keeps for those who resume them.
 const (
-	maxStreams    = 16_384
-	streamKeptFor = 60 * time.Second
+	maxStreams      = 16_384
+	streamRetention = 60 * time.Second
 )
 
 // stream is what one execution has produced so far. It outlives the connection that asked for it.
@@ -22,21 +22,21 @@
 	output output
 	cancel context.CancelFunc
 
-	mu      sync.Mutex
-	texts   []string
-	done    bool
-	endedAt time.Time
-	failure string
-	cost    float64
-	cached  int
-	changed chan struct{}
+	mu           sync.Mutex
+	texts        []string
+	done         bool
+	endedAt      time.Time
+	failure      string
+	cost         float64
+	cachedTokens int
+	changed      chan struct{}
 }
 
 func (s *stream) push(text string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.texts = append(s.texts, text)
-	s.wake()
+	s.notifyReaders()
 }
 
 // finish adds the final part.
@@ -44,15 +44,15 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.texts = append(s.texts, r.lastText)
-	s.cached = r.cachedTokens
+	s.cachedTokens = r.cachedTokens
 	s.failure = failure
 	s.cost = cost
 	s.done = true
 	s.endedAt = now
-	s.wake()
+	s.notifyReaders()
 }
 
-func (s *stream) wake() {
+func (s *stream) notifyReaders() {
 	close(s.changed)
 	s.changed = make(chan struct{})
 }
@@ -98,7 +98,7 @@
 	part.Final = true
 	part.Total = endpointserver.NewOptInt(len(s.texts))
 	part.Cost = endpointserver.NewOptFloat64(s.cost)
-	part.CachedTokens = endpointserver.NewOptInt(s.cached)
+	part.CachedTokens = endpointserver.NewOptInt(s.cachedTokens)
 	if s.failure != "" {
 		part.Error = endpointserver.NewOptString(s.failure)
 	}
@@ -136,11 +136,11 @@
 
 // streamStore keeps streams by id, in the order of their start.
 type streamStore struct {
-	mu     sync.Mutex
-	prefix string
-	starts int
-	byID   map[string]*stream
-	order  []*stream
+	mu         sync.Mutex
+	prefix     string
+	startCount int
+	byID       map[string]*stream
+	order      []*stream
 }
 
 func newStreamStore(prefix string) *streamStore {
@@ -153,10 +153,10 @@
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.prune(now)
-	t.starts++
+	t.startCount++
 	s := &stream{
-		id:      t.prefix + "-" + strconv.Itoa(t.starts),
-		call:    withoutInput(call),
+		id:      t.prefix + "-" + strconv.Itoa(t.startCount),
+		call:    copyWithoutInput(call),
 		output:  o,
 		cancel:  cancel,
 		changed: make(chan struct{}),
@@ -166,7 +166,7 @@
 	return s
 }
 
-func withoutInput(call *endpointserver.StageCall) *endpointserver.StageCall {
+func copyWithoutInput(call *endpointserver.StageCall) *endpointserver.StageCall {
 	kept := *call
 	kept.Input = ""
 	return &kept
@@ -175,7 +175,7 @@
 // prune drops streams from the oldest on that are past their time. If there are still too many, the
 // ended ones of the older half go; those in flight are bounded by the endpoint's queue.
 func (t *streamStore) prune(now time.Time) {
-	cutoff := now.Add(-streamKeptFor)
+	cutoff := now.Add(-streamRetention)
 	for len(t.order) > 0 && t.order[0].endedBefore(cutoff) {
 		delete(t.byID, t.order[0].id)
 		t.order[0] = nil
@@ -202,11 +202,11 @@
 }
 
 // other returns a stream of another request than s: one in flight if there is, else the newest.
-func (t *streamStore) other(s *stream) *stream {
+func (t *streamStore) findOther(s *stream) *stream {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	var newest *stream
-	for i := len(t.order) - 1; i >= 0 && len(t.order)-i <= maxSwapSearch; i-- {
+	for i := len(t.order) - 1; i >= 0 && len(t.order)-i <= maxOtherStreamSearch; i-- {
 		candidate := t.order[i]
 		if candidate.call.RequestId == s.call.RequestId {
 			continue
@@ -221,4 +221,4 @@
 	return newest
 }
 
-const maxSwapSearch = 256
+const maxOtherStreamSearch = 256
--- a/faker/vmhistory.go
+++ b/faker/vmhistory.go
@@ -40,7 +40,7 @@
 	return h.versions[0].vms
 }
 
-func (h *vmHistory) newest() []platformserver.VM {
+func (h *vmHistory) latest() []platformserver.VM {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return h.versions[len(h.versions)-1].vms
--- a/faker/vms.go
+++ b/faker/vms.go
@@ -38,7 +38,7 @@
 
 // VMs is a running stand-in of the platform's lagging list of VMs.
 type VMs struct {
-	unserved
+	unimplemented
 	lag     time.Duration
 	faults  *switches[VMFaults]
 	handler http.Handler
@@ -48,12 +48,12 @@
 // NewVMs starts a list with the configured VMs.
 func NewVMs(cfg VMsConfig) *VMs {
 	v := &VMs{
-		lag:     defaultTo(cfg.Lag, time.Second),
+		lag:     valueOrDefault(cfg.Lag, time.Second),
 		faults:  newSwitches(cfg.Faults),
 		history: &vmHistory{},
 	}
 	v.history.set(cfg.VMs, time.Time{})
-	mux := platformMux(v)
+	mux := newPlatformMux(v)
 	handleSwitches(mux, v.faults, VMFaults.check)
 	v.handleVMs(mux)
 	v.handler = mux
@@ -79,10 +79,10 @@
 	if err := sleep(ctx, millis(faults.SlowMillis)); err != nil {
 		return nil, err
 	}
-	return &platformserver.VmList{Vms: v.history.at(time.Now().Add(-v.presentLag(faults)))}, nil
+	return &platformserver.VmList{Vms: v.history.at(time.Now().Add(-v.currentLag(faults)))}, nil
 }
 
-func (v *VMs) presentLag(faults VMFaults) time.Duration {
+func (v *VMs) currentLag(faults VMFaults) time.Duration {
 	if faults.LagMillis > 0 {
 		return millis(faults.LagMillis)
 	}
@@ -91,7 +91,7 @@
 
 func (v *VMs) handleVMs(mux *http.ServeMux) {
 	mux.HandleFunc("GET "+vmsPath, func(w http.ResponseWriter, _ *http.Request) {
-		writeJSON(w, http.StatusOK, platformserver.VmList{Vms: v.history.newest()})
+		writeJSON(w, http.StatusOK, platformserver.VmList{Vms: v.history.latest()})
 	})
 	mux.HandleFunc("PUT "+vmsPath, func(w http.ResponseWriter, r *http.Request) {
 		var list vmList
--- a/faker/weights.go
+++ b/faker/weights.go
@@ -43,10 +43,10 @@
 
 // Weights is a running stand-in of the rate-limited weight store.
 type Weights struct {
-	unserved
+	unimplemented
 	cfg     WeightsConfig
 	faults  *switches[WeightFaults]
-	limit   *rate.Limiter
+	limiter *rate.Limiter
 	handler http.Handler
 	mu      sync.Mutex
 	ledger  WeightLedger
@@ -54,17 +54,17 @@
 
 // NewWeights starts a weight store that has every model.
 func NewWeights(cfg WeightsConfig) *Weights {
-	cfg.LoadsPerSecond = defaultTo(cfg.LoadsPerSecond, 2)
-	cfg.Burst = defaultTo(cfg.Burst, 2)
-	cfg.TransferTime = defaultTo(cfg.TransferTime, 300*time.Millisecond)
-	cfg.Bytes = defaultTo(cfg.Bytes, 1<<30)
+	cfg.LoadsPerSecond = valueOrDefault(cfg.LoadsPerSecond, 2)
+	cfg.Burst = valueOrDefault(cfg.Burst, 2)
+	cfg.TransferTime = valueOrDefault(cfg.TransferTime, 300*time.Millisecond)
+	cfg.Bytes = valueOrDefault(cfg.Bytes, 1<<30)
 	s := &Weights{
-		cfg:    cfg,
-		faults: newSwitches(cfg.Faults),
-		limit:  rate.NewLimiter(rate.Limit(cfg.LoadsPerSecond), cfg.Burst),
-		ledger: WeightLedger{Loads: make(map[string]int64)},
+		cfg:     cfg,
+		faults:  newSwitches(cfg.Faults),
+		limiter: rate.NewLimiter(rate.Limit(cfg.LoadsPerSecond), cfg.Burst),
+		ledger:  WeightLedger{Loads: make(map[string]int64)},
 	}
-	mux := platformMux(s)
+	mux := newPlatformMux(s)
 	handleSwitches(mux, s.faults, WeightFaults.check)
 	mux.HandleFunc("GET "+ledgerPath, func(w http.ResponseWriter, _ *http.Request) {
 		writeJSON(w, http.StatusOK, s.Ledger())
@@ -99,7 +99,7 @@
 		return nil, err
 	}
 	faults := s.faults.get()
-	if err := s.begin(params, time.Now()); err != nil {
+	if err := s.startLoad(params, time.Now()); err != nil {
 		return nil, err
 	}
 	if err := sleep(ctx, s.cfg.TransferTime+millis(faults.SlowMillis)); err != nil {
@@ -108,10 +108,10 @@
 	return &platformserver.Weights{Model: params.Model, Version: params.Version, Bytes: s.cfg.Bytes}, nil
 }
 
-func (s *Weights) begin(params platformserver.GetWeightsParams, now time.Time) error {
+func (s *Weights) startLoad(params platformserver.GetWeightsParams, now time.Time) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	reservation := s.limit.ReserveN(now, 1)
+	reservation := s.limiter.ReserveN(now, 1)
 	if wait := reservation.DelayFrom(now); wait > 0 {
 		reservation.CancelAt(now)
 		s.ledger.RateLimited++
--- a/faker/work.go
+++ b/faker/work.go
@@ -7,10 +7,10 @@
 )
 
 // work is what an endpoint does with a call: generate tokens or answer at once.
-type work interface{ isWork() }
+type processor interface{ isProcessor() }
 
-func (*generator) isWork() {}
-func (*answerer) isWork()  {}
+func (*generator) isProcessor() {}
+func (*responder) isProcessor() {}
 
 // result is what the final part of a stream needs.
 type result struct {
@@ -18,20 +18,20 @@
 	cachedTokens int
 }
 
-func (e *Endpoint) runWork(ctx context.Context, s *stream, input string) (result, error) {
-	slow := func() float64 { return e.faults.get().slowFactor() }
-	switch work := e.work.(type) {
+func (e *Endpoint) process(ctx context.Context, s *stream, input string) (result, error) {
+	slowFactor := func() float64 { return e.faults.get().slowFactor() }
+	switch processor := e.processor.(type) {
 	case *generator:
-		return work.generate(ctx, s, generation{
-			input:   input,
-			slow:    slow,
-			running: e.queue.runningNow,
-			gap:     e.cacheEventLost,
+		return processor.generate(ctx, s, generation{
+			input:      input,
+			slowFactor: slowFactor,
+			running:    e.queue.runningNow,
+			isLost:     e.cacheEventLost,
 		})
-	case *answerer:
-		return work.answer(ctx, s, slow(), e.random())
+	case *responder:
+		return processor.respond(ctx, s, slowFactor(), e.random())
 	default:
-		return result{}, errFailedBySwitch
+		return result{}, errInjectedFailure
 	}
 }
 
@@ -54,6 +54,6 @@
 	return time.Duration(float64(d) * factor)
 }
 
-func containsMark(input, mark string) bool {
-	return strings.Contains(input, mark)
+func containsMarker(input, marker string) bool {
+	return strings.Contains(input, marker)
 }
