--- a/faker/assignment.go
+++ b/faker/assignment.go
@@ -14,7 +14,8 @@
 
 const loadRetryMillis = 100
 
-// holder keeps what an engine holds: a model in a version, adapters and a role.
+// assignmentState holds the current assignment of an engine: the model and its version, the adapters and
+// the role.
 type assignmentState struct {
 	cfg     EngineConfig
 	mu      sync.Mutex
@@ -57,7 +58,8 @@
 	return &current
 }
 
-// take makes the order the engine's state. The number that it returns is the load to do, 0 for none.
+// applyOrder makes the order the engine's assignment. It returns the id of the load that the caller must
+// run, or 0 if nothing needs to be loaded.
 func (a *assignmentState) applyOrder(order *endpointserver.AssignmentOrder, ignoreFence bool) (int64, error) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -80,7 +82,7 @@
 	return a.loadID, nil
 }
 
-// loaded ends a load, unless a later order has begun another.
+// finishLoad marks a load as finished, unless a later order has started another one.
 func (a *assignmentState) finishLoad(loadID int64) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -116,7 +118,7 @@
 	return loadRetryMillis * time.Millisecond
 }
 
-// GetAssignment returns what the engine holds now.
+// GetAssignment returns the current assignment of the engine, or a RefusedError for a service.
 func (e *Endpoint) GetAssignment(context.Context) (*endpointserver.Assignment, error) {
 	g, ok := e.processor.(*generator)
 	if !ok {
@@ -125,7 +127,8 @@
 	return g.assignment.snapshot(), nil
 }
 
-// OrderAssignment takes an order and loads what it names.
+// OrderAssignment applies an assignment order and loads the model in the background. It returns a
+// RefusedError for a service and for a stale fence.
 func (e *Endpoint) OrderAssignment(
 	_ context.Context, order *endpointserver.AssignmentOrder,
 ) (*endpointserver.Assignment, error) {
--- a/faker/assignment_test.go
+++ b/faker/assignment_test.go
@@ -16,15 +16,15 @@
 	}
 }
 
-// Two orderers hold the lease one after the other. The older one wakes up and sends its order last:
-// an engine that honours fencing numbers refuses it, one that does not takes it.
-func TestEngineOrders(t *testing.T) {
+// Two orderers hold the lease one after the other, and the earlier one sends its order last, after a pause.
+// An engine that checks fencing numbers refuses that order; an engine that ignores them applies it.
+func TestEngineChecksOrderFence(t *testing.T) {
 	scenarios := []struct {
 		testName      string
 		ignoreFence   bool
 		expectedModel string
 	}{
-		{"honours fences", false, "new"},
+		{"checks fences", false, "new"},
 		{"ignores fences", true, "old"},
 	}
 	for _, s := range scenarios {
@@ -52,8 +52,8 @@
 	}
 }
 
-// The engine loads from a store that begins one load at a time. Until it is done calls for the new
-// model are refused, and so is the model that it gave up.
+// The engine loads a model from a weight store that starts one load at a time and is down at first. Calls
+// for the new model are refused until the load is done, and calls for the previous model afterwards.
 func TestEngineLoadsFromWeightStore(t *testing.T) {
 	ctx := testContext(t)
 	weights := faker.NewWeights(faker.WeightsConfig{LoadsPerSecond: 50, Burst: 1, TransferTime: 1})
--- a/faker/bench_test.go
+++ b/faker/bench_test.go
@@ -7,7 +7,8 @@
 	"geraniumline/faker"
 )
 
-// BenchmarkServiceCall is the floor under every measurement over HTTP: a call that works for no time.
+// BenchmarkServiceCall measures a call with almost no service time, the lower bound of every measurement over
+// HTTP.
 func BenchmarkServiceCall(b *testing.B) {
 	e := faker.NewService(faker.ServiceConfig{
 		EndpointConfig: faker.EndpointConfig{Slots: 256, MaxWaiting: 4096}, ServiceTime: time.Nanosecond,
--- a/faker/check.go
+++ b/faker/check.go
@@ -9,7 +9,7 @@
 	return checkNotNegative(field, int64(d))
 }
 
-// Check returns a ConfigError for the first field that is out of range.
+// Check returns a ConfigError for the first field that is out of range, or nil.
 func (cfg EndpointConfig) Check() error {
 	return firstError(
 		checkNotNegative("slots", cfg.Slots),
@@ -19,7 +19,7 @@
 	)
 }
 
-// Check returns a ConfigError for the first field that is out of range.
+// Check returns a ConfigError for the first field that is out of range, or nil.
 func (cfg EngineConfig) Check() error {
 	return firstError(
 		cfg.EndpointConfig.Check(),
@@ -52,7 +52,7 @@
 	return nil
 }
 
-// Check returns a ConfigError for the first field that is out of range.
+// Check returns a ConfigError for the first field that is out of range, or nil.
 func (cfg ServiceConfig) Check() error {
 	return firstError(
 		cfg.EndpointConfig.Check(),
@@ -62,7 +62,7 @@
 	)
 }
 
-// Check returns a ConfigError for the first field that is out of range.
+// Check returns a ConfigError for the first field that is out of range, or nil.
 func (cfg LogConfig) Check() error {
 	return firstError(
 		checkNotNegative("appendsPerSecond", cfg.AppendsPerSecond),
@@ -75,12 +75,12 @@
 	)
 }
 
-// Check returns a ConfigError for the first field that is out of range.
+// Check returns a ConfigError for the first field that is out of range, or nil.
 func (cfg VMsConfig) Check() error {
 	return firstError(checkDuration("lag", cfg.Lag), CheckVMs(cfg.VMs), cfg.Faults.check())
 }
 
-// Check returns a ConfigError for the first field that is out of range.
+// Check returns a ConfigError for the first field that is out of range, or nil.
 func (cfg WeightsConfig) Check() error {
 	return firstError(
 		checkNotNegative("loadsPerSecond", cfg.LoadsPerSecond),
--- a/faker/config.go
+++ b/faker/config.go
@@ -5,14 +5,14 @@
 	"math"
 )
 
-// ConfigError tells which setting or switch of a stand-in is out of its range.
+// ConfigError reports a setting or switch of a stand-in that is out of range.
 type ConfigError struct {
 	Field string
 	Value any
 	Want  string
 }
 
-// Error names the field, its value and what is allowed.
+// Error returns a message with the field, its value and the allowed range.
 func (e *ConfigError) Error() string {
 	return fmt.Sprintf("%s is %v, want %s", e.Field, e.Value, e.Want)
 }
@@ -31,7 +31,7 @@
 	return nil
 }
 
-// firstError returns the first of errs that is not nil.
+// firstError returns the first non-nil error, or nil.
 func firstError(errs ...error) error {
 	for _, err := range errs {
 		if err != nil {
--- a/faker/control.go
+++ b/faker/control.go
@@ -5,7 +5,7 @@
 	"net/http"
 )
 
-// Paths by which a test drives a stand-in. They are no part of the interfaces that the product sees.
+// Paths by which tests control a stand-in. They are not part of the interfaces that the product uses.
 const (
 	faultsPath          = "/control/faults"
 	ledgerPath          = "/control/ledger"
@@ -23,7 +23,7 @@
 func writeJSON(w http.ResponseWriter, status int, value any) {
 	w.Header().Set("Content-Type", "application/json")
 	w.WriteHeader(status)
-	// The reader may have gone; there is nobody left to tell.
+	// The client may have disconnected, so the error cannot be reported to it.
 	_ = json.NewEncoder(w).Encode(value)
 }
 
@@ -37,7 +37,7 @@
 	return true
 }
 
-// handleSwitches serves GET and PUT of a whole set of switches; a PUT replaces all of them.
+// handleSwitches registers GET and PUT handlers for a set of fault switches. PUT replaces the whole set.
 func handleSwitches[T any](mux *http.ServeMux, s *switches[T], check func(T) error) {
 	mux.HandleFunc("GET "+faultsPath, func(w http.ResponseWriter, _ *http.Request) {
 		writeJSON(w, http.StatusOK, s.get())
--- a/faker/control_test.go
+++ b/faker/control_test.go
@@ -12,7 +12,7 @@
 	"geraniumline/platformserver"
 )
 
-func TestControlRefusesWhatItDoesNotKnow(t *testing.T) {
+func TestControlRejectsInvalidBodies(t *testing.T) {
 	engine := faker.NewEngine(fastEngine())
 	t.Cleanup(engine.Close)
 	vms := faker.NewVMs(faker.VMsConfig{})
@@ -41,8 +41,8 @@
 	}
 }
 
-// The list is changed through the control path; readers see it, in an outage they see nothing.
-func TestVMsAreSetThroughControl(t *testing.T) {
+// The VM list is changed through the control path. Readers see the change; during an outage, reads fail.
+func TestControlSetsVMs(t *testing.T) {
 	ctx := testContext(t)
 	vms := faker.NewVMs(faker.VMsConfig{Lag: 1})
 	url := serve(t, vms.Handler(), func() {})
--- a/faker/driver.go
+++ b/faker/driver.go
@@ -12,80 +12,80 @@
 	"geraniumline/platformserver"
 )
 
-// ControlClient drives a stand-in that runs as another process, by its control paths.
+// ControlClient controls a stand-in in another process through its control paths.
 type ControlClient struct {
 	base   string
 	client *http.Client
 }
 
-// NewControlClient returns a driver of the stand-in at host:port.
+// NewControlClient returns a client for the stand-in at address, given as host:port.
 func NewControlClient(address string) *ControlClient {
 	return &ControlClient{base: "http://" + address, client: &http.Client{}}
 }
 
-// ControlError is a stand-in's refusal of a control call.
+// ControlError reports a control call that the stand-in refused.
 type ControlError struct {
 	Path   string
 	Status int
 	Body   string
 }
 
-// Error names the path, the status and what the stand-in said.
+// Error returns the path, the status and the response body.
 func (e *ControlError) Error() string {
 	return fmt.Sprintf("%s: status %d: %s", e.Path, e.Status, e.Body)
 }
 
-// SetFaults replaces all switches; faults is a Faults, LogFaults, VMFaults or WeightFaults.
-func (d *ControlClient) SetFaults(ctx context.Context, faults any) error {
-	return d.call(ctx, http.MethodPut, faultsPath, faults, nil)
+// SetFaults replaces all fault switches. faults is a Faults, LogFaults, VMFaults or WeightFaults.
+func (c *ControlClient) SetFaults(ctx context.Context, faults any) error {
+	return c.call(ctx, http.MethodPut, faultsPath, faults, nil)
 }
 
-// SetVMs replaces the list of VMs.
-func (d *ControlClient) SetVMs(ctx context.Context, vms []platformserver.VM) error {
-	return d.call(ctx, http.MethodPut, vmsPath, vmList{VMs: vms}, nil)
+// SetVMs replaces the VM list.
+func (c *ControlClient) SetVMs(ctx context.Context, vms []platformserver.VM) error {
+	return c.call(ctx, http.MethodPut, vmsPath, vmList{VMs: vms}, nil)
 }
 
-// Ledger returns an endpoint's executions.
-func (d *ControlClient) Ledger(ctx context.Context) (LedgerPage, error) {
+// Ledger returns the executions of an endpoint.
+func (c *ControlClient) Ledger(ctx context.Context) (LedgerPage, error) {
 	var page LedgerPage
-	err := d.call(ctx, http.MethodGet, ledgerPath, nil, &page)
+	err := c.call(ctx, http.MethodGet, ledgerPath, nil, &page)
 	return page, err
 }
 
-// LogLedger returns the log service's counts.
-func (d *ControlClient) LogLedger(ctx context.Context) (LogLedger, error) {
+// LogLedger returns the counters of the log service.
+func (c *ControlClient) LogLedger(ctx context.Context) (LogLedger, error) {
 	var ledger LogLedger
-	err := d.call(ctx, http.MethodGet, ledgerPath, nil, &ledger)
+	err := c.call(ctx, http.MethodGet, ledgerPath, nil, &ledger)
 	return ledger, err
 }
 
-// ClearLedger forgets the executions of an endpoint or the counts of the log service.
-func (d *ControlClient) ClearLedger(ctx context.Context) error {
-	return d.call(ctx, http.MethodDelete, ledgerPath, nil, nil)
+// ClearLedger deletes the executions of an endpoint or resets the counters of the log service.
+func (c *ControlClient) ClearLedger(ctx context.Context) error {
+	return c.call(ctx, http.MethodDelete, ledgerPath, nil, nil)
 }
 
-// Trim drops the records of a stream of the log service below an offset.
-func (d *ControlClient) Trim(ctx context.Context, call TrimCall) error {
-	return d.call(ctx, http.MethodPost, trimPath, call, nil)
+// Trim deletes the records of a log stream below an offset.
+func (c *ControlClient) Trim(ctx context.Context, call TrimCall) error {
+	return c.call(ctx, http.MethodPost, trimPath, call, nil)
 }
 
-// Restore has the log return from an older copy.
-func (d *ControlClient) Restore(ctx context.Context, call RestoreCall) error {
-	return d.call(ctx, http.MethodPost, returnPath, call, nil)
+// Restore restores the log to the state of an older copy.
+func (c *ControlClient) Restore(ctx context.Context, call RestoreCall) error {
+	return c.call(ctx, http.MethodPost, returnPath, call, nil)
 }
 
-func (d *ControlClient) call(ctx context.Context, method, path string, in, out any) (err error) {
+func (c *ControlClient) call(ctx context.Context, method, path string, in, out any) (err error) {
 	var body bytes.Buffer
 	if in != nil {
 		if err := json.NewEncoder(&body).Encode(in); err != nil {
 			return err
 		}
 	}
-	req, err := http.NewRequestWithContext(ctx, method, d.base+path, &body)
+	req, err := http.NewRequestWithContext(ctx, method, c.base+path, &body)
 	if err != nil {
 		return err
 	}
-	resp, err := d.client.Do(req)
+	resp, err := c.client.Do(req)
 	if err != nil {
 		return err
 	}
--- a/faker/endpoint.go
+++ b/faker/endpoint.go
@@ -12,24 +12,26 @@
 	"geraniumline/endpointserver"
 )
 
-// maxStageBody bounds the body of a call to an endpoint, in bytes.
+// maxStageBodyBytes is the maximum size of the body of a call to an endpoint.
 const maxStageBodyBytes = 1 << 20
 
-// EndpointConfig is what engines and services have in common. Zero fields take the defaults in brackets.
+// EndpointConfig contains the settings that engines and services share. Zero fields take the defaults
+// given in brackets.
 type EndpointConfig struct {
-	// Name begins the ids of the endpoint's streams [endpoint].
+	// Name is the prefix of the endpoint's stream ids [endpoint].
 	Name string
-	// Slots is how many calls run at the same time [8].
+	// Slots is the number of calls that can run concurrently [8].
 	Slots int
-	// MaxWaiting is how many more calls may wait [256]; the next is refused with code overloaded.
+	// MaxWaiting is the number of further calls that can wait [256]; others are refused with code
+	// overloaded.
 	MaxWaiting int
-	// LoadLag is how old a load report is [200 ms].
+	// LoadLag is the age of the data in a load report [200 ms].
 	LoadLag time.Duration
-	// Seed feeds what varies: service times, faults by rate and cache event gaps.
+	// Seed seeds the random service times, faults by rate and cache event gaps.
 	Seed uint64
-	// Faults are the switches at the start.
+	// Faults are the initial fault switches.
 	Faults Faults
-	// OnCrash is called in place of the process's end when a call's input contains CrashOnInput.
+	// OnCrash is called when a call's input contains CrashOnInput, in place of the end of the process.
 	OnCrash func()
 }
 
@@ -41,7 +43,7 @@
 	return cfg
 }
 
-// Endpoint is a running stand-in of an engine or a service.
+// Endpoint is a running stand-in for an engine or a service.
 type Endpoint struct {
 	cfg       EndpointConfig
 	processor processor
@@ -81,8 +83,9 @@
 	return e
 }
 
-// streamPrefix differs from start to start. Else a restarted endpoint would give a stream's id a second
-// time, and who resumes the first would get another request's parts.
+// streamPrefix returns a prefix that differs between starts of an endpoint. Otherwise a restarted endpoint
+// would reuse a stream id, and a caller that resumes the earlier stream would receive the parts of
+// another request.
 func streamPrefix(name string, now time.Time) string {
 	return name + "-" + strconv.FormatInt(now.UnixNano(), 36)
 }
@@ -90,7 +93,7 @@
 func (e *Endpoint) newHandler() http.Handler {
 	server, err := endpointserver.NewServer(e, e, endpointserver.WithErrorHandler(writeBadCall))
 	if err != nil {
-		panic(err) // Only a broken global metrics provider makes it fail.
+		panic(err) // NewServer fails only if the global metrics provider is broken.
 	}
 	mux := http.NewServeMux()
 	mux.Handle("/v1/", http.MaxBytesHandler(server, maxStageBodyBytes))
@@ -99,28 +102,29 @@
 	return mux
 }
 
-// Handler serves the endpoint's interface and its control paths.
+// Handler returns the HTTP handler of the endpoint's interface and its control paths.
 func (e *Endpoint) Handler() http.Handler { return e.handler }
 
-// Faults returns the present switches.
+// Faults returns the current fault switches.
 func (e *Endpoint) Faults() Faults { return e.faults.get() }
 
-// SetFaults replaces all switches.
+// SetFaults replaces all fault switches.
 func (e *Endpoint) SetFaults(faults Faults) { e.faults.set(faults) }
 
-// Ledger returns all executions since the start or the last clearing.
+// Ledger returns the executions since the start or the last ClearLedger.
 func (e *Endpoint) Ledger() LedgerPage { return e.ledger.page() }
 
-// ClearLedger forgets all executions.
+// ClearLedger deletes all executions from the ledger.
 func (e *Endpoint) ClearLedger() { e.ledger.clear() }
 
-// Close cancels what runs and waits for its end.
+// Close cancels all running and waiting calls and waits until they have ended.
 func (e *Endpoint) Close() {
 	e.stop()
 	e.wg.Wait()
 }
 
-// RunStage takes in one call and sends its parts as they come.
+// RunStage runs a call and sends its parts as they are produced. It returns a RefusedError if the call is
+// refused.
 func (e *Endpoint) RunStage(ctx context.Context, call *endpointserver.StageCall, w http.ResponseWriter) error {
 	faults := e.faults.get()
 	if err := e.admit(call, faults); err != nil {
@@ -134,7 +138,8 @@
 	return reply.run(ctx)
 }
 
-// ResumeStream sends a kept stream's parts from a sequence number on.
+// ResumeStream sends the parts of a stored stream from a sequence number on. It returns a RefusedError if
+// the stream is unknown.
 func (e *Endpoint) ResumeStream(
 	ctx context.Context, params endpointserver.ResumeStreamParams, w http.ResponseWriter,
 ) error {
@@ -149,7 +154,8 @@
 	return reply.run(ctx)
 }
 
-// CancelStream ends a stream's work and frees its slot.
+// CancelStream cancels the execution of a stream, which releases its slot. An unknown stream is ignored;
+// the error is always nil.
 func (e *Endpoint) CancelStream(_ context.Context, params endpointserver.CancelStreamParams) error {
 	if s := e.streams.find(params.StreamId); s != nil {
 		s.cancel()
@@ -157,7 +163,7 @@
 	return nil
 }
 
-// admit refuses what must not run, and lets the switches have their way.
+// admit refuses invalid calls and applies the fault switches that crash the endpoint or refuse calls.
 func (e *Endpoint) admit(call *endpointserver.StageCall, faults Faults) error {
 	if err := e.checkCall(call); err != nil {
 		return err
@@ -195,7 +201,8 @@
 	return e.fences.startOnce(call, start)
 }
 
-// start queues the call and runs it apart from the connection, which may break meanwhile.
+// start queues the call and runs it in the background, independently of the connection, which may break
+// in the meantime.
 func (e *Endpoint) start(call *endpointserver.StageCall) (*stream, error) {
 	if e.ctx.Err() != nil {
 		return nil, refuse(endpointserver.RefusalCodeLeaving, "the endpoint has stopped")
--- a/faker/engine.go
+++ b/faker/engine.go
@@ -8,37 +8,37 @@
 	"geraniumline/endpointserver"
 )
 
-// Bounds and measures of a call to an engine.
+// Limits and units of an engine call.
 const (
 	maxTokensOfCall = 4096
 	bytesPerToken   = 4
 )
 
-// EngineConfig describes a model engine. Zero fields take the defaults in brackets.
+// EngineConfig configures a model engine. Zero fields take the defaults given in brackets.
 type EngineConfig struct {
 	EndpointConfig
-	// Model and Version are held from the start; an engine without a model takes calls for any.
+	// Model and Version are loaded from the start; an engine without a model accepts calls for any model.
 	Model   string
 	Version string
-	// TokenTime is the time per token produced [2 ms].
+	// TokenTime is the time per generated token [2 ms].
 	TokenTime time.Duration
-	// TokenTimeGrowth adds this share of TokenTime for each further running call.
+	// TokenTimeGrowth is the share of TokenTime that is added for each additional running call.
 	TokenTimeGrowth float64
-	// PrefillTime is the time per input token that the prefix cache does not hold [20 us].
+	// PrefillTime is the time per input token that is not in the prefix cache [20 us].
 	PrefillTime time.Duration
-	// Tokens is how many a call without maxTokens gets [16].
+	// Tokens is the number of tokens generated for a call without maxTokens [16].
 	Tokens int
-	// CacheBlocks bounds the prefix cache [1024].
+	// CacheBlocks is the capacity of the prefix cache in blocks [1024].
 	CacheBlocks int
-	// CacheEventDelay is how late cache events appear [200 ms].
+	// CacheEventDelay is the delay until a cache event can be read [200 ms].
 	CacheEventDelay time.Duration
 	// LoadTime is the time to load a model without a weight store [500 ms].
 	LoadTime time.Duration
-	// WeightsURL is the weight store's address, as http://host:port; without it LoadTime holds.
+	// WeightsURL is the URL of the weight store, as http://host:port; if empty, LoadTime is used.
 	WeightsURL string
 }
 
-// NewEngine starts a stand-in of a model engine.
+// NewEngine starts a model engine stand-in.
 func NewEngine(cfg EngineConfig) *Endpoint {
 	cfg.TokenTime = valueOrDefault(cfg.TokenTime, 2*time.Millisecond)
 	cfg.PrefillTime = valueOrDefault(cfg.PrefillTime, 20*time.Microsecond)
@@ -54,19 +54,19 @@
 	return newEndpoint(cfg.EndpointConfig, g)
 }
 
-// generator produces tokens, as many calls side by side as the endpoint has slots.
+// generator produces the tokens of an engine's calls. The endpoint runs up to Slots calls concurrently.
 type generator struct {
 	cfg        EngineConfig
 	cache      *prefixCache
 	assignment *assignmentState
 }
 
-// generation is what a run needs to know of its endpoint while it goes on.
+// generation holds the input of a run and callbacks that return the current state of its endpoint.
 type generation struct {
-	input      string
-	slowFactor func() float64
-	running    func() int
-	isLost     func() bool
+	input       string
+	slowFactor  func() float64
+	running     func() int
+	isEventLost func() bool
 }
 
 func (g *generator) check(call *endpointserver.StageCall) error {
@@ -96,7 +96,8 @@
 	return result{lastText: texts[len(texts)-1], cachedTokens: cached}, nil
 }
 
-// prefill works off the part of the input that the prefix cache does not hold, then stores it there.
+// prefill processes the part of the input that is not in the prefix cache and stores the prefixes there.
+// It returns the number of cached input tokens.
 func (g *generator) prefill(ctx context.Context, run generation) (int, error) {
 	prefixes := PrefixHashes(run.input)
 	total := (len(run.input) + bytesPerToken - 1) / bytesPerToken
@@ -105,7 +106,7 @@
 	if err := sleep(ctx, scale(g.cfg.PrefillTime, uncached*run.slowFactor())); err != nil {
 		return cached, err
 	}
-	g.cache.store(prefixes, time.Now(), run.isLost)
+	g.cache.store(prefixes, time.Now(), run.isEventLost)
 	return cached, nil
 }
 
--- a/faker/engine_test.go
+++ b/faker/engine_test.go
@@ -13,7 +13,8 @@
 	"geraniumline/faker"
 )
 
-// fastEngine has one slot, so that a test decides what runs beside what.
+// fastEngine returns the configuration of an engine with one slot, so that a test controls which calls run
+// at the same time.
 func fastEngine() faker.EngineConfig {
 	return faker.EngineConfig{
 		EndpointConfig:  faker.EndpointConfig{Slots: 1, MaxWaiting: 8, LoadLag: 1},
@@ -24,7 +25,7 @@
 	}
 }
 
-// endlessCall occupies a slot until it is cancelled.
+// endlessCall returns a call that occupies a slot of a slow engine until it is cancelled.
 func endlessCall(requestID string) *endpointserver.StageCall {
 	call := stageCall(requestID)
 	call.MaxTokens = endpointserver.NewOptInt(4096)
@@ -55,7 +56,7 @@
 	return newPartReader(resp)
 }
 
-func TestEngineAnswersWholeStream(t *testing.T) {
+func TestEngineSendsCompleteStream(t *testing.T) {
 	e := faker.NewEngine(fastEngine())
 	parts := runCall(t, serveEndpoint(t, e), stageCall("r1"))
 	require.Len(t, parts, 6)
@@ -70,9 +71,9 @@
 	require.Equal(t, []faker.Outcome{faker.OutcomeDone}, outcomes(e))
 }
 
-// The first part is on the wire while the engine still works; then the caller cancels by the stream's
-// id, which ends the stream with an error and frees the only slot for the next call.
-func TestEngineStreamsAtOnceAndCancels(t *testing.T) {
+// The first part arrives while the engine is still running. The caller then cancels the call by stream id,
+// which ends the stream with an error and releases the only slot for the next call.
+func TestEngineStreamsImmediatelyAndCancels(t *testing.T) {
 	e := faker.NewEngine(slowEngine())
 	url := serveEndpoint(t, e)
 	reader := openCall(t, url, endlessCall("r1"))
@@ -89,8 +90,8 @@
 	require.Equal(t, []faker.Outcome{faker.OutcomeCancelled, faker.OutcomeDone}, outcomes(e))
 }
 
-// The connection is cut after two parts. The engine goes on alone, and a second connection gets the
-// rest by the stream's id: the whole text without gap or overlap, from one execution.
+// The connection is closed after two parts while the engine continues. A second connection reads the rest
+// by stream id. Together they must return the complete text, without gap or overlap, from one execution.
 func TestEngineResumesCutStream(t *testing.T) {
 	cfg := fastEngine()
 	cfg.Faults = faker.Faults{CutStreamAfterParts: 2}
@@ -116,7 +117,7 @@
 		call := stageCall(fmt.Sprintf("p%d-%d", priority, i))
 		call.Priority = endpointserver.NewOptInt(priority)
 		call.MaxTokens = endpointserver.NewOptInt(1)
-		// The header comes once the call has its place in the queue.
+		// The header arrives once the call is in the queue.
 		readers = append(readers, openCall(t, url, call))
 	}
 	cancelStream(t, url, running.resp.Header.Get(faker.StreamIDHeader))
@@ -130,7 +131,7 @@
 	require.Equal(t, []string{"running", "p9-2", "p1-0", "p1-1"}, order)
 }
 
-func TestEngineRefusesOverItsQueueAndReportsLoad(t *testing.T) {
+func TestEngineRefusesWhenQueueIsFullAndReportsLoad(t *testing.T) {
 	cfg := slowEngine()
 	cfg.MaxWaiting = 1
 	e := faker.NewEngine(cfg)
@@ -149,7 +150,8 @@
 	require.Len(t, e.Ledger().Executions, 1)
 }
 
-// Two inputs share 20 blocks; the second call finds them cached. A limited cache then loses them.
+// Two inputs share 20 blocks, and the second call finds them cached. Another input then evicts them from the
+// cache, which holds 21 blocks.
 func TestEnginePrefixCache(t *testing.T) {
 	shared := strings.Repeat("0123456789abcdef", 20*faker.BlockBytes/16)
 	cfg := fastEngine()
--- a/faker/enginecache.go
+++ b/faker/enginecache.go
@@ -12,19 +12,19 @@
 	"geraniumline/endpointserver"
 )
 
-// BlockBytes is the size of the input blocks by which engines cache prompt prefixes: 16 tokens.
+// BlockBytes is the size in bytes of the input blocks in which engines cache prompt prefixes: 16 tokens.
 const BlockBytes = 64
 
-// maxCacheEvents bounds the events kept for readers; an older sequence number meets a gap.
+// maxCacheEvents limits the events kept for readers. A reader that asks for an older one sees a gap.
 const maxCacheEvents = 8192
 
-// PrefixHashes returns the hash of each whole-block prefix of the input, shortest first: the k-th is
-// xxhash64 of the first k*BlockBytes bytes, as 16 hex digits.
+// PrefixHashes returns the hashes of all whole-block prefixes of the input, shortest first. The k-th hash
+// is the xxhash64 of the first k*BlockBytes bytes, as 16 hex digits.
 func PrefixHashes(input string) []string {
 	digest := xxhash.New()
 	hashes := make([]string, 0, len(input)/BlockBytes)
 	for end := BlockBytes; end <= len(input); end += BlockBytes {
-		// A digest's write never fails.
+		// Writing to the digest never fails.
 		_, _ = digest.WriteString(input[end-BlockBytes : end])
 		hashes = append(hashes, fmt.Sprintf("%016x", digest.Sum64()))
 	}
@@ -37,7 +37,7 @@
 	lost bool
 }
 
-// prefixCache keeps the least recently used prefixes of limited memory, and tells what it does by events.
+// prefixCache is an LRU cache of prefix hashes with limited capacity. It records its changes as events.
 type prefixCache struct {
 	mu       sync.Mutex
 	capacity int
@@ -51,13 +51,13 @@
 	return &prefixCache{capacity: capacity, lru: list.New(), byHash: make(map[string]*list.Element)}
 }
 
-// match returns how many leading blocks are held, and marks them as used.
+// match returns the number of leading blocks that are cached and marks them as recently used.
 func (c *prefixCache) match(prefixes []string) int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for i, prefix := range prefixes {
-		element, held := c.byHash[prefix]
-		if !held {
+		element, cached := c.byHash[prefix]
+		if !cached {
 			return i
 		}
 		c.lru.MoveToFront(element)
@@ -65,30 +65,30 @@
 	return len(prefixes)
 }
 
-func (c *prefixCache) store(prefixes []string, now time.Time, isLost func() bool) {
+func (c *prefixCache) store(prefixes []string, now time.Time, isEventLost func() bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for _, prefix := range prefixes {
-		if element, held := c.byHash[prefix]; held {
+		if element, cached := c.byHash[prefix]; cached {
 			c.lru.MoveToFront(element)
 			continue
 		}
 		c.byHash[prefix] = c.lru.PushFront(prefix)
-		c.addEvent(endpointserver.CacheEventKindStored, prefix, now, isLost())
-		c.evict(now, isLost)
+		c.addEvent(endpointserver.CacheEventKindStored, prefix, now, isEventLost())
+		c.evict(now, isEventLost)
 	}
 }
 
-func (c *prefixCache) evict(now time.Time, isLost func() bool) {
+func (c *prefixCache) evict(now time.Time, isEventLost func() bool) {
 	for c.lru.Len() > c.capacity {
 		oldest := c.lru.Back()
 		prefix := c.lru.Remove(oldest).(string)
 		delete(c.byHash, prefix)
-		c.addEvent(endpointserver.CacheEventKindEvicted, prefix, now, isLost())
+		c.addEvent(endpointserver.CacheEventKindEvicted, prefix, now, isEventLost())
 	}
 }
 
-// clear drops all prefixes, as when another model is loaded.
+// clear removes all prefixes. It is called when another model is loaded.
 func (c *prefixCache) clear(now time.Time) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -106,7 +106,7 @@
 	c.nextSeq++
 }
 
-// since returns the events from a sequence number on that happened until the cutoff.
+// eventsSince returns the events from a sequence number on that occurred no later than the cutoff.
 func (c *prefixCache) eventsSince(from int64, cutoff time.Time) *endpointserver.CacheEventPage {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -127,7 +127,8 @@
 	return e.occursAtRate(e.faults.get().CacheEventGapRate)
 }
 
-// ListCacheEvents returns an engine's events, late and perhaps with gaps. A service has none.
+// ListCacheEvents returns the cache events of an engine, delayed and possibly with gaps. A service has no
+// events. The error is always nil.
 func (e *Endpoint) ListCacheEvents(
 	_ context.Context, params endpointserver.ListCacheEventsParams,
 ) (*endpointserver.CacheEventPage, error) {
--- a/faker/fence.go
+++ b/faker/fence.go
@@ -9,7 +9,7 @@
 
 const maxFencedKeys = 65_536
 
-// fencedKey is one side effect, for which the endpoint remembers the highest fence and its result.
+// fencedKey identifies a side effect, for which the endpoint stores the highest fence and its result.
 type fencedKey struct {
 	account        string
 	idempotencyKey string
@@ -21,8 +21,8 @@
 	stream *stream
 }
 
-// fenceTable makes a call under an old claim harmless: a lower fence than the highest seen is refused,
-// an equal one gets the stored result, and only a higher one runs.
+// fenceTable prevents calls under an outdated claim from running: a call with a fence below the highest
+// one seen is refused, an equal fence returns the stored result, and only a higher fence runs.
 type fenceTable struct {
 	mu      sync.Mutex
 	results map[fencedKey]fencedResult
@@ -35,8 +35,8 @@
 	return key, fenced
 }
 
-// startOnce returns the stored stream of an equal fence, or has start make the stream of a higher one.
-// The table is locked over start, so that two equal calls at one moment cannot both run.
+// startOnce returns the stored stream for an equal fence and calls start for a higher one. It holds the
+// lock during start so that two concurrent calls with the same fence cannot both run.
 func (t *fenceTable) startOnce(call *endpointserver.StageCall, start func() (*stream, error)) (*stream, error) {
 	key, fenced := fencedKeyOf(call)
 	if !fenced {
@@ -45,13 +45,13 @@
 	fence := call.Fence.Or(0)
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	known, found := t.results[key]
-	if found && fence < known.fence {
-		message := fmt.Sprintf("fence %d is below %d", fence, known.fence)
+	stored, found := t.results[key]
+	if found && fence < stored.fence {
+		message := fmt.Sprintf("fence %d is below %d", fence, stored.fence)
 		return nil, refuse(endpointserver.RefusalCodeStaleFence, message)
 	}
-	if found && fence == known.fence {
-		return known.stream, nil
+	if found && fence == stored.fence {
+		return stored.stream, nil
 	}
 	s, err := start()
 	if err != nil {
--- a/faker/history_test.go
+++ b/faker/history_test.go
@@ -25,9 +25,9 @@
 	require.Equal(t, int64(5), page.Next)
 }
 
-// A VM is set to leaving. Readers go on seeing it live until one lag has passed, then see the newest
-// list of that time, never a later one.
-func TestVMHistoryLags(t *testing.T) {
+// A VM is set to leaving. Until the lag has passed, readers still see it as live; after that, they see the
+// newest list as of the lookup time, never a later one.
+func TestVMHistoryLookupByTime(t *testing.T) {
 	start := time.UnixMilli(1_000_000)
 	live := []platformserver.VM{{Address: "127.0.0.1:1", State: platformserver.VMStateLive}}
 	leaving := []platformserver.VM{{Address: "127.0.0.1:1", State: platformserver.VMStateLeaving}}
@@ -42,7 +42,7 @@
 	require.Empty(t, h.latest())
 }
 
-func TestLoadHistoryLags(t *testing.T) {
+func TestLoadHistoryLookupByTime(t *testing.T) {
 	start := time.UnixMilli(1_000_000)
 	h := &loadHistory{}
 	h.record(start, 1, 0)
@@ -52,13 +52,13 @@
 	require.Equal(t, 3, h.at(start.Add(time.Second)).waiting)
 }
 
-func TestCacheEventsComeLateAndWithGaps(t *testing.T) {
+func TestCacheEventsAreDelayedAndHaveGaps(t *testing.T) {
 	start := time.UnixMilli(1_000_000)
 	lost := false
-	isLost := func() bool { lost = !lost; return lost }
+	isEventLost := func() bool { lost = !lost; return lost }
 	c := newPrefixCache(2)
-	c.store([]string{"a", "b"}, start, isLost)
-	c.store([]string{"c"}, start.Add(time.Second), isLost)
+	c.store([]string{"a", "b"}, start, isEventLost)
+	c.store([]string{"c"}, start.Add(time.Second), isEventLost)
 	require.Empty(t, c.eventsSince(0, start.Add(-time.Millisecond)).Events)
 	page := c.eventsSince(0, start)
 	require.Equal(t, int64(2), page.Next)
--- a/faker/ledger.go
+++ b/faker/ledger.go
@@ -8,10 +8,10 @@
 	"geraniumline/endpointserver"
 )
 
-// maxLedgerEntries bounds a ledger's memory; the oldest entries go first and are counted.
+// maxLedgerEntries limits the memory of a ledger. The oldest entries are dropped first and counted.
 const maxLedgerEntries = 200_000
 
-// Outcome is how an execution ended, as the ledger tells it.
+// Outcome is the state or result of an execution in the ledger.
 type Outcome string
 
 // The outcomes of an execution.
@@ -22,8 +22,8 @@
 	OutcomeCancelled Outcome = "cancelled"
 )
 
-// Execution is one run of a stage call, from its first work to its end. Refused calls have none, and
-// a stored result that is sent again has none either. Times are Unix milliseconds.
+// Execution is one run of a stage call, from the start of processing to its end. Refused calls and stored
+// results that are sent again create no execution. Times are Unix milliseconds; Cost is in milliseconds.
 type Execution struct {
 	RequestID      string  `json:"requestId"`
 	Account        string  `json:"account"`
@@ -38,10 +38,10 @@
 	Outcome        Outcome `json:"outcome"`
 }
 
-// LedgerPage is the whole ledger of one endpoint.
+// LedgerPage contains the whole ledger of an endpoint.
 type LedgerPage struct {
 	Executions []Execution `json:"executions"`
-	// Started counts all executions since the last clearing, also those dropped for room.
+	// Started counts all executions since the ledger was last cleared, including dropped ones.
 	Started int64 `json:"started"`
 	Dropped int64 `json:"dropped"`
 }
@@ -112,15 +112,15 @@
 	})
 }
 
-// SideEffect names the work of one stage that may happen once at most.
+// SideEffect identifies a stage execution that must happen at most once.
 type SideEffect struct {
 	Account        string
 	IdempotencyKey string
 	Stage          string
 }
 
-// RepeatedSideEffects returns the side effects that the executions, gathered from all endpoints, contain more than
-// once, with their counts. Executions without a key or marked repeatable are passed over.
+// RepeatedSideEffects returns the side effects that occur more than once in the executions of all
+// endpoints, with their counts. It skips executions without a key and repeatable ones.
 func RepeatedSideEffects(executions []Execution) map[SideEffect]int {
 	counts := make(map[SideEffect]int)
 	for _, execution := range executions {
--- a/faker/load.go
+++ b/faker/load.go
@@ -16,7 +16,7 @@
 	waiting int
 }
 
-// loadHistory answers what the load was some time ago.
+// loadHistory stores past load samples, for lookup by time.
 type loadHistory struct {
 	mu      sync.Mutex
 	samples []loadSample
@@ -42,7 +42,7 @@
 	return loadSample{}
 }
 
-// GetLoad reports the load as it was one lag ago.
+// GetLoad returns the load as of one report lag ago. Its error is always nil.
 func (e *Endpoint) GetLoad(context.Context) (*endpointserver.LoadReport, error) {
 	faults := e.faults.get()
 	lag := e.cfg.LoadLag
--- a/faker/log.go
+++ b/faker/log.go
@@ -12,24 +12,24 @@
 	"geraniumline/platformserver"
 )
 
-// maxLogStreams bounds the memory, together with each stream's KeepBytes.
+// maxLogStreams limits memory use, together with KeepBytes per stream.
 const maxLogStreams = 32
 
-// LogConfig describes the log service. Zero fields take the defaults in brackets.
+// LogConfig configures the log service. Zero fields take the defaults given in brackets.
 type LogConfig struct {
-	// AppendsPerSecond limits the appends of all streams together [500].
+	// AppendsPerSecond limits the append rate of all streams together [500].
 	AppendsPerSecond float64
-	// AppendBurst is how many appends may come at one moment [a tenth of AppendsPerSecond].
+	// AppendBurst is the number of appends allowed in a burst [a tenth of AppendsPerSecond].
 	AppendBurst int
-	// KeepRecords bounds the records that each stream keeps [100,000].
+	// KeepRecords is the maximum number of records per stream [100,000].
 	KeepRecords int
-	// KeepFor bounds their age [no bound].
+	// KeepFor is the maximum age of records [no limit].
 	KeepFor time.Duration
-	// KeepBytes bounds the bytes that each stream keeps [64 MiB].
+	// KeepBytes is the maximum total size of the records of a stream, in bytes [64 MiB].
 	KeepBytes int64
-	// HoleRate is the share of appends before which offsets are left out.
+	// HoleRate is the share of appends, from 0 to 1, before which offsets are skipped.
 	HoleRate float64
-	// Seed feeds the holes and the replies lost by rate.
+	// Seed seeds the random choice of offset gaps and lost replies.
 	Seed   uint64
 	Faults LogFaults
 }
@@ -42,7 +42,7 @@
 	return cfg
 }
 
-// Log is a running stand-in of the append-only log service.
+// Log is a running stand-in for the append-only log service.
 type Log struct {
 	unimplemented
 	cfg     LogConfig
@@ -55,11 +55,11 @@
 	streams map[string]*logStream
 	rng     *rand.Rand
 	ledger  LogLedger
-	// era counts the returns from an older copy.
+	// era counts the restores from an older copy.
 	era int64
 }
 
-// NewLog starts a log service without records.
+// NewLog starts an empty log service.
 func NewLog(cfg LogConfig) *Log {
 	cfg = cfg.withDefaults()
 	ctx, stop := context.WithCancel(context.Background())
@@ -79,19 +79,20 @@
 	return l
 }
 
-// Handler serves the log's interface and its control paths.
+// Handler returns the HTTP handler of the log's interface and its control paths.
 func (l *Log) Handler() http.Handler { return l.handler }
 
-// Close ends the reads that wait and the appends that are held back.
+// Close ends waiting reads and delayed appends.
 func (l *Log) Close() { l.stop() }
 
-// Faults returns the present switches.
+// Faults returns the current fault switches.
 func (l *Log) Faults() LogFaults { return l.faults.get() }
 
-// SetFaults replaces all switches.
+// SetFaults replaces all fault switches.
 func (l *Log) SetFaults(faults LogFaults) { l.faults.set(faults) }
 
-// AppendRecord adds a record to a stream.
+// AppendRecord appends a record to a stream and returns its offset. It returns a PlatformError during an
+// outage, over the rate limit, or if there are too many streams.
 func (l *Log) AppendRecord(
 	ctx context.Context, call *platformserver.AppendCall, params platformserver.AppendRecordParams,
 ) (*platformserver.AppendReply, error) {
@@ -102,7 +103,8 @@
 		return nil, err
 	}
 	faults := l.faults.get()
-	// The service's own context: an append held back lands even if its caller has gone.
+	// The service's own context is used so that a delayed append takes effect even if its caller has
+	// disconnected.
 	if err := sleep(l.ctx, millis(faults.SlowAppendMillis)); err != nil {
 		return nil, errOutage
 	}
@@ -111,7 +113,7 @@
 		return nil, err
 	}
 	l.maybeLoseReply()
-	// The effect stands; a caller who has gone needs no reply.
+	// The append has taken effect, and a disconnected caller needs no reply.
 	_ = sleep(ctx, millis(faults.SlowAppendReplyMillis))
 	return &platformserver.AppendReply{Offset: offset}, nil
 }
@@ -143,7 +145,7 @@
 	return s.append(data, l.skippedOffsets(), now), nil
 }
 
-// hole returns how many offsets to leave out before the next record.
+// skippedOffsets returns the number of offsets to skip before the next record.
 func (l *Log) skippedOffsets() int64 {
 	if l.cfg.HoleRate <= 0 || l.rng.Float64() >= l.cfg.HoleRate {
 		return 0
@@ -163,7 +165,8 @@
 	return s, nil
 }
 
-// ReadRecords returns records from an offset on, and waits for the first as long as it is told to.
+// ReadRecords returns records from an offset on. It waits up to WaitMillis for the first one. It returns a
+// PlatformError during an outage or if there are too many streams.
 func (l *Log) ReadRecords(
 	ctx context.Context, params platformserver.ReadRecordsParams,
 ) (*platformserver.RecordPage, error) {
@@ -177,7 +180,7 @@
 	defer cancel()
 	l.updateLedger(func(ledger *LogLedger) { ledger.Reads++ })
 	for {
-		// The switches are watched from before the read, so that no change falls between the two.
+		// Watch the switches from before the read, so that no change in between is missed.
 		_, faultsChanged := l.faults.watch()
 		page, appended, err := l.read(params, time.Now())
 		if err != nil || len(page.Records) > 0 {
@@ -206,8 +209,8 @@
 	return page, s.changed, nil
 }
 
-// RestoreFromCopy has the log return from a copy of so long ago: the records since are gone, and their offsets are given out
-// again.
+// RestoreFromCopy restores the log to its state at the given age before now and starts a new era. Later
+// records are lost and their offsets are reused.
 func (l *Log) RestoreFromCopy(age time.Duration, now time.Time) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/faker/log_test.go
+++ b/faker/log_test.go
@@ -72,13 +72,13 @@
 	for _, s := range scenarios {
 		t.Run(s.testName, func(t *testing.T) {
 			ctx := testContext(t)
-			_, client, driver := startLog(t, s.cfg)
+			_, client, control := startLog(t, s.cfg)
 			for i, text := range []string{"a", "b", "c", "d"} {
 				offset, err := appendTo(ctx, client, text)
 				require.NoError(t, err)
 				require.Equal(t, int64(i+1), offset)
 			}
-			require.NoError(t, driver.Trim(ctx, faker.TrimCall{Stream: "claims", Before: s.trimBefore}))
+			require.NoError(t, control.Trim(ctx, faker.TrimCall{Stream: "claims", Before: s.trimBefore}))
 			page, err := readFrom(ctx, client, 0, 0)
 			require.NoError(t, err)
 			require.Equal(t, s.expectedFirst, page.First)
@@ -88,9 +88,9 @@
 	}
 }
 
-// A reader asks on from the next offset of each page. Offsets grow with holes, pages are short, and
-// no record may be missed or read twice; a hole must not look like records lost to retention.
-func TestLogOffsetsHaveHoles(t *testing.T) {
+// A reader continues from the next offset of each page. With gaps in the offsets and short pages, it must not
+// miss a record or read one twice, and a gap must not look like records deleted by retention.
+func TestLogOffsetsHaveGaps(t *testing.T) {
 	ctx := testContext(t)
 	_, client, _ := startLog(t, faker.LogConfig{HoleRate: 0.5, Seed: 7})
 	var appended []int64
@@ -116,12 +116,12 @@
 	require.Equal(t, appended, read)
 }
 
-// The caller sees its connection closed and no offset. The record is in the log all the same, once,
-// and the next append gets its reply.
-func TestLogLosesReplyAfterEffect(t *testing.T) {
+// The connection of an append is closed without a reply. The record must be in the log exactly once, and the
+// next append must get its reply.
+func TestLogLosesReplyAfterAppend(t *testing.T) {
 	ctx := testContext(t)
-	l, client, driver := startLog(t, faker.LogConfig{})
-	require.NoError(t, driver.SetFaults(ctx, faker.LogFaults{LoseReplies: 1}))
+	l, client, control := startLog(t, faker.LogConfig{})
+	require.NoError(t, control.SetFaults(ctx, faker.LogFaults{LoseReplies: 1}))
 	_, err := appendTo(ctx, client, "lost")
 	require.Error(t, err)
 	offset, err := appendTo(ctx, client, "kept")
@@ -130,7 +130,7 @@
 	page, err := readFrom(ctx, client, 0, 0)
 	require.NoError(t, err)
 	require.Equal(t, []string{"lost", "kept"}, recordTexts(page))
-	ledger, err := driver.LogLedger(ctx)
+	ledger, err := control.LogLedger(ctx)
 	require.NoError(t, err)
 	require.Equal(t, int64(2), ledger.Appends)
 	require.Equal(t, int64(len("lost")+len("kept")), ledger.AppendedBytes)
@@ -138,14 +138,14 @@
 	require.Zero(t, l.Faults().LoseReplies)
 }
 
-// In an outage each call fails, at once or when the outage ends, and nothing was appended meanwhile.
+// During an outage, each call fails, immediately or when the hang ends, and nothing is appended.
 func TestLogOutage(t *testing.T) {
 	scenarios := []struct {
 		testName string
 		outage   faker.Outage
 	}{
-		{"fails at once", faker.OutageFail},
-		{"hangs until its end", faker.OutageHang},
+		{"fails immediately", faker.OutageFail},
+		{"hangs, then fails", faker.OutageHang},
 	}
 	for _, s := range scenarios {
 		t.Run(s.testName, func(t *testing.T) {
@@ -172,8 +172,8 @@
 	}
 }
 
-// A reader waits for longer than the test may take; an append or an outage ends its wait.
-func TestLogWakesWaitingReader(t *testing.T) {
+// A reader waits with a timeout as long as that of the test. An append or an outage must end its wait.
+func TestLogNotifiesWaitingReader(t *testing.T) {
 	scenarios := []struct {
 		testName      string
 		trigger       func(ctx context.Context, l *faker.Log, client *platformserver.Client) error
@@ -212,9 +212,9 @@
 	}
 }
 
-// A claim's append is slow, its sender gives up and tells its caller that nothing ran. The record
-// lands afterwards all the same.
-func TestLogSlowAppendLandsAfterItsCallerLeft(t *testing.T) {
+// The append of a claim is slow, so that its sender gives up and reports to its caller that nothing ran. The
+// record must still be appended afterwards.
+func TestLogExecutesSlowAppendAfterCallerDisconnects(t *testing.T) {
 	l := faker.NewLog(faker.LogConfig{Faults: faker.LogFaults{SlowAppendMillis: 1}})
 	ctx, cancel := context.WithCancel(testContext(t))
 	url := serve(t, http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
@@ -244,8 +244,8 @@
 	require.Positive(t, failed.Response.RetryAfterMillis.Or(0))
 }
 
-// A log that returns from an older copy lacks what was appended since, and gives those offsets out again in a new era.
-func TestTheLogReturnsFromACopy(t *testing.T) {
+// A log restored from an older copy lacks the records appended since, and reuses their offsets in a new era.
+func TestLogRestoresFromCopy(t *testing.T) {
 	l := faker.NewLog(faker.LogConfig{})
 	t.Cleanup(l.Close)
 	appendOne := func() int64 {
@@ -256,7 +256,7 @@
 	for range 4 {
 		appendOne()
 	}
-	// The copy is older than all of them.
+	// The copy is older than all of these records.
 	l.RestoreFromCopy(time.Minute, time.Now())
 	require.Equal(t, int64(1), appendOne())
 	page, err := l.ReadRecords(t.Context(), platformserver.ReadRecordsParams{Stream: "s", From: 1})
--- a/faker/logfaults.go
+++ b/faker/logfaults.go
@@ -5,19 +5,20 @@
 	"net/http"
 )
 
-// LogFaults are the switches of the log service's stand-in.
+// LogFaults are the fault switches of the log service stand-in.
 type LogFaults struct {
 	Outage Outage `json:"outage"`
-	// SlowAppendMillis passes before an append takes effect, which it does even if its caller has gone.
+	// SlowAppendMillis delays an append before it takes effect. The append is executed even if the
+	// caller has disconnected.
 	SlowAppendMillis int64 `json:"slowAppendMillis"`
-	// SlowAppendReplyMillis passes between an append's effect and its reply.
+	// SlowAppendReplyMillis delays the reply after an append has taken effect.
 	SlowAppendReplyMillis int64 `json:"slowAppendReplyMillis"`
-	// SlowReadMillis passes before a read.
+	// SlowReadMillis delays each read.
 	SlowReadMillis int64 `json:"slowReadMillis"`
-	// LoseReplies closes the connection without a reply for so many appends that took effect. It
-	// counts down, which GET shows.
+	// LoseReplies is the number of further appends that take effect but whose connection is closed
+	// without a reply. It counts down; GET returns the remaining number.
 	LoseReplies int `json:"loseReplies"`
-	// LoseReplyRate does so for a share of the appends.
+	// LoseReplyRate is the share of appends, from 0 to 1, whose reply is lost in the same way.
 	LoseReplyRate float64 `json:"loseReplyRate"`
 }
 
@@ -40,7 +41,7 @@
 	return err
 }
 
-// loseReply closes the connection in place of a reply, if the switches say so.
+// maybeLoseReply closes the connection instead of sending a reply if the switches require it.
 func (l *Log) maybeLoseReply() {
 	lost := false
 	if l.faults.get().LoseReplies > 0 {
--- a/faker/logledger.go
+++ b/faker/logledger.go
@@ -7,7 +7,8 @@
 	"time"
 )
 
-// LogLedger counts what the log service did since its start or the last clearing.
+// LogLedger contains the counters of the log service since its start or the last ClearLedger, and the
+// state of each stream.
 type LogLedger struct {
 	Appends       int64         `json:"appends"`
 	AppendedBytes int64         `json:"appendedBytes"`
@@ -18,7 +19,7 @@
 	Streams       []StreamState `json:"streams"`
 }
 
-// StreamState is one stream's extent and its appends since the start of the service.
+// StreamState is the offset range and size of a stream, and its appends since the service started.
 type StreamState struct {
 	Name          string `json:"name"`
 	First         int64  `json:"first"`
@@ -29,7 +30,7 @@
 	AppendedBytes int64  `json:"appendedBytes"`
 }
 
-// TrimCall drops a stream's records below an offset, as if retention had run.
+// TrimCall requests the deletion of a stream's records below an offset, as retention would do.
 type TrimCall struct {
 	Stream string `json:"stream"`
 	Before int64  `json:"before"`
@@ -41,7 +42,7 @@
 	change(&l.ledger)
 }
 
-// Ledger returns the counts and the state of each stream.
+// Ledger returns the counters and the state of each stream, sorted by name.
 func (l *Log) Ledger() LogLedger {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -62,17 +63,17 @@
 	return ledger
 }
 
-// RestoreCall has the log return from a copy of so long ago.
+// RestoreCall requests that the log be restored from a copy of the given age.
 type RestoreCall struct {
 	AgeMillis int64 `json:"ageMillis"`
 }
 
-// ClearLedger sets the counts to 0; the streams stay.
+// ClearLedger resets the counters to 0. It does not change the streams.
 func (l *Log) ClearLedger() {
 	l.updateLedger(func(ledger *LogLedger) { *ledger = LogLedger{} })
 }
 
-// Trim drops a stream's records below an offset, as if retention had run.
+// Trim deletes a stream's records below an offset, as retention would do.
 func (l *Log) Trim(call TrimCall) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/faker/logstream.go
+++ b/faker/logstream.go
@@ -6,23 +6,24 @@
 	"geraniumline/platformserver"
 )
 
-// firstOffset is where a stream begins, so that 0 can stand for no offset.
+// firstOffset is the offset at which a stream starts. It is 1 so that 0 can mean no offset.
 const firstOffset = 1
 
-// Bounds of one page of records.
+// Limits of a page of records, in records and bytes.
 const (
 	defaultPageRecords = 1000
 	maxPageBytes       = 4 << 20
 )
 
-// retention is how long and how many records a stream keeps.
+// retention limits the age, the number and the total bytes of the records that a stream keeps. An age of 0
+// means no age limit.
 type retention struct {
 	age     time.Duration
 	records int
 	bytes   int64
 }
 
-// logStream is one named stream of records. Its offsets only grow and may have holes.
+// logStream is a named stream of records. Offsets increase and may have gaps.
 type logStream struct {
 	records       []platformserver.LogRecord
 	bytes         int64
@@ -38,7 +39,7 @@
 	return &logStream{next: firstOffset, changed: make(chan struct{}), retention: r}
 }
 
-// append adds a record after a hole of so many offsets, and wakes the readers.
+// append adds a record after skipping the given number of offsets, and notifies waiting readers.
 func (s *logStream) append(data []byte, skippedOffsets int64, now time.Time) int64 {
 	offset := s.next + skippedOffsets
 	s.next = offset + 1
@@ -52,7 +53,7 @@
 	return offset
 }
 
-// expire drops from the oldest on what retention no longer covers.
+// expire deletes the oldest records until the rest are within the retention limits.
 func (s *logStream) expire(now time.Time) {
 	oldest := now.Add(-s.retention.age).UnixMilli()
 	for len(s.records) > 0 {
@@ -65,7 +66,8 @@
 	}
 }
 
-// cutAfter drops the records that were appended after a time, and gives their offsets out again. Reads that wait are answered.
+// truncateAfter deletes the records that were appended after a time, in Unix milliseconds, and reuses
+// their offsets. It notifies waiting readers.
 func (s *logStream) truncateAfter(millis int64) {
 	for n := len(s.records); n > 0 && s.records[n-1].AtMillis > millis; n = len(s.records) {
 		s.next = s.records[n-1].Offset
@@ -76,7 +78,7 @@
 	s.changed = make(chan struct{})
 }
 
-// trim drops the records below an offset, as if retention had run.
+// trim deletes the records below an offset, as retention would do.
 func (s *logStream) trim(before int64) {
 	for len(s.records) > 0 && s.records[0].Offset < before {
 		s.dropOldest()
@@ -90,13 +92,14 @@
 	s.records = s.records[1:]
 }
 
-// read returns up to limit records from an offset on. First is one past the last record dropped, 0
-// while none was, so that a reader who asks for less has missed something and no hole looks like that.
+// read returns up to limit records, starting at an offset. First in the page is one past the offset of
+// the last deleted record, or 0 if none has been deleted. A reader whose from is below First has missed
+// records; a gap in the offsets cannot be mistaken for that.
 func (s *logStream) read(from int64, limit int, now time.Time) *platformserver.RecordPage {
 	s.expire(now)
 	page := &platformserver.RecordPage{Records: []platformserver.LogRecord{}, First: s.first, Next: max(from, s.first)}
 	size := 0
-	for _, record := range s.records[s.search(from):] {
+	for _, record := range s.records[s.indexOf(from):] {
 		size += len(record.Data)
 		if len(page.Records) >= limit || (size > maxPageBytes && len(page.Records) > 0) {
 			break
@@ -107,7 +110,8 @@
 	return page
 }
 
-func (s *logStream) search(from int64) int {
+// indexOf returns the index of the first record at or above an offset.
+func (s *logStream) indexOf(from int64) int {
 	low, high := 0, len(s.records)
 	for low < high {
 		middle := (low + high) / 2
--- a/faker/main_test.go
+++ b/faker/main_test.go
@@ -22,10 +22,10 @@
 	goleak.VerifyTestMain(m)
 }
 
-// waitLimit bounds a wait for something that must come; no test asserts how long it took.
+// testTimeout limits waiting for events that must happen. No test asserts how long they take.
 const testTimeout = 30 * time.Second
 
-// serve starts a server and returns its URL. Everything is closed at the test's end.
+// serve starts a server and returns its URL. The server and the handler are closed when the test ends.
 func serve(t testing.TB, handler http.Handler, closeHandler func()) string {
 	server := httptest.NewServer(handler)
 	t.Cleanup(func() {
@@ -52,7 +52,7 @@
 	}
 }
 
-// sideEffect is a call that must not be repeated, under a claim's fence.
+// sideEffectCall returns a call that must not be repeated, with the fence of a claim.
 func sideEffectCall(requestID string, fence int64) *endpointserver.StageCall {
 	call := stageCall(requestID)
 	call.IdempotencyKey = endpointserver.NewOptString("key")
@@ -61,7 +61,7 @@
 	return call
 }
 
-// partReader reads the parts of one reply as they come.
+// partReader reads the parts of a reply as they arrive.
 type partReader struct {
 	resp  *http.Response
 	lines *bufio.Scanner
@@ -80,7 +80,7 @@
 	return &partReader{resp: resp, lines: bufio.NewScanner(resp.Body)}
 }
 
-// next returns the next part, or false at the reply's end or the connection's.
+// next returns the next part, or false if the reply or the connection has ended.
 func (r *partReader) next(t testing.TB) (endpointserver.StagePart, bool) {
 	var part endpointserver.StagePart
 	if !r.lines.Scan() {
@@ -127,7 +127,7 @@
 	return ctx
 }
 
-// eventually waits for what another goroutine does; it fails only if that never comes.
+// eventually waits until ok returns true and fails the test after testTimeout.
 func eventually(t testing.TB, ok func() bool) {
 	t.Helper()
 	require.Eventually(t, ok, testTimeout, time.Millisecond)
--- a/faker/output.go
+++ b/faker/output.go
@@ -12,7 +12,8 @@
 
 const digestDigits = 16
 
-// output is what a call's answer will be. It is small and holds none of the input but a kept prefix.
+// output holds what is needed to generate the answer to a call. To keep it small, it contains no input
+// except the kept prefix.
 type output struct {
 	head   string
 	seed   [sha256.Size]byte
@@ -30,15 +31,16 @@
 	}
 }
 
-// parts returns the texts of an answer's parts. They depend on nothing but the stage, the request and
-// the input, so that whoever holds an answer can tell whose it is and whether it is whole:
+// parts returns the texts of the parts of an answer. They depend only on the stage, the request id, the
+// input, the number of tokens and the kept prefix, so that a test can check which request an answer
+// belongs to and whether it is complete:
 //
 //	"stage:requestId:"  the first part
-//	"1:xxxx " ...       each part between, with its number and four digits of the chained digest
-//	"dddddddddddddddd"  the last part, the end of the chain over the input and all parts before
+//	"1:xxxx " ...       each intermediate part, with its number and four digits of the chained digest
+//	"dddddddddddddddd"  the last part, the end of the digest chain over the input and all earlier parts
 //
-// With one token the whole text is one part: "stage:requestId:dddddddddddddddd". A prefix of the input
-// that is kept comes before the first part's text.
+// With one token, the text is a single part: "stage:requestId:dddddddddddddddd". A kept prefix of the
+// input precedes the text of the first part.
 func (o output) parts() []string {
 	head := o.prefix + o.head
 	digest := o.seed
@@ -59,7 +61,7 @@
 	return hex.EncodeToString(digest[:digestDigits/2])
 }
 
-// prefixOf returns up to n bytes of the input, and no half character.
+// utf8Prefix returns up to n leading bytes of the input without splitting a UTF-8 character.
 func utf8Prefix(input string, n int) string {
 	if n >= len(input) {
 		return input
@@ -70,7 +72,7 @@
 	return input[:n]
 }
 
-// outputOf returns what the endpoint will answer to the call.
+// expectedOutput returns the output that the endpoint will produce for the call.
 func (e *Endpoint) expectedOutput(call *endpointserver.StageCall) output {
 	switch processor := e.processor.(type) {
 	case *generator:
@@ -82,22 +84,23 @@
 	}
 }
 
-// ExpectedOutput returns the whole text that a stage's stand-in answers: an engine with tokens parts, a
-// service with tokens 1.
+// ExpectedOutput returns the complete text that the stand-in of a stage answers with. For an engine,
+// tokens is the number of parts; for a service it is 1.
 func ExpectedOutput(stage, requestID, input string, tokens int) string {
 	return strings.Join(newOutput(stage, requestID, input, tokens, 0).parts(), "")
 }
 
-// ExpectedStage is one stage of a pipeline as ExpectedPipelineOutput needs it.
+// ExpectedStage describes one stage of a pipeline for ExpectedPipelineOutput.
 type ExpectedStage struct {
 	Name string
-	// Tokens is 1 for a service.
+	// Tokens is the number of parts that an engine generates, and 1 for a service.
 	Tokens int
-	// KeepPrefix is that of the service's configuration.
+	// KeepPrefix is the value in the ServiceConfig of the service.
 	KeepPrefix int
 }
 
-// ExpectedPipelineOutput returns the last stage's text where each stage's input is the text of the one before.
+// ExpectedPipelineOutput returns the text of the last stage if each stage gets the text of the previous
+// stage as its input.
 func ExpectedPipelineOutput(requestID, input string, stages []ExpectedStage) string {
 	text := input
 	for _, stage := range stages {
--- a/faker/platform.go
+++ b/faker/platform.go
@@ -10,10 +10,11 @@
 	"geraniumline/platformserver"
 )
 
-// maxPlatformBody bounds a body in bytes: a record of 1 MiB in base64, and what goes around it.
+// maxPlatformBodyBytes is the maximum size of a request body: a record of 1 MiB in base64 and the
+// surrounding JSON.
 const maxPlatformBodyBytes = 1<<20*4/3 + 4096
 
-// The codes of the platform's errors.
+// Error codes of the platform services.
 const (
 	codeOutage      = "outage"
 	codeRateLimited = "rateLimited"
@@ -21,11 +22,11 @@
 	codeFailed      = "failed"
 )
 
-// Outage is how a platform service behaves while it is down.
+// Outage is the behaviour of a platform service while it is down.
 type Outage string
 
-// The ways of an outage. With OutageFail each call fails at once; with OutageHang it gets no reply
-// until the outage ends, and then fails. Neither takes effect.
+// Kinds of outage. With OutageFail, each call fails immediately. With OutageHang, a call gets no reply
+// until the kind of outage changes, and then fails. In neither case does the call take effect.
 const (
 	OutageNone Outage = ""
 	OutageFail Outage = "fail"
@@ -41,8 +42,8 @@
 	}
 }
 
-// failInOutage returns an error while the outage lasts: at once, or when hanging at its end. If the
-// caller goes before that, the reply is the same to nobody.
+// failInOutage returns an error during an outage: immediately, or with OutageHang when the outage ends.
+// The context's error is ignored because a caller that has disconnected receives no reply.
 func failInOutage[T any](ctx context.Context, faults *switches[T], outage func(T) Outage) error {
 	switch outage(faults.get()) {
 	case OutageNone:
@@ -53,14 +54,14 @@
 	return errOutage
 }
 
-// PlatformError is a platform service's refusal.
+// PlatformError reports that a platform service refused or failed a call.
 type PlatformError struct {
 	Code             string
 	Message          string
 	RetryAfterMillis int64
 }
 
-// Error gives the code and the message.
+// Error returns the code and the message.
 func (e *PlatformError) Error() string {
 	return fmt.Sprintf("%s: %s", e.Code, e.Message)
 }
@@ -80,7 +81,7 @@
 	}
 }
 
-// unserved refuses all of the platform's calls; each service overrides those that it serves.
+// unimplemented refuses all platform calls. Each service embeds it and overrides the calls that it serves.
 type unimplemented struct{}
 
 var errNotServed = &PlatformError{Code: codeNotServed, Message: "another service serves this path"}
@@ -123,7 +124,7 @@
 func newPlatformMux(handler platformserver.Handler) *http.ServeMux {
 	server, err := platformserver.NewServer(handler, platformserver.WithErrorHandler(writeBadCall))
 	if err != nil {
-		panic(err) // Only a broken global metrics provider makes it fail.
+		panic(err) // NewServer fails only if the global metrics provider is broken.
 	}
 	mux := http.NewServeMux()
 	mux.Handle("/v1/", http.MaxBytesHandler(server, maxPlatformBodyBytes))
--- a/faker/refusal.go
+++ b/faker/refusal.go
@@ -9,14 +9,14 @@
 	"geraniumline/endpointserver"
 )
 
-// RefusedError is an endpoint's refusal of a call, which was not run.
+// RefusedError reports that an endpoint refused a call without running it.
 type RefusedError struct {
 	Code             endpointserver.RefusalCode
 	Message          string
 	RetryAfterMillis int64
 }
 
-// Error gives the code and the message.
+// Error returns the code and the message.
 func (e *RefusedError) Error() string {
 	return fmt.Sprintf("%s: %s", e.Code, e.Message)
 }
@@ -54,13 +54,13 @@
 	return refusal
 }
 
-// NewError turns an error into the reply that the schema names.
+// NewError converts an error to the refusal reply defined by the schema.
 func (e *Endpoint) NewError(_ context.Context, err error) *endpointserver.RefusalStatusCode {
 	refusal := refusalOf(err)
 	return &endpointserver.RefusalStatusCode{StatusCode: refusalStatus(refusal.Code), Response: refusal}
 }
 
-// writeBadCall answers a call that could not be decoded in the schema's form.
+// writeBadCall replies to a call that could not be decoded, in the error format of the schema.
 func writeBadCall(_ context.Context, w http.ResponseWriter, _ *http.Request, err error) {
 	writeJSON(w, http.StatusBadRequest, controlError{Code: "badCall", Message: err.Error()})
 }
--- a/faker/reply.go
+++ b/faker/reply.go
@@ -10,11 +10,11 @@
 	"geraniumline/endpointserver"
 )
 
-// StreamIDHeader names the stream before its first part, so that a waiting call can be cancelled. Only
-// engines send it ahead of the parts.
+// StreamIDHeader is the response header with the stream id. Engines send it before the first part, so
+// that a waiting call can be cancelled; services send it together with the parts.
 const StreamIDHeader = "Stream-Id"
 
-// reply sends one stream's parts over one connection, with the faults that its endpoint is to show.
+// replyWriter sends the parts of a stream over one connection and injects the configured faults.
 type replyWriter struct {
 	endpoint *Endpoint
 	w        http.ResponseWriter
@@ -49,10 +49,10 @@
 	}
 }
 
-// holdBack delays or drops the reply before its first byte.
+// delayOrDrop delays the first byte of the reply, or drops the reply after the run.
 func (p *replyWriter) delayOrDrop(ctx context.Context) error {
 	if p.faults.DropReplyAfterRun {
-		// A panic with ErrAbortHandler has net/http close the connection without a reply.
+		// A panic with ErrAbortHandler makes net/http close the connection without a reply.
 		_ = p.stream.waitDone(ctx)
 		panic(http.ErrAbortHandler)
 	}
@@ -81,7 +81,7 @@
 	p.writeHeldPart()
 }
 
-// swapped gives the part another request's ids and text.
+// swapWithOther replaces the ids and the text of the part by those of another request.
 func (p *replyWriter) swapWithOther(part endpointserver.StagePart) endpointserver.StagePart {
 	other := p.endpoint.streams.findOther(p.stream)
 	if other == nil {
@@ -128,7 +128,7 @@
 	}
 }
 
-// flush passes on what was written. Without it a part would wait in net/http's buffer for the next ones.
+// flush sends the written parts. Without it, net/http would buffer a part until later ones are written.
 func (p *replyWriter) flush() {
 	if err := http.NewResponseController(p.w).Flush(); err != nil {
 		panic(http.ErrAbortHandler)
--- a/faker/reply_test.go
+++ b/faker/reply_test.go
@@ -11,8 +11,8 @@
 	"geraniumline/faker"
 )
 
-// One request is answered after another one, under each fault of replies. The golden files show what
-// an entry has to see through; costs and stream ids vary and are left out.
+// Runs two requests one after the other and injects each reply fault into the second. The golden files
+// contain the faulty replies that an entry must detect; costs and stream ids vary and are omitted.
 func TestReplyFaults(t *testing.T) {
 	scenarios := []struct {
 		testName string
--- a/faker/server.go
+++ b/faker/server.go
@@ -11,7 +11,7 @@
 	"time"
 )
 
-// Bounds that keep a mistake in a test harmless.
+// Limits on the resources that a faulty test can use.
 const (
 	maxConnections    = 16_384
 	maxHeaderBytes    = 64 << 10
@@ -20,14 +20,14 @@
 	stopTimeout       = 2 * time.Second
 )
 
-// ServeConfig says where a stand-in listens and what it serves.
+// ServeConfig configures the HTTP server of a stand-in.
 type ServeConfig struct {
-	// Listen is host:port; port 0 takes a free one.
+	// Listen is the address as host:port; port 0 selects a free port.
 	Listen  string
 	Handler http.Handler
-	// Ready gets one line of JSON when the listener is open.
+	// Ready receives one line of JSON with the address when the listener is open.
 	Ready io.Writer
-	// Close ends what runs apart from connections, and makes waiting calls return.
+	// Close stops the handler's background work and makes waiting calls return. It may be nil.
 	Close func()
 }
 
@@ -36,7 +36,8 @@
 	Address string `json:"address"`
 }
 
-// Serve serves until the context's end, then stops within a short time.
+// Serve serves HTTP until the context ends, then shuts down within stopTimeout. It returns an error if
+// it cannot listen, write to Ready or serve.
 func Serve(ctx context.Context, cfg ServeConfig) error {
 	listener, err := net.Listen("tcp", cfg.Listen)
 	if err != nil {
@@ -74,7 +75,7 @@
 	return nil
 }
 
-// boundedListener closes connections over its bound at once.
+// limitedListener limits the number of open connections and closes excess ones immediately.
 type limitedListener struct {
 	net.Listener
 	slots chan struct{}
@@ -84,7 +85,7 @@
 	return &limitedListener{Listener: l, slots: make(chan struct{}, n)}
 }
 
-// Accept returns the next connection that has a place.
+// Accept returns the next connection within the limit.
 func (l *limitedListener) Accept() (net.Conn, error) {
 	for {
 		conn, err := l.Listener.Accept()
@@ -95,7 +96,7 @@
 		case l.slots <- struct{}{}:
 			return &limitedConn{Conn: conn, release: sync.OnceFunc(func() { <-l.slots })}, nil
 		default:
-			_ = conn.Close() // It was never used.
+			_ = conn.Close() // The connection has not been used.
 		}
 	}
 }
@@ -105,7 +106,7 @@
 	release func()
 }
 
-// Close frees the connection's place.
+// Close closes the connection and releases its slot in the listener.
 func (c *limitedConn) Close() error {
 	c.release()
 	return c.Conn.Close()
--- a/faker/service_test.go
+++ b/faker/service_test.go
@@ -21,8 +21,8 @@
 	}
 }
 
-// A side effect is called under fence 7 and then again under another one, by an entry that cannot know
-// whether the first call ran. With fences honoured only a higher one runs.
+// A call with a side effect is sent with fence 7 and then again, by an entry that cannot know whether the
+// first call ran. If fences are checked, only a call with a higher fence runs again.
 func TestServiceFences(t *testing.T) {
 	scenarios := []struct {
 		testName     string
@@ -34,8 +34,8 @@
 		{"lower is refused", 6, false, endpointserver.RefusalCodeStaleFence, 1},
 		{"equal gets the stored result", 7, false, "", 1},
 		{"higher runs", 8, false, "", 2},
-		{"ignored", 7, true, "", 2},
-		{"none is not fenced", 0, false, "", 2},
+		{"ignored fence runs", 7, true, "", 2},
+		{"call without fence runs", 0, false, "", 2},
 	}
 	for _, s := range scenarios {
 		t.Run(s.testName, func(t *testing.T) {
@@ -58,7 +58,8 @@
 	}
 }
 
-// Many callers send one side effect under one fence at one moment. All get the answer of one run.
+// Concurrent callers send the same side effect with the same fence. It must run once and all callers must get
+// its output.
 func TestServiceRunsEqualFenceOnce(t *testing.T) {
 	e := faker.NewService(serviceConfig(faker.Faults{}))
 	url := serveEndpoint(t, e)
@@ -74,8 +75,8 @@
 	require.Equal(t, int64(1), e.Ledger().Started)
 }
 
-// Each of these switches refuses the call, so no ledger may show a run.
-func TestRefusalsRunNothing(t *testing.T) {
+// Each of these switches refuses the call, so the ledger must not contain an execution.
+func TestRefusedCallsAreNotRun(t *testing.T) {
 	scenarios := []struct {
 		testName     string
 		faults       faker.Faults
@@ -99,8 +100,8 @@
 	}
 }
 
-// The caller's connection closes without a byte of reply, and cannot tell a call that ran from one that
-// crashed the endpoint before it ran. Only the ledger can.
+// The connection is closed without any reply, so the caller cannot distinguish a call that ran from one that
+// crashed the endpoint before it ran. Only the ledger shows the difference.
 func TestLostReplies(t *testing.T) {
 	scenarios := []struct {
 		testName        string
@@ -126,12 +127,12 @@
 	}
 }
 
-func TestHangingServiceRunsLater(t *testing.T) {
+func TestHangingServiceRunsCallAfterHangEnds(t *testing.T) {
 	e := faker.NewService(serviceConfig(faker.Faults{Hang: true}))
 	url := serveEndpoint(t, e)
 	answers := make(chan []endpointserver.StagePart, 1)
 	go func() {
-		defer close(answers) // a failed call ends the goroutine without an answer
+		defer close(answers) // A failed call ends the goroutine without sending an answer.
 		answers <- runCall(t, url, stageCall("r1"))
 	}()
 	eventually(t, func() bool {
@@ -143,8 +144,8 @@
 	require.Equal(t, faker.ExpectedOutput("generate", "r1", "input of r1", 1), textOf(<-answers))
 }
 
-// The stages before generation keep the account's instructions at the front, so that engines can have
-// them cached. No character may be cut in two.
+// The stages before generation keep the account's instructions at the start of the text, so that engines can
+// cache them. The kept prefix must not split a UTF-8 character.
 func TestServiceKeepsPrefix(t *testing.T) {
 	cfg := serviceConfig(faker.Faults{})
 	cfg.KeepPrefix = 5
@@ -156,7 +157,7 @@
 	require.Equal(t, "Bé generate:r1:", textOf(parts)[:len("Bé generate:r1:")])
 }
 
-func TestRunErrorIsInTheFinalPart(t *testing.T) {
+func TestRunErrorIsInFinalPart(t *testing.T) {
 	e := faker.NewService(serviceConfig(faker.Faults{RunErrorRate: 1}))
 	parts := runCall(t, serveEndpoint(t, e), stageCall("r1"))
 	require.True(t, parts[0].Final)
--- a/faker/slotqueue.go
+++ b/faker/slotqueue.go
@@ -6,7 +6,8 @@
 	"sync"
 )
 
-// slotQueue hands a fixed number of slots to waiting calls: higher priority first, then the older.
+// slotQueue assigns a fixed number of slots to waiting calls, in order of descending priority and then
+// of arrival.
 type slotQueue struct {
 	mu         sync.Mutex
 	slots      int
@@ -24,7 +25,7 @@
 	granted  chan struct{}
 }
 
-// enqueue returns a place in the queue, or false if the queue is full.
+// enqueue adds a call to the queue. It returns false if the queue is full.
 func (q *slotQueue) enqueue(priority int) (*waiter, bool) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
@@ -38,7 +39,8 @@
 	return waiter, true
 }
 
-// wait returns when the place has a slot. On the context's end the place is given up.
+// wait blocks until the waiter has a slot. If the context ends first, it removes the waiter from the
+// queue or releases its slot, and returns the context's error.
 func (q *slotQueue) wait(ctx context.Context, waiter *waiter) error {
 	select {
 	case <-waiter.granted:
--- a/faker/stream.go
+++ b/faker/stream.go
@@ -9,16 +9,16 @@
 	"geraniumline/endpointserver"
 )
 
-// Bounds of the streams that an endpoint keeps for those who resume them.
+// Limits on the streams that an endpoint keeps so that callers can resume them.
 const (
 	maxStreams      = 16_384
 	streamRetention = 60 * time.Second
 )
 
-// stream is what one execution has produced so far. It outlives the connection that asked for it.
+// stream stores the output of an execution so far. It outlives the connection of the call.
 type stream struct {
 	id     string
-	call   *endpointserver.StageCall // Without its input, which may be large.
+	call   *endpointserver.StageCall // The input is removed because it may be large.
 	output output
 	cancel context.CancelFunc
 
@@ -39,7 +39,7 @@
 	s.notifyReaders()
 }
 
-// finish adds the final part.
+// finish adds the final part and marks the stream as done.
 func (s *stream) finish(r result, failure string, cost float64, now time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -57,8 +57,8 @@
 	s.changed = make(chan struct{})
 }
 
-// next returns the parts from a sequence number on, and waits for the first of them. It returns none
-// once the stream has ended before that number.
+// next returns the parts from a sequence number on and waits until there is at least one. It returns none
+// if the stream ended before that number.
 func (s *stream) next(ctx context.Context, from int) ([]endpointserver.StagePart, error) {
 	for {
 		s.mu.Lock()
@@ -105,7 +105,7 @@
 	return part
 }
 
-// waitDone returns when the stream has its final part.
+// waitDone blocks until the stream has its final part, or returns the context's error.
 func (s *stream) waitDone(ctx context.Context) error {
 	for {
 		s.mu.Lock()
@@ -134,7 +134,7 @@
 	return s.done
 }
 
-// streamStore keeps streams by id, in the order of their start.
+// streamStore stores streams by id and in the order in which they were added.
 type streamStore struct {
 	mu         sync.Mutex
 	prefix     string
@@ -172,8 +172,8 @@
 	return &kept
 }
 
-// prune drops streams from the oldest on that are past their time. If there are still too many, the
-// ended ones of the older half go; those in flight are bounded by the endpoint's queue.
+// prune removes the oldest streams whose retention time has passed. If there are still too many, it
+// removes finished streams of the older half; those in flight are limited by the endpoint's queue.
 func (t *streamStore) prune(now time.Time) {
 	cutoff := now.Add(-streamRetention)
 	for len(t.order) > 0 && t.order[0].endedBefore(cutoff) {
@@ -201,7 +201,8 @@
 	return t.byID[id]
 }
 
-// other returns a stream of another request than s: one in flight if there is, else the newest.
+// findOther returns a stream of another request than that of s: the newest one in flight, or else the newest
+// finished one. It searches only the newest maxOtherStreamSearch streams.
 func (t *streamStore) findOther(s *stream) *stream {
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/faker/switches.go
+++ b/faker/switches.go
@@ -5,7 +5,7 @@
 	"sync"
 )
 
-// switches holds one set of fault switches and wakes those who wait for a change of them.
+// switches holds a set of fault switches and notifies waiters when it changes.
 type switches[T any] struct {
 	mu      sync.Mutex
 	value   T
@@ -34,14 +34,14 @@
 	s.changed = make(chan struct{})
 }
 
-// watch returns the switches and a channel that is closed at their next change.
+// watch returns the current switches and a channel that is closed at their next change.
 func (s *switches[T]) watch() (T, <-chan struct{}) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.value, s.changed
 }
 
-// waitUntil returns when the switches satisfy ok, or with the context's error.
+// waitUntil blocks until ok returns true for the switches, or returns the context's error.
 func (s *switches[T]) waitUntil(ctx context.Context, ok func(T) bool) error {
 	for {
 		value, changed := s.watch()
--- a/faker/vmhistory.go
+++ b/faker/vmhistory.go
@@ -14,7 +14,7 @@
 
 const maxVMVersions = 1024
 
-// vmHistory answers what the list was at some time.
+// vmHistory stores past versions of the VM list, for lookup by time.
 type vmHistory struct {
 	mu       sync.Mutex
 	versions []vmVersion
--- a/faker/vms.go
+++ b/faker/vms.go
@@ -11,20 +11,20 @@
 
 const maxVMs = 10_000
 
-// VMsConfig describes the list of VMs.
+// VMsConfig configures the VM list.
 type VMsConfig struct {
-	// Lag is how long a change stays unseen by readers [1 s].
+	// Lag is the delay until readers see a change; 0 takes the default [1 s].
 	Lag time.Duration
-	// VMs are seen from the start.
+	// VMs is the initial list, visible from the start.
 	VMs    []platformserver.VM
 	Faults VMFaults
 }
 
-// VMFaults are the switches of the VM list's stand-in.
+// VMFaults are the fault switches of the VM list stand-in.
 type VMFaults struct {
 	Outage     Outage `json:"outage"`
 	SlowMillis int64  `json:"slowMillis"`
-	// LagMillis replaces the configured lag if it is over 0.
+	// LagMillis overrides the configured lag if it is greater than 0.
 	LagMillis int64 `json:"lagMillis"`
 }
 
@@ -36,7 +36,7 @@
 	)
 }
 
-// VMs is a running stand-in of the platform's lagging list of VMs.
+// VMs is a running stand-in for the platform's VM list, which shows changes with a lag.
 type VMs struct {
 	unimplemented
 	lag     time.Duration
@@ -45,7 +45,7 @@
 	history *vmHistory
 }
 
-// NewVMs starts a list with the configured VMs.
+// NewVMs returns a VM list that contains the configured VMs.
 func NewVMs(cfg VMsConfig) *VMs {
 	v := &VMs{
 		lag:     valueOrDefault(cfg.Lag, time.Second),
@@ -60,16 +60,16 @@
 	return v
 }
 
-// Handler serves the list and its control paths.
+// Handler returns the HTTP handler of the list and its control paths.
 func (v *VMs) Handler() http.Handler { return v.handler }
 
-// SetFaults replaces all switches.
+// SetFaults replaces all fault switches.
 func (v *VMs) SetFaults(faults VMFaults) { v.faults.set(faults) }
 
-// Set replaces the whole list; readers see it one lag later.
+// Set replaces the whole list. Readers see the change after the lag.
 func (v *VMs) Set(vms []platformserver.VM, now time.Time) { v.history.set(vms, now) }
 
-// ListVms returns the list as it was one lag ago.
+// ListVms returns the list as of one lag ago. It returns a PlatformError during an outage.
 func (v *VMs) ListVms(ctx context.Context) (*platformserver.VmList, error) {
 	err := failInOutage(ctx, v.faults, func(f VMFaults) Outage { return f.Outage })
 	if err != nil {
@@ -107,12 +107,13 @@
 	})
 }
 
-// vmList is the body of the control path. The generated type decodes itself and skips unknown fields.
+// vmList is the body of the control path. It replaces the generated type, whose own decoder skips
+// unknown fields.
 type vmList struct {
 	VMs []platformserver.VM `json:"vms"`
 }
 
-// CheckVMs returns a ConfigError for a list that the platform would never give.
+// CheckVMs returns a ConfigError for a list that the platform would never return, or nil.
 func CheckVMs(vms []platformserver.VM) error {
 	if len(vms) > maxVMs {
 		return &ConfigError{Field: "vms", Value: len(vms), Want: "10000 at most"}
--- a/faker/weights.go
+++ b/faker/weights.go
@@ -13,19 +13,19 @@
 
 const maxCountedModels = 1024
 
-// WeightsConfig describes the weight store. Zero fields take the defaults in brackets.
+// WeightsConfig configures the weight store. Zero fields take the defaults given in brackets.
 type WeightsConfig struct {
-	// LoadsPerSecond limits the loads that begin [2], with a burst of Burst [2].
+	// LoadsPerSecond limits the rate at which loads start [2], with a burst of Burst loads [2].
 	LoadsPerSecond float64
 	Burst          int
-	// TransferTime is how long one load takes [300 ms].
+	// TransferTime is the duration of one load [300 ms].
 	TransferTime time.Duration
-	// Bytes is the size that the store reports for each model [1 GiB].
+	// Bytes is the size that the store reports for each model, in bytes [1 GiB].
 	Bytes  int64
 	Faults WeightFaults
 }
 
-// WeightFaults are the switches of the weight store's stand-in.
+// WeightFaults are the fault switches of the weight store stand-in.
 type WeightFaults struct {
 	Outage     Outage `json:"outage"`
 	SlowMillis int64  `json:"slowMillis"`
@@ -35,13 +35,13 @@
 	return firstError(f.Outage.check(), checkNotNegative("slowMillis", f.SlowMillis))
 }
 
-// WeightLedger counts the loads that began, by model@version, and those refused.
+// WeightLedger counts the loads that were started, by model@version, and those refused by the rate limit.
 type WeightLedger struct {
 	Loads       map[string]int64 `json:"loads"`
 	RateLimited int64            `json:"rateLimited"`
 }
 
-// Weights is a running stand-in of the rate-limited weight store.
+// Weights is a running stand-in for the rate-limited weight store.
 type Weights struct {
 	unimplemented
 	cfg     WeightsConfig
@@ -52,7 +52,7 @@
 	ledger  WeightLedger
 }
 
-// NewWeights starts a weight store that has every model.
+// NewWeights returns a weight store that contains every model.
 func NewWeights(cfg WeightsConfig) *Weights {
 	cfg.LoadsPerSecond = valueOrDefault(cfg.LoadsPerSecond, 2)
 	cfg.Burst = valueOrDefault(cfg.Burst, 2)
@@ -73,13 +73,13 @@
 	return s
 }
 
-// Handler serves the store and its control paths.
+// Handler returns the HTTP handler of the store and its control paths.
 func (s *Weights) Handler() http.Handler { return s.handler }
 
-// SetFaults replaces all switches.
+// SetFaults replaces all fault switches.
 func (s *Weights) SetFaults(faults WeightFaults) { s.faults.set(faults) }
 
-// Ledger returns the counts since the start.
+// Ledger returns a copy of the counters since the start.
 func (s *Weights) Ledger() WeightLedger {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -90,7 +90,8 @@
 	return ledger
 }
 
-// GetWeights takes as long as the transfer of a model's weights.
+// GetWeights simulates the transfer of a model's weights and returns after the transfer time. It returns
+// a PlatformError during an outage or over the rate limit.
 func (s *Weights) GetWeights(
 	ctx context.Context, params platformserver.GetWeightsParams,
 ) (*platformserver.Weights, error) {
--- a/faker/work.go
+++ b/faker/work.go
@@ -6,13 +6,14 @@
 	"time"
 )
 
-// work is what an endpoint does with a call: generate tokens or answer at once.
+// processor processes the calls of an endpoint. A generator produces tokens; a responder returns a
+// single part.
 type processor interface{ isProcessor() }
 
 func (*generator) isProcessor() {}
 func (*responder) isProcessor() {}
 
-// result is what the final part of a stream needs.
+// result holds the data for the final part of a stream.
 type result struct {
 	lastText     string
 	cachedTokens int
@@ -23,10 +24,10 @@
 	switch processor := e.processor.(type) {
 	case *generator:
 		return processor.generate(ctx, s, generation{
-			input:      input,
-			slowFactor: slowFactor,
-			running:    e.queue.runningNow,
-			isLost:     e.cacheEventLost,
+			input:       input,
+			slowFactor:  slowFactor,
+			running:     e.queue.runningNow,
+			isEventLost: e.cacheEventLost,
 		})
 	case *responder:
 		return processor.respond(ctx, s, slowFactor(), e.random())
@@ -35,7 +36,7 @@
 	}
 }
 
-// sleep waits for d or until the context's end.
+// sleep waits for d, or returns the context's error if the context ends first.
 func sleep(ctx context.Context, d time.Duration) error {
 	if d <= 0 {
 		return ctx.Err()
