--- a/faker/endpoint.go
+++ b/faker/endpoint.go
@@ -31,7 +31,7 @@
 	Seed uint64
 	// Faults are the initial fault switches.
 	Faults Faults
-	// OnCrash is called when a call's input contains CrashOnInput, in place of the end of the process.
+	// OnCrash is called when a call's input contains CrashOnInput. The standin program ends the process in it.
 	OnCrash func()
 }
 
