--- a/reducer/status.go
+++ b/reducer/status.go
@@ -10,13 +10,13 @@
 	"geraniumline/publisher"
 )
 
-// status is the system as this entry sees it.
+// status returns the system's status as this entry sees it.
 func (c *Core) status(now time.Time) operatorserver.Status {
 	return operatorserver.Status{
 		Entry:        c.cfg.Entry,
 		Zone:         c.cfg.Zone,
 		Phase:        phaseName(c.drainer.Phase()),
-		Ready:        c.ready(),
+		Ready:        c.hasConfig(),
 		ConfigOffset: c.fold.Offset(),
 		ClaimsOffset: c.table.Offset(),
 		Entries:      c.entryStatus(now),
@@ -27,23 +27,23 @@
 	}
 }
 
-// ordererStatus names who gives orders to the engines of each placed pool.
+// ordererStatus returns the entry that sends orders to the engines of each pool with a placement.
 func (c *Core) ordererStatus() []operatorserver.OrdererStatus {
 	var all []operatorserver.OrdererStatus
-	for _, pool := range slices.Sorted(maps.Keys(c.orderings)) {
+	for _, pool := range slices.Sorted(maps.Keys(c.placedPools)) {
 		entry, _ := c.leaser.Holder(pool)
 		all = append(all, operatorserver.OrdererStatus{Pool: pool, Entry: entry})
 	}
 	return all
 }
 
-// assignmentStatus tells what an engine of a placed pool holds, as far as this entry has read it.
+// assignmentStatus returns the last assignment that this entry read from an engine of a pool with a placement.
 func (c *Core) assignmentStatus(pool, address string) operatorserver.OptString {
-	o, placed := c.orderings[pool]
+	p, placed := c.placedPools[pool]
 	if !placed {
 		return operatorserver.OptString{}
 	}
-	assignment, read := o.placer.Assignment(address)
+	assignment, read := p.placer.Assignment(address)
 	if !read {
 		return operatorserver.OptString{}
 	}
@@ -91,7 +91,7 @@
 	return all
 }
 
-// accountStatus joins the contracts in force with the bills of the whole system, as far as peers have told them.
+// accountStatus combines the contracts in force with the bills of the whole system, as far as peers have sent them.
 func (c *Core) accountStatus(now time.Time) []operatorserver.AccountStatus {
 	bills := map[string]biller.Bill{}
 	for _, bill := range c.biller.Total() {
@@ -101,12 +101,12 @@
 	for _, contract := range c.fold.Contracts() {
 		share, _, inFlight := c.limiter.Share(contract.Account, now)
 		bill := bills[contract.Account]
-		all = append(all, accountStatusOf(contract, share, inFlight, bill))
+		all = append(all, newAccountStatus(contract, share, inFlight, bill))
 	}
 	return all
 }
 
-func accountStatusOf(contract *publisher.Contract, share float64, inFlight int, bill biller.Bill) operatorserver.AccountStatus {
+func newAccountStatus(contract *publisher.Contract, share float64, inFlight int, bill biller.Bill) operatorserver.AccountStatus {
 	counts := bill.Counts()
 	status := operatorserver.AccountStatus{
 		Account:       contract.Account,
@@ -127,27 +127,27 @@
 	return status
 }
 
-// alarms are the states that an operator should act on; docs/OPERATING.md says how.
+// alarms returns the conditions that require an operator's action; docs/OPERATING.md describes the actions.
 func (c *Core) alarms(now time.Time) []string {
 	alarms := []string{}
-	for stream, health := range c.logs {
+	for stream, health := range c.streams {
 		if health.failing {
 			alarms = append(alarms, "log stream "+string(stream)+" can't be read: "+health.reason)
 		}
 	}
-	if !c.ready() {
+	if !c.hasConfig() {
 		alarms = append(alarms, "this entry has no configuration")
 	}
 	if c.table.Lapsed() {
 		alarms = append(alarms, "the log cut claims before this entry read them: it serves no side effects until its process is replaced")
 	}
-	if c.logs[StreamConfig].renewed {
+	if c.streams[StreamConfig].eraChanged {
 		alarms = append(alarms, "the log has returned from an older copy: changes at offsets that this entry has read before are not in force")
 	}
 	if !c.fold.Complete() {
 		alarms = append(alarms, "the log cut configuration that no snapshot covers: newer changes wait for a snapshot")
 	}
-	if !c.claimsReady(now) {
+	if !c.canClaim(now) {
 		alarms = append(alarms, "requests with side effects are refused: the claims stream is not readable")
 	}
 	return alarms
--- a/regulator/policy_test.go
+++ b/regulator/policy_test.go
@@ -270,7 +270,7 @@
 					used += float64(len(m.arrivalsSince(began.Add(5*time.Second)))) / (15 * limit) / seeds
 					m.kill(2)
 					m.run(10 * time.Second)
-					most = max(most, measurer.MostWithin(m.arrivalsSince(began.Add(settlingTime)), window))
+					most = max(most, measurer.MaxInWindow(m.arrivalsSince(began.Add(settlingTime)), window))
 					if p, ok := m.strategy.(*permitStrategy); ok {
 						messages += p.messages / 30 / seeds
 					}
