--- a/demonstrator/report.go
+++ b/demonstrator/report.go
@@ -59,7 +59,7 @@
 	for _, result := range results {
 		report.count(result, executed)
 	}
-	report.Doubled = len(faker.Doubled(executions))
+	report.Doubled = len(faker.RepeatedSideEffects(executions))
 	return report
 }
 
@@ -110,7 +110,7 @@
 	if pipeline == pipelineTicket {
 		config = TicketPipeline()
 	}
-	return text == faker.ExpectPipeline(requestID(text), input, expectedStages(config))
+	return text == faker.ExpectedPipelineOutput(requestID(text), input, expectedStages(config))
 }
 
 // requestID returns the request ID in an answer of the form "stage:requestId:...", or an empty string.
--- a/faker/assignment_test.go
+++ b/faker/assignment_test.go
@@ -10,21 +10,21 @@
 	"geraniumline/faker"
 )
 
-func order(fence int64, model string) *endpointserver.AssignmentOrder {
+func assignmentOrder(fence int64, model string) *endpointserver.AssignmentOrder {
 	return &endpointserver.AssignmentOrder{
 		Fence: fence, Model: model, Version: "1", Role: endpointserver.AssignmentOrderRoleBoth,
 	}
 }
 
-// Two orderers hold the lease one after the other. The older one wakes up and sends its order last:
-// an engine that honours fencing numbers refuses it, one that does not takes it.
-func TestEngineOrders(t *testing.T) {
+// Two orderers hold the lease one after the other, and the earlier one sends its order last, after a pause.
+// An engine that checks fencing numbers refuses that order; an engine that ignores them applies it.
+func TestEngineChecksOrderFence(t *testing.T) {
 	scenarios := []struct {
 		testName      string
 		ignoreFence   bool
 		expectedModel string
 	}{
-		{"honours fences", false, "new"},
+		{"checks fences", false, "new"},
 		{"ignores fences", true, "old"},
 	}
 	for _, s := range scenarios {
@@ -34,11 +34,11 @@
 			cfg.Model = "first"
 			cfg.Faults.IgnoreOrderFence = s.ignoreFence
 			client := endpointClient(t, serveEndpoint(t, faker.NewEngine(cfg)))
-			_, err := client.OrderAssignment(ctx, order(8, "new"))
+			_, err := client.OrderAssignment(ctx, assignmentOrder(8, "new"))
 			require.NoError(t, err)
-			_, err = client.OrderAssignment(ctx, order(8, "new"))
+			_, err = client.OrderAssignment(ctx, assignmentOrder(8, "new"))
 			require.NoError(t, err)
-			_, err = client.OrderAssignment(ctx, order(7, "old"))
+			_, err = client.OrderAssignment(ctx, assignmentOrder(7, "old"))
 			var refused *endpointserver.RefusalStatusCode
 			require.Equal(t, !s.ignoreFence, errors.As(err, &refused))
 			if refused != nil {
@@ -52,8 +52,8 @@
 	}
 }
 
-// The engine loads from a store that begins one load at a time. Until it is done calls for the new
-// model are refused, and so is the model that it gave up.
+// The engine loads a model from a weight store that starts one load at a time and is down at first. Calls
+// for the new model are refused until the load is done, and calls for the previous model afterwards.
 func TestEngineLoadsFromWeightStore(t *testing.T) {
 	ctx := testContext(t)
 	weights := faker.NewWeights(faker.WeightsConfig{LoadsPerSecond: 50, Burst: 1, TransferTime: 1})
@@ -62,7 +62,7 @@
 	cfg.Model = "first"
 	cfg.WeightsURL = serve(t, weights.Handler(), func() {})
 	url := serveEndpoint(t, faker.NewEngine(cfg))
-	state, err := endpointClient(t, url).OrderAssignment(ctx, order(1, "second"))
+	state, err := endpointClient(t, url).OrderAssignment(ctx, assignmentOrder(1, "second"))
 	require.NoError(t, err)
 	require.True(t, state.Loading)
 	call := stageCall("r1")
--- a/faker/control_test.go
+++ b/faker/control_test.go
@@ -12,7 +12,7 @@
 	"geraniumline/platformserver"
 )
 
-func TestControlRefusesWhatItDoesNotKnow(t *testing.T) {
+func TestControlRejectsInvalidBodies(t *testing.T) {
 	engine := faker.NewEngine(fastEngine())
 	t.Cleanup(engine.Close)
 	vms := faker.NewVMs(faker.VMsConfig{})
@@ -41,8 +41,8 @@
 	}
 }
 
-// The list is changed through the control path; readers see it, in an outage they see nothing.
-func TestVMsAreSetThroughControl(t *testing.T) {
+// The VM list is changed through the control path. Readers see the change; during an outage, reads fail.
+func TestControlSetsVMs(t *testing.T) {
 	ctx := testContext(t)
 	vms := faker.NewVMs(faker.VMsConfig{Lag: 1})
 	url := serve(t, vms.Handler(), func() {})
@@ -52,7 +52,7 @@
 	require.NoError(t, err)
 	require.Empty(t, list.Vms)
 	set := []platformserver.VM{{Address: "127.0.0.1:1", Zone: "z1", Pool: "entry", State: platformserver.VMStateLeaving}}
-	require.NoError(t, faker.NewDriver(url[len("http://"):]).SetVMs(ctx, set))
+	require.NoError(t, faker.NewControlClient(url[len("http://"):]).SetVMs(ctx, set))
 	eventually(t, func() bool {
 		list, err := client.ListVms(ctx)
 		return err == nil && len(list.Vms) == 1 && list.Vms[0] == set[0]
--- a/faker/enginecache.go
+++ b/faker/enginecache.go
@@ -12,19 +12,19 @@
 	"geraniumline/endpointserver"
 )
 
-// BlockBytes is the size of the input blocks by which engines cache prompt prefixes: 16 tokens.
+// BlockBytes is the size in bytes of the input blocks in which engines cache prompt prefixes: 16 tokens.
 const BlockBytes = 64
 
-// maxCacheEvents bounds the events kept for readers; an older sequence number meets a gap.
+// maxCacheEvents limits the events kept for readers. A reader that asks for an older one sees a gap.
 const maxCacheEvents = 8192
 
-// PrefixHashes returns the hash of each whole-block prefix of the input, shortest first: the k-th is
-// xxhash64 of the first k*BlockBytes bytes, as 16 hex digits.
+// PrefixHashes returns the hashes of all whole-block prefixes of the input, shortest first. The k-th hash
+// is the xxhash64 of the first k*BlockBytes bytes, as 16 hex digits.
 func PrefixHashes(input string) []string {
 	digest := xxhash.New()
 	hashes := make([]string, 0, len(input)/BlockBytes)
 	for end := BlockBytes; end <= len(input); end += BlockBytes {
-		// A digest's write never fails.
+		// Writing to the digest never fails.
 		_, _ = digest.WriteString(input[end-BlockBytes : end])
 		hashes = append(hashes, fmt.Sprintf("%016x", digest.Sum64()))
 	}
@@ -37,67 +37,67 @@
 	lost bool
 }
 
-// prefixCache keeps the least recently used prefixes of limited memory, and tells what it does by events.
+// prefixCache is an LRU cache of prefix hashes with limited capacity. It records its changes as events.
 type prefixCache struct {
 	mu       sync.Mutex
 	capacity int
-	recent   *list.List
+	lru      *list.List
 	byHash   map[string]*list.Element
 	events   []cacheEvent
 	nextSeq  int64
 }
 
 func newPrefixCache(capacity int) *prefixCache {
-	return &prefixCache{capacity: capacity, recent: list.New(), byHash: make(map[string]*list.Element)}
+	return &prefixCache{capacity: capacity, lru: list.New(), byHash: make(map[string]*list.Element)}
 }
 
-// match returns how many leading blocks are held, and marks them as used.
+// match returns the number of leading blocks that are cached and marks them as recently used.
 func (c *prefixCache) match(prefixes []string) int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for i, prefix := range prefixes {
-		element, held := c.byHash[prefix]
-		if !held {
+		element, cached := c.byHash[prefix]
+		if !cached {
 			return i
 		}
-		c.recent.MoveToFront(element)
+		c.lru.MoveToFront(element)
 	}
 	return len(prefixes)
 }
 
-func (c *prefixCache) store(prefixes []string, now time.Time, gap func() bool) {
+func (c *prefixCache) store(prefixes []string, now time.Time, isEventLost func() bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for _, prefix := range prefixes {
-		if element, held := c.byHash[prefix]; held {
-			c.recent.MoveToFront(element)
+		if element, cached := c.byHash[prefix]; cached {
+			c.lru.MoveToFront(element)
 			continue
 		}
-		c.byHash[prefix] = c.recent.PushFront(prefix)
-		c.tell(endpointserver.CacheEventKindStored, prefix, now, gap())
-		c.evict(now, gap)
+		c.byHash[prefix] = c.lru.PushFront(prefix)
+		c.addEvent(endpointserver.CacheEventKindStored, prefix, now, isEventLost())
+		c.evict(now, isEventLost)
 	}
 }
 
-func (c *prefixCache) evict(now time.Time, gap func() bool) {
-	for c.recent.Len() > c.capacity {
-		oldest := c.recent.Back()
-		prefix := c.recent.Remove(oldest).(string)
+func (c *prefixCache) evict(now time.Time, isEventLost func() bool) {
+	for c.lru.Len() > c.capacity {
+		oldest := c.lru.Back()
+		prefix := c.lru.Remove(oldest).(string)
 		delete(c.byHash, prefix)
-		c.tell(endpointserver.CacheEventKindEvicted, prefix, now, gap())
+		c.addEvent(endpointserver.CacheEventKindEvicted, prefix, now, isEventLost())
 	}
 }
 
-// clear drops all prefixes, as when another model is loaded.
+// clear removes all prefixes. It is called when another model is loaded.
 func (c *prefixCache) clear(now time.Time) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.recent.Init()
+	c.lru.Init()
 	clear(c.byHash)
-	c.tell(endpointserver.CacheEventKindCleared, "", now, false)
+	c.addEvent(endpointserver.CacheEventKindCleared, "", now, false)
 }
 
-func (c *prefixCache) tell(kind endpointserver.CacheEventKind, prefix string, now time.Time, lost bool) {
+func (c *prefixCache) addEvent(kind endpointserver.CacheEventKind, prefix string, now time.Time, lost bool) {
 	if len(c.events) >= maxCacheEvents {
 		c.events = append(c.events[:0:0], c.events[maxCacheEvents/2:]...)
 	}
@@ -106,8 +106,8 @@
 	c.nextSeq++
 }
 
-// since returns the events from a sequence number on that happened until the cutoff.
-func (c *prefixCache) since(from int64, cutoff time.Time) *endpointserver.CacheEventPage {
+// eventsSince returns the events from a sequence number on that occurred no later than the cutoff.
+func (c *prefixCache) eventsSince(from int64, cutoff time.Time) *endpointserver.CacheEventPage {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	page := &endpointserver.CacheEventPage{Events: []endpointserver.CacheEvent{}}
@@ -124,14 +124,15 @@
 }
 
 func (e *Endpoint) cacheEventLost() bool {
-	return e.chance(e.faults.get().CacheEventGapRate)
+	return e.occursAtRate(e.faults.get().CacheEventGapRate)
 }
 
-// ListCacheEvents returns an engine's events, late and perhaps with gaps. A service has none.
+// ListCacheEvents returns the cache events of an engine, delayed and possibly with gaps. A service has no
+// events. The error is always nil.
 func (e *Endpoint) ListCacheEvents(
 	_ context.Context, params endpointserver.ListCacheEventsParams,
 ) (*endpointserver.CacheEventPage, error) {
-	g, ok := e.work.(*generator)
+	g, ok := e.processor.(*generator)
 	if !ok {
 		return &endpointserver.CacheEventPage{Events: []endpointserver.CacheEvent{}}, nil
 	}
@@ -139,5 +140,5 @@
 	if n := e.faults.get().CacheEventDelayMillis; n > 0 {
 		delay = time.Duration(n) * time.Millisecond
 	}
-	return g.cache.since(params.From, time.Now().Add(-delay)), nil
+	return g.cache.eventsSince(params.From, time.Now().Add(-delay)), nil
 }
--- a/faker/log.go
+++ b/faker/log.go
@@ -12,42 +12,42 @@
 	"geraniumline/platformserver"
 )
 
-// maxLogStreams bounds the memory, together with each stream's KeepBytes.
+// maxLogStreams limits memory use, together with KeepBytes per stream.
 const maxLogStreams = 32
 
-// LogConfig describes the log service. Zero fields take the defaults in brackets.
+// LogConfig configures the log service. Zero fields take the defaults given in brackets.
 type LogConfig struct {
-	// AppendsPerSecond limits the appends of all streams together [500].
+	// AppendsPerSecond limits the append rate of all streams together [500].
 	AppendsPerSecond float64
-	// AppendBurst is how many appends may come at one moment [a tenth of AppendsPerSecond].
+	// AppendBurst is the number of appends allowed in a burst [a tenth of AppendsPerSecond].
 	AppendBurst int
-	// KeepRecords bounds the records that each stream keeps [100,000].
+	// KeepRecords is the maximum number of records per stream [100,000].
 	KeepRecords int
-	// KeepFor bounds their age [no bound].
+	// KeepFor is the maximum age of records [no limit].
 	KeepFor time.Duration
-	// KeepBytes bounds the bytes that each stream keeps [64 MiB].
+	// KeepBytes is the maximum total size of the records of a stream, in bytes [64 MiB].
 	KeepBytes int64
-	// HoleRate is the share of appends before which offsets are left out.
+	// HoleRate is the share of appends, from 0 to 1, before which offsets are skipped.
 	HoleRate float64
-	// Seed feeds the holes and the replies lost by rate.
+	// Seed seeds the random choice of offset gaps and lost replies.
 	Seed   uint64
 	Faults LogFaults
 }
 
 func (cfg LogConfig) withDefaults() LogConfig {
-	cfg.AppendsPerSecond = defaultTo(cfg.AppendsPerSecond, 500)
-	cfg.AppendBurst = defaultTo(cfg.AppendBurst, max(1, int(cfg.AppendsPerSecond/10)))
-	cfg.KeepRecords = defaultTo(cfg.KeepRecords, 100_000)
-	cfg.KeepBytes = defaultTo(cfg.KeepBytes, 64<<20)
+	cfg.AppendsPerSecond = valueOrDefault(cfg.AppendsPerSecond, 500)
+	cfg.AppendBurst = valueOrDefault(cfg.AppendBurst, max(1, int(cfg.AppendsPerSecond/10)))
+	cfg.KeepRecords = valueOrDefault(cfg.KeepRecords, 100_000)
+	cfg.KeepBytes = valueOrDefault(cfg.KeepBytes, 64<<20)
 	return cfg
 }
 
-// Log is a running stand-in of the append-only log service.
+// Log is a running stand-in for the append-only log service.
 type Log struct {
-	unserved
+	unimplemented
 	cfg     LogConfig
 	faults  *switches[LogFaults]
-	limit   *rate.Limiter
+	limiter *rate.Limiter
 	handler http.Handler
 	ctx     context.Context
 	stop    context.CancelFunc
@@ -55,43 +55,44 @@
 	streams map[string]*logStream
 	rng     *rand.Rand
 	ledger  LogLedger
-	// era counts the returns from an older copy.
+	// era counts the restores from an older copy.
 	era int64
 }
 
-// NewLog starts a log service without records.
+// NewLog starts an empty log service.
 func NewLog(cfg LogConfig) *Log {
 	cfg = cfg.withDefaults()
 	ctx, stop := context.WithCancel(context.Background())
 	l := &Log{
 		cfg:     cfg,
 		faults:  newSwitches(cfg.Faults),
-		limit:   rate.NewLimiter(rate.Limit(cfg.AppendsPerSecond), cfg.AppendBurst),
+		limiter: rate.NewLimiter(rate.Limit(cfg.AppendsPerSecond), cfg.AppendBurst),
 		ctx:     ctx,
 		stop:    stop,
 		streams: make(map[string]*logStream),
 		rng:     rand.New(rand.NewPCG(cfg.Seed, cfg.Seed)),
 	}
-	mux := platformMux(l)
+	mux := newPlatformMux(l)
 	handleSwitches(mux, l.faults, LogFaults.check)
 	l.handleLedger(mux)
 	l.handler = mux
 	return l
 }
 
-// Handler serves the log's interface and its control paths.
+// Handler returns the HTTP handler of the log's interface and its control paths.
 func (l *Log) Handler() http.Handler { return l.handler }
 
-// Close ends the reads that wait and the appends that are held back.
+// Close ends waiting reads and delayed appends.
 func (l *Log) Close() { l.stop() }
 
-// Faults returns the present switches.
+// Faults returns the current fault switches.
 func (l *Log) Faults() LogFaults { return l.faults.get() }
 
-// SetFaults replaces all switches.
+// SetFaults replaces all fault switches.
 func (l *Log) SetFaults(faults LogFaults) { l.faults.set(faults) }
 
-// AppendRecord adds a record to a stream.
+// AppendRecord appends a record to a stream and returns its offset. It returns a PlatformError during an
+// outage, over the rate limit, or if there are too many streams.
 func (l *Log) AppendRecord(
 	ctx context.Context, call *platformserver.AppendCall, params platformserver.AppendRecordParams,
 ) (*platformserver.AppendReply, error) {
@@ -102,7 +103,8 @@
 		return nil, err
 	}
 	faults := l.faults.get()
-	// The service's own context: an append held back lands even if its caller has gone.
+	// The service's own context is used so that a delayed append takes effect even if its caller has
+	// disconnected.
 	if err := sleep(l.ctx, millis(faults.SlowAppendMillis)); err != nil {
 		return nil, errOutage
 	}
@@ -110,21 +112,21 @@
 	if err != nil {
 		return nil, err
 	}
-	l.loseReply()
-	// The effect stands; a caller who has gone needs no reply.
+	l.maybeLoseReply()
+	// The append has taken effect, and a disconnected caller needs no reply.
 	_ = sleep(ctx, millis(faults.SlowAppendReplyMillis))
 	return &platformserver.AppendReply{Offset: offset}, nil
 }
 
 func (l *Log) limitAppends(now time.Time) error {
-	reservation := l.limit.ReserveN(now, 1)
+	reservation := l.limiter.ReserveN(now, 1)
 	wait := reservation.DelayFrom(now)
 	if wait == 0 {
 		return nil
 	}
 	reservation.CancelAt(now)
-	l.count(func(ledger *LogLedger) { ledger.RateLimited++ })
-	return &PlatformFailedError{
+	l.updateLedger(func(ledger *LogLedger) { ledger.RateLimited++ })
+	return &PlatformError{
 		Code:             codeRateLimited,
 		Message:          "too many appends",
 		RetryAfterMillis: wait.Milliseconds() + 1,
@@ -134,36 +136,37 @@
 func (l *Log) append(name string, data []byte, now time.Time) (int64, error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	s, err := l.stream(name)
+	s, err := l.getOrCreateStream(name)
 	if err != nil {
 		return 0, err
 	}
 	l.ledger.Appends++
 	l.ledger.AppendedBytes += int64(len(data))
-	return s.append(data, l.hole(), now), nil
+	return s.append(data, l.skippedOffsets(), now), nil
 }
 
-// hole returns how many offsets to leave out before the next record.
-func (l *Log) hole() int64 {
+// skippedOffsets returns the number of offsets to skip before the next record.
+func (l *Log) skippedOffsets() int64 {
 	if l.cfg.HoleRate <= 0 || l.rng.Float64() >= l.cfg.HoleRate {
 		return 0
 	}
 	return 1 + l.rng.Int64N(3)
 }
 
-func (l *Log) stream(name string) (*logStream, error) {
+func (l *Log) getOrCreateStream(name string) (*logStream, error) {
 	if s, ok := l.streams[name]; ok {
 		return s, nil
 	}
 	if len(l.streams) >= maxLogStreams {
-		return nil, &PlatformFailedError{Code: codeFailed, Message: "too many streams"}
+		return nil, &PlatformError{Code: codeFailed, Message: "too many streams"}
 	}
 	s := newLogStream(retention{age: l.cfg.KeepFor, records: l.cfg.KeepRecords, bytes: l.cfg.KeepBytes})
 	l.streams[name] = s
 	return s, nil
 }
 
-// ReadRecords returns records from an offset on, and waits for the first as long as it is told to.
+// ReadRecords returns records from an offset on. It waits up to WaitMillis for the first one. It returns a
+// PlatformError during an outage or if there are too many streams.
 func (l *Log) ReadRecords(
 	ctx context.Context, params platformserver.ReadRecordsParams,
 ) (*platformserver.RecordPage, error) {
@@ -175,15 +178,15 @@
 	}
 	waitCtx, cancel := context.WithTimeout(ctx, millis(int64(params.WaitMillis.Or(0))))
 	defer cancel()
-	l.count(func(ledger *LogLedger) { ledger.Reads++ })
+	l.updateLedger(func(ledger *LogLedger) { ledger.Reads++ })
 	for {
-		// The switches are watched from before the read, so that no change falls between the two.
-		_, switched := l.faults.watch()
+		// Watch the switches from before the read, so that no change in between is missed.
+		_, faultsChanged := l.faults.watch()
 		page, appended, err := l.read(params, time.Now())
 		if err != nil || len(page.Records) > 0 {
 			return page, err
 		}
-		if !l.waitForChange(waitCtx, appended, switched) {
+		if !l.waitForChange(waitCtx, appended, faultsChanged) {
 			return page, nil
 		}
 		if err := l.failInOutage(ctx); err != nil {
@@ -197,7 +200,7 @@
 ) (*platformserver.RecordPage, <-chan struct{}, error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	s, err := l.stream(params.Stream)
+	s, err := l.getOrCreateStream(params.Stream)
 	if err != nil {
 		return nil, nil, err
 	}
@@ -206,22 +209,22 @@
 	return page, s.changed, nil
 }
 
-// ReturnFromCopy has the log return from a copy of so long ago: the records since are gone, and their offsets are given out
-// again.
-func (l *Log) ReturnFromCopy(age time.Duration, now time.Time) {
+// RestoreFromCopy restores the log to its state at the given age before now and starts a new era. Later
+// records are lost and their offsets are reused.
+func (l *Log) RestoreFromCopy(age time.Duration, now time.Time) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.era++
 	for _, s := range l.streams {
-		s.cutAfter(now.Add(-age).UnixMilli())
+		s.truncateAfter(now.Add(-age).UnixMilli())
 	}
 }
 
-func (l *Log) waitForChange(ctx context.Context, appended, switched <-chan struct{}) bool {
+func (l *Log) waitForChange(ctx context.Context, appended, faultsChanged <-chan struct{}) bool {
 	select {
 	case <-appended:
 		return true
-	case <-switched:
+	case <-faultsChanged:
 		return true
 	case <-ctx.Done():
 		return false
@@ -230,7 +233,7 @@
 	}
 }
 
-func (l *Log) chance(rate float64) bool {
+func (l *Log) occursAtRate(rate float64) bool {
 	if rate <= 0 {
 		return false
 	}
--- a/faker/stream.go
+++ b/faker/stream.go
@@ -9,56 +9,56 @@
 	"geraniumline/endpointserver"
 )
 
-// Bounds of the streams that an endpoint keeps for those who resume them.
+// Limits on the streams that an endpoint keeps so that callers can resume them.
 const (
-	maxStreams    = 16_384
-	streamKeptFor = 60 * time.Second
+	maxStreams      = 16_384
+	streamRetention = 60 * time.Second
 )
 
-// stream is what one execution has produced so far. It outlives the connection that asked for it.
+// stream stores the output of an execution so far. It outlives the connection of the call.
 type stream struct {
 	id     string
-	call   *endpointserver.StageCall // Without its input, which may be large.
+	call   *endpointserver.StageCall // The input is removed because it may be large.
 	output output
 	cancel context.CancelFunc
 
-	mu      sync.Mutex
-	texts   []string
-	done    bool
-	endedAt time.Time
-	failure string
-	cost    float64
-	cached  int
-	changed chan struct{}
+	mu           sync.Mutex
+	texts        []string
+	done         bool
+	endedAt      time.Time
+	failure      string
+	cost         float64
+	cachedTokens int
+	changed      chan struct{}
 }
 
 func (s *stream) push(text string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.texts = append(s.texts, text)
-	s.wake()
+	s.notifyReaders()
 }
 
-// finish adds the final part.
+// finish adds the final part and marks the stream as done.
 func (s *stream) finish(r result, failure string, cost float64, now time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.texts = append(s.texts, r.lastText)
-	s.cached = r.cachedTokens
+	s.cachedTokens = r.cachedTokens
 	s.failure = failure
 	s.cost = cost
 	s.done = true
 	s.endedAt = now
-	s.wake()
+	s.notifyReaders()
 }
 
-func (s *stream) wake() {
+func (s *stream) notifyReaders() {
 	close(s.changed)
 	s.changed = make(chan struct{})
 }
 
-// next returns the parts from a sequence number on, and waits for the first of them. It returns none
-// once the stream has ended before that number.
+// next returns the parts from a sequence number on and waits until there is at least one. It returns none
+// if the stream ended before that number.
 func (s *stream) next(ctx context.Context, from int) ([]endpointserver.StagePart, error) {
 	for {
 		s.mu.Lock()
@@ -98,14 +98,14 @@
 	part.Final = true
 	part.Total = endpointserver.NewOptInt(len(s.texts))
 	part.Cost = endpointserver.NewOptFloat64(s.cost)
-	part.CachedTokens = endpointserver.NewOptInt(s.cached)
+	part.CachedTokens = endpointserver.NewOptInt(s.cachedTokens)
 	if s.failure != "" {
 		part.Error = endpointserver.NewOptString(s.failure)
 	}
 	return part
 }
 
-// waitDone returns when the stream has its final part.
+// waitDone blocks until the stream has its final part, or returns the context's error.
 func (s *stream) waitDone(ctx context.Context) error {
 	for {
 		s.mu.Lock()
@@ -134,13 +134,13 @@
 	return s.done
 }
 
-// streamStore keeps streams by id, in the order of their start.
+// streamStore stores streams by id and in the order in which they were added.
 type streamStore struct {
-	mu     sync.Mutex
-	prefix string
-	starts int
-	byID   map[string]*stream
-	order  []*stream
+	mu         sync.Mutex
+	prefix     string
+	startCount int
+	byID       map[string]*stream
+	order      []*stream
 }
 
 func newStreamStore(prefix string) *streamStore {
@@ -153,10 +153,10 @@
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.prune(now)
-	t.starts++
+	t.startCount++
 	s := &stream{
-		id:      t.prefix + "-" + strconv.Itoa(t.starts),
-		call:    withoutInput(call),
+		id:      t.prefix + "-" + strconv.Itoa(t.startCount),
+		call:    copyWithoutInput(call),
 		output:  o,
 		cancel:  cancel,
 		changed: make(chan struct{}),
@@ -166,16 +166,16 @@
 	return s
 }
 
-func withoutInput(call *endpointserver.StageCall) *endpointserver.StageCall {
+func copyWithoutInput(call *endpointserver.StageCall) *endpointserver.StageCall {
 	kept := *call
 	kept.Input = ""
 	return &kept
 }
 
-// prune drops streams from the oldest on that are past their time. If there are still too many, the
-// ended ones of the older half go; those in flight are bounded by the endpoint's queue.
+// prune removes the oldest streams whose retention time has passed. If there are still too many, it
+// removes finished streams of the older half; those in flight are limited by the endpoint's queue.
 func (t *streamStore) prune(now time.Time) {
-	cutoff := now.Add(-streamKeptFor)
+	cutoff := now.Add(-streamRetention)
 	for len(t.order) > 0 && t.order[0].endedBefore(cutoff) {
 		delete(t.byID, t.order[0].id)
 		t.order[0] = nil
@@ -201,12 +201,13 @@
 	return t.byID[id]
 }
 
-// other returns a stream of another request than s: one in flight if there is, else the newest.
-func (t *streamStore) other(s *stream) *stream {
+// findOther returns a stream of another request than that of s: the newest one in flight, or else the newest
+// finished one. It searches only the newest maxOtherStreamSearch streams.
+func (t *streamStore) findOther(s *stream) *stream {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	var newest *stream
-	for i := len(t.order) - 1; i >= 0 && len(t.order)-i <= maxSwapSearch; i-- {
+	for i := len(t.order) - 1; i >= 0 && len(t.order)-i <= maxOtherStreamSearch; i-- {
 		candidate := t.order[i]
 		if candidate.call.RequestId == s.call.RequestId {
 			continue
@@ -221,4 +222,4 @@
 	return newest
 }
 
-const maxSwapSearch = 256
+const maxOtherStreamSearch = 256
--- a/starter/fleet.go
+++ b/starter/fleet.go
@@ -57,7 +57,7 @@
 	*Process
 	Pool   string
 	Zone   string
-	Driver *faker.Driver
+	Driver *faker.ControlClient
 }
 
 // Entry is an entry process with its addresses.
@@ -138,7 +138,7 @@
 			Process: process,
 			Pool:    pool.Name,
 			Zone:    f.zone(i),
-			Driver:  faker.NewDriver(process.address),
+			Driver:  faker.NewControlClient(process.address),
 		})
 	}
 	return nil
@@ -159,7 +159,7 @@
 	for _, entry := range f.entries {
 		vms = append(vms, platformserver.VM{Address: entry.PeerAddress, Zone: entry.Zone, Pool: "entry", State: platformserver.VMStateLive})
 	}
-	return faker.NewDriver(f.vms.address).SetVMs(ctx, vms)
+	return faker.NewControlClient(f.vms.address).SetVMs(ctx, vms)
 }
 
 // prepareEntries chooses the entries' addresses and writes their settings files.
@@ -247,13 +247,13 @@
 func (f *Fleet) Endpoints(pool string) []*Endpoint { return f.pools[pool] }
 
 // LogDriver returns a driver for the stand-in of the log.
-func (f *Fleet) LogDriver() *faker.Driver { return faker.NewDriver(f.log.address) }
+func (f *Fleet) LogDriver() *faker.ControlClient { return faker.NewControlClient(f.log.address) }
 
 // LogAddress returns the address of the log's stand-in.
 func (f *Fleet) LogAddress() string { return f.log.address }
 
 // VMsDriver returns a driver for the stand-in of the list of VMs.
-func (f *Fleet) VMsDriver() *faker.Driver { return faker.NewDriver(f.vms.address) }
+func (f *Fleet) VMsDriver() *faker.ControlClient { return faker.NewControlClient(f.vms.address) }
 
 // Executions returns the executions in the ledgers of all endpoints.
 func (f *Fleet) Executions(ctx context.Context) ([]faker.Execution, error) {
