--- a/leaser/fold.go
+++ b/leaser/fold.go
@@ -108,7 +108,7 @@
 		return false
 	}
 	if !same || expired {
-		// A holder whose lease had expired starts a new grant, so that the engines receive the new fencing number.
+		// A holder whose lease had expired starts a new grant, so that the engines receive the new fencing token.
 		h = &heldLease{entry: l.record.Entry, incarnation: l.record.Incarnation, granted: l.offset}
 		p.holder = h
 	}
--- a/leaser/leaser.go
+++ b/leaser/leaser.go
@@ -1,5 +1,5 @@
 // Package leaser decides which entry may send orders to a pool's engines. A lease is a record of the leases stream;
-// the order of the log decides who holds it, and the record's offset is the fencing number of orders sent under it.
+// the order of the log decides who holds it, and the record's offset is the fencing token of orders sent under it.
 // The package is pure: callers pass the current time.
 package leaser
 
@@ -141,7 +141,7 @@
 
 // Lease is this entry's right to send orders to a pool's engines.
 type Lease struct {
-	// Fence is the fencing number for orders, the offset of the newest record of the lease.
+	// Fence is the fencing token for orders, the offset of the newest record of the lease.
 	Fence int64
 	// Granted is the offset of the record with which this entry acquired the lease.
 	Granted int64
--- a/leaser/leaser_test.go
+++ b/leaser/leaser_test.go
@@ -97,7 +97,7 @@
 	m.acquireOrRenew(b)
 	require.Equal(t, 1, m.holders(a, b))
 	lease, _ := b.Held(testPool, m.now)
-	require.Equal(t, int64(6), lease.Granted, "the fencing number is above the paused holder's")
+	require.Equal(t, int64(6), lease.Granted, "the fencing token is above the paused holder's")
 }
 
 // The holder pauses for most of a lease after its append and only then reads its record. The lease must count from
@@ -164,7 +164,7 @@
 	}
 }
 
-// A holder renews for a long time while another entry reads: the other never bids, and the fencing number only grows.
+// A holder renews for a long time while another entry reads: the other never bids, and the fencing token only grows.
 func TestRenewalsKeepTheLease(t *testing.T) {
 	m := newModel(t)
 	a, b := m.entry("a"), m.entry("b")
--- a/leaser/property_test.go
+++ b/leaser/property_test.go
@@ -17,7 +17,7 @@
 	next int
 }
 
-// No two entries hold the lease at once, and a later holder's fencing number is above an earlier one's: whether appends
+// No two entries hold the lease at once, and a later holder's fencing token is above an earlier one's: whether appends
 // arrive late, out of order or never, whenever each entry reads, however long it is paused, and even if retention drops
 // records before an entry has read them.
 func TestOneHolderAtATime(t *testing.T) {
@@ -83,7 +83,7 @@
 					}
 					holder = i
 					if i != lastHolder && lease.Granted <= lastGranted {
-						r.Fatalf("holder %d has fencing number %d, not above %d", i, lease.Granted, lastGranted)
+						r.Fatalf("holder %d has fencing token %d, not above %d", i, lease.Granted, lastGranted)
 					}
 					lastHolder, lastGranted = i, lease.Granted
 				}
--- a/performer/orders_test.go
+++ b/performer/orders_test.go
@@ -142,7 +142,7 @@
 
 // Two entries without contact find a placement and empty engines. Both bid for the lease, only one may send orders, and
 // the weight store's rate limit is never exceeded. The lease holder is then stopped, and an order without a lease loads
-// a wrong model on the engine that ignores fencing numbers: the other entry must acquire the lease and correct it.
+// a wrong model on the engine that ignores fencing tokens: the other entry must acquire the lease and correct it.
 func TestOrdersPlaceModels(t *testing.T) {
 	s := newSite(t, 4)
 	s.publish(publisher.KindPool, "engines", publisher.Pool{Name: "engines", Kind: publisher.PoolEngine, SlotsPerEndpoint: 1})
@@ -162,7 +162,7 @@
 	wrong := reducer.OrderEngine{Address: s.addresses[0], State: placer.Assignment{Model: "wrong", Version: "0", Role: publisher.RoleBoth}, Deadline: time.Now().Add(waitLimit)}
 	require.IsType(t, placer.Accepted{}, o.send(wrong))
 	wrong.Address = s.addresses[1]
-	require.Equal(t, placer.Refused{}, o.send(wrong), "stale fencing number")
+	require.Equal(t, placer.Refused{}, o.send(wrong), "stale fencing token")
 	s.await(map[string]int{"writer": 2, "chat": 2})
 }
 
@@ -191,7 +191,7 @@
 	}{
 		{"accepted", 200, `{"fence":3,"model":"a","version":"1","role":"both","loading":true}`,
 			placer.Accepted{State: placer.Assignment{Model: "a", Version: "1", Role: "both", Loading: true, Fence: 3}}},
-		{"stale fencing number", 409, `{"code":"staleFence","message":"m"}`, placer.Refused{}},
+		{"stale fencing token", 409, `{"code":"staleFence","message":"m"}`, placer.Refused{}},
 		{"too many loads", 429, `{"code":"rateLimited","message":"m","retryAfterMillis":50}`,
 			placer.Refused{RetryAfter: 50 * time.Millisecond, Limited: true}},
 		{"failed on the engine", 500, `{"code":"failed","message":"m"}`, placer.Uncertain{}},
--- a/placer/engine.go
+++ b/placer/engine.go
@@ -15,7 +15,7 @@
 	Role     string
 	// Loading is set while the engine does not yet serve the model.
 	Loading bool
-	// Fence is the fencing number of the last order that the engine accepted.
+	// Fence is the fencing token of the last order that the engine accepted.
 	Fence int64
 }
 
@@ -36,8 +36,8 @@
 	pending *Assignment
 	// resultAt is the time at which the result of that order was recorded. It is zero while the order is in flight.
 	resultAt time.Time
-	// confirmedFence is the fencing number of the last order that certainly took effect. An engine that ignores fencing
-	// numbers need not report the number that it was sent.
+	// confirmedFence is the fencing token of the last order that certainly took effect. An engine that ignores fencing
+	// tokens need not report the token that it was sent.
 	confirmedFence int64
 	retryAt        time.Time
 	failures       int
--- a/placer/order.go
+++ b/placer/order.go
@@ -18,9 +18,9 @@
 
 // Lease is the right of an orderer to send orders.
 type Lease struct {
-	// Fence is the fencing number of orders sent now.
+	// Fence is the fencing token of orders sent now.
 	Fence int64
-	// Granted is the fencing number with which this orderer's lease began.
+	// Granted is the fencing token with which this orderer's lease began.
 	Granted int64
 }
 
@@ -57,10 +57,10 @@
 	e.resultAt = time.Time{}
 }
 
-// ordersWithoutLoad returns the orders that need no load: role changes, and the fencing number of a new orderer.
+// ordersWithoutLoad returns the orders that need no load: role changes, and the fencing token of a new orderer.
 //
-// An engine that has only seen the previous orderer's number would accept a late order from it. A new orderer therefore
-// starts by ordering the state that the engine is already in, under its own number. After that the engine refuses older
+// An engine that has only seen the previous orderer's token would accept a late order from it. A new orderer therefore
+// starts by ordering the state that the engine is already in, under its own token. After that the engine refuses older
 // orders.
 func (s *survey) ordersWithoutLoad() []Order {
 	var orders []Order
--- a/placer/placer_test.go
+++ b/placer/placer_test.go
@@ -138,7 +138,7 @@
 }
 
 // An orderer is paused with an order in transit, and its successor puts another model on the engine before the order
-// arrives. An engine that honours fencing numbers must refuse it, even if the successor had no change for that engine.
+// arrives. An engine that honours fencing tokens must refuse it, even if the successor had no change for that engine.
 // An engine that ignores them loads the wrong model, and the successor must read this and correct it.
 func TestLateOrderOfPreviousOrderer(t *testing.T) {
 	for _, ignores := range []bool{false, true} {
@@ -154,14 +154,14 @@
 			w.run(time.Minute)
 			require.Equal(t, []int{2, 2}, w.copies("a", "b"))
 			if !ignores {
-				require.Equal(t, int64(7), w.engines["e00"].state.Fence, "sent the number without a change")
+				require.Equal(t, int64(7), w.engines["e00"].state.Fence, "sent the token without a change")
 				require.Empty(t, w.loads)
 			}
 		})
 	}
 }
 
-// This entry's lease has ended, but the entry does not know it yet. An engine's fencing number shows that a newer
+// This entry's lease has ended, but the entry does not know it yet. An engine's fencing token shows that a newer
 // orderer is active.
 func TestNoOrdersToEnginesOfNewerOrderer(t *testing.T) {
 	w := newSimulation(t, modelsAB(2), "a", "a", "a", "a")
--- a/placer/survey.go
+++ b/placer/survey.go
@@ -97,7 +97,7 @@
 			m.ready++
 		}
 	}
-	// A fencing number above that of this lease shows that the engine follows a newer orderer: this entry's lease has
+	// A fencing token above that of this lease shows that the engine follows a newer orderer: this entry's lease has
 	// ended, although the entry does not know it yet.
 	if e.current(s.now, s.cfg.StateMaxAge) && !s.now.Before(e.retryAt) && e.state.Fence <= s.lease.Fence {
 		s.available = append(s.available, e)
--- a/placer/world_test.go
+++ b/placer/world_test.go
@@ -16,7 +16,7 @@
 	loadTime = 2 * time.Second
 )
 
-// simEngine simulates an engine, which loads models and either honours or ignores fencing numbers.
+// simEngine simulates an engine, which loads models and either honours or ignores fencing tokens.
 type simEngine struct {
 	state       Assignment
 	loadedAt    time.Time
--- a/recorder/schema.go
+++ b/recorder/schema.go
@@ -118,7 +118,7 @@
 }
 
 // Lease is one append to the leases stream: an incarnation of an entry wants to become or remain the only orderer of a
-// pool. The record's offset is the fencing number of the orders issued under it.
+// pool. The record's offset is the fencing token of the orders issued under it.
 type Lease struct {
 	Pool        string
 	Entry       string
