--- a/assembler/forwarding.go
+++ b/assembler/forwarding.go
@@ -108,7 +108,7 @@
 		AddressTTL:    min(addressTTL, settings.AddressTTL),
 		RetryRatio:    settings.RetryRatio,
 		RetrySlack:    settings.RetrySlack,
-		Off:           cfg.Disabled,
+		Disabled:      cfg.Disabled,
 		Wire:          platform.Dialect{},
 		Client:        connector.New(connector.Config{}),
 		DecodeConfig:  platform.DecodeConfig,
--- a/cmd/experiment/tool.go
+++ b/cmd/experiment/tool.go
@@ -73,10 +73,10 @@
 }
 
 // runSeeds runs a scenario with n seeds and reports progress.
-func (t *tool) runSeeds(s experimenter.Scenario, n int, off switcher.Disabled) []*experimenter.Result {
+func (t *tool) runSeeds(s experimenter.Scenario, n int, disabled switcher.Disabled) []*experimenter.Result {
 	var done atomic.Int64
-	results := experimenter.RunSeeds(s, n, off, func() {
-		t.reportProgress("\r%s %s %d of %d ", s.Name, strings.Join(off.Names(), ","), done.Add(1), n)
+	results := experimenter.RunSeeds(s, n, disabled, func() {
+		t.reportProgress("\r%s %s %d of %d ", s.Name, strings.Join(disabled.Names(), ","), done.Add(1), n)
 	})
 	t.reportProgress("\n")
 	return results
@@ -90,7 +90,7 @@
 	if err != nil {
 		return err
 	}
-	off, err := switcher.Disable(cmd.StringSlice("without")...)
+	disabled, err := switcher.Disable(cmd.StringSlice("without")...)
 	if err != nil {
 		return err
 	}
@@ -99,7 +99,7 @@
 		return err
 	}
 	report := &experimenter.Report{
-		Scenario: s.Name, Purpose: s.Purpose, Disabled: off.Names(), Bound: experimenter.UpperBound(s), Results: t.runSeeds(s, n, off),
+		Scenario: s.Name, Purpose: s.Purpose, Disabled: disabled.Names(), Bound: experimenter.UpperBound(s), Results: t.runSeeds(s, n, disabled),
 	}
 	if dir := cmd.String("out"); dir != "" {
 		if err := report.Save(dir); err != nil {
@@ -167,13 +167,13 @@
 
 // ablateOne prints the row of one mechanism: for each scenario the difference from its baseline and the confidence interval.
 func (t *tool) ablateOne(m switcher.Mechanism, scenarios []experimenter.Scenario, baselines [][]*experimenter.Result, n int) error {
-	off, err := switcher.Disable(string(m))
+	disabled, err := switcher.Disable(string(m))
 	if err != nil {
 		return err
 	}
 	row := "| " + string(m) + " |"
 	for i, s := range scenarios {
-		c := experimenter.Compare(baselines[i], t.runSeeds(s, n, off))
+		c := experimenter.Compare(baselines[i], t.runSeeds(s, n, disabled))
 		row += fmt.Sprintf(" %+.4f +- %.4f |", c.Difference, c.Interval)
 	}
 	return t.print("%s\n", row)
--- a/collector/call.go
+++ b/collector/call.go
@@ -180,7 +180,7 @@
 // calls within about one call's duration. In a backlog, an endpoint that always took the head of the queue would process
 // over half of the pieces in the wrong zone, and all their inputs would cross zones.
 func (p *Pool) preferZone(e *endpoint, waiting []*group) []*group {
-	if p.cfg.Off.Has(switcher.NearFirst) {
+	if p.cfg.Disabled.Has(switcher.NearFirst) {
 		return waiting
 	}
 	window := int(math.Ceil(float64(p.cfg.Stage.Batch) * max(p.capacity(), 1)))
@@ -203,7 +203,7 @@
 // waitsForSpace reports whether the endpoint should wait for space because the pieces that fit would fill less than half
 // of the call that the waiting pieces could fill.
 func (p *Pool) waitsForSpace(e *endpoint, waiting []*group, space int64, now time.Time) bool {
-	if p.cfg.Off.Has(switcher.RoomWait) {
+	if p.cfg.Disabled.Has(switcher.RoomWait) {
 		return false
 	}
 	fits, queued := 0, 0
--- a/collector/collector.go
+++ b/collector/collector.go
@@ -75,8 +75,8 @@
 	Ejector ejector.Config
 	// Gate limits calls to endpoints that have requested it. If it is nil, such requests are ignored.
 	Gate Gate
-	// Off holds the mechanisms that are switched off.
-	Off switcher.Disabled
+	// Disabled holds the policy mechanisms that are switched off.
+	Disabled switcher.Disabled
 }
 
 // Pool queues the pieces of one stage service and assigns them to calls.
--- a/collector/group.go
+++ b/collector/group.go
@@ -117,7 +117,7 @@
 // unlikelyBeforeDeadline reports whether a late group will probably not be processed: half of its time is over, and at the
 // recent rate of late groups, its turn comes after its deadline. Its caller can still retry in the other half.
 func (p *Pool) unlikelyBeforeDeadline(g *group, lateAhead int, now time.Time) bool {
-	if p.cfg.Off.Has(switcher.LateGivenUp) || g.started() || now.Sub(g.arrived) < g.Deadline.Sub(now) {
+	if p.cfg.Disabled.Has(switcher.LateGivenUp) || g.started() || now.Sub(g.arrived) < g.Deadline.Sub(now) {
 		return false
 	}
 	rate := p.lateRate.perSecond(now)
@@ -223,7 +223,7 @@
 func (p *Pool) orderedGroups(now time.Time) []*group {
 	keys := make([]sortKey, 0, len(p.groups))
 	var delays map[string]time.Duration
-	if !p.cfg.Off.Has(switcher.FairShare) {
+	if !p.cfg.Disabled.Has(switcher.FairShare) {
 		delays = p.shares.delays(now)
 	}
 	for _, g := range p.groups {
@@ -251,7 +251,7 @@
 
 func (p *Pool) sortKeyOf(g *group, delay time.Duration, now time.Time) sortKey {
 	rank := 0
-	if !g.started() && !p.cfg.Off.Has(switcher.StartedFirst) {
+	if !g.started() && !p.cfg.Disabled.Has(switcher.StartedFirst) {
 		rank = startedRanks
 	}
 	if p.deprioritized(g, now) {
@@ -281,7 +281,7 @@
 // they would make groups late that can still be on time.
 func (p *Pool) effectiveDue(g *group, now time.Time) time.Time {
 	delayedDue := g.arrived.Add(p.cfg.Stage.ResultTTL / 2)
-	if !p.cfg.Off.Has(switcher.LatePatience) && p.cannotBeOnTime(g, now) && delayedDue.After(g.Due) {
+	if !p.cfg.Disabled.Has(switcher.LatePatience) && p.cannotBeOnTime(g, now) && delayedDue.After(g.Due) {
 		return delayedDue
 	}
 	return g.Due
@@ -298,7 +298,7 @@
 
 // deprioritized reports whether a group goes after those that can be on time.
 func (p *Pool) deprioritized(g *group, now time.Time) bool {
-	return !g.HoldsSpace && !p.cfg.Off.Has(switcher.LateLast) && p.cannotBeOnTime(g, now)
+	return !g.HoldsSpace && !p.cfg.Disabled.Has(switcher.LateLast) && p.cannotBeOnTime(g, now)
 }
 
 func (p *Pool) cannotBeOnTime(g *group, now time.Time) bool {
@@ -319,7 +319,7 @@
 // queued there ahead of it. The first group of a zone may wait regardless of its size: if calls are small, it fills one by
 // itself.
 func (p *Pool) waitsForZone(g *group, e *endpoint, queuedAhead int, now time.Time) bool {
-	if p.cfg.Off.Has(switcher.ZoneWait) || g.PreferredZone == "" || g.PreferredZone == e.Zone || g.CrossZoneBytes < ZoneAffinityBytes {
+	if p.cfg.Disabled.Has(switcher.ZoneWait) || g.PreferredZone == "" || g.PreferredZone == e.Zone || g.CrossZoneBytes < ZoneAffinityBytes {
 		return false
 	}
 	if p.inUseByZone[g.PreferredZone] == 0 {
--- a/experimenter/compare.go
+++ b/experimenter/compare.go
@@ -26,14 +26,14 @@
 
 // RunSeeds runs a scenario with the seeds 1 to n, using half of the processors. It calls done after each run, from several
 // goroutines.
-func RunSeeds(s Scenario, n int, off switcher.Disabled, done func()) []*Result {
+func RunSeeds(s Scenario, n int, disabled switcher.Disabled, done func()) []*Result {
 	results := make([]*Result, n)
 	slots := make(chan struct{}, max(1, runtime.NumCPU()/2))
 	var group sync.WaitGroup
 	for i := range n {
 		slots <- struct{}{}
 		group.Go(func() {
-			results[i] = Run(s, uint64(i+1), off)
+			results[i] = Run(s, uint64(i+1), disabled)
 			<-slots
 			done()
 		})
--- a/experimenter/entry.go
+++ b/experimenter/entry.go
@@ -95,7 +95,7 @@
 	}
 	p, ok := e.pools[service]
 	if !ok {
-		p = collector.New(collector.Config{Service: service, Stage: e.sim.pools[service].stage, Gate: e.regulator, Off: e.sim.off})
+		p = collector.New(collector.Config{Service: service, Stage: e.sim.pools[service].stage, Gate: e.regulator, Disabled: e.sim.disabled})
 		p.Reduce(collector.EndpointsChanged{Endpoints: e.sim.endpointsOf(service)}, e.sim.now)
 		e.pools[service] = p
 	}
@@ -208,7 +208,7 @@
 
 // newSelector returns a selector for entry n with its own random source.
 func newSelector(sim *simulation, n int, reg *regulator.Regulator) *selector.Selector {
-	s := selector.New(selector.Config{Rand: rand.New(rand.NewPCG(sim.seed, uint64(n))), Gate: gate{reg}, Disabled: sim.off})
+	s := selector.New(selector.Config{Rand: rand.New(rand.NewPCG(sim.seed, uint64(n))), Gate: gate{reg}, Disabled: sim.disabled})
 	s.SetEndpoints(sim.endpointsOf(modelPool))
 	return s
 }
--- a/experimenter/experimenter_test.go
+++ b/experimenter/experimenter_test.go
@@ -25,15 +25,15 @@
 func TestFetchedResultsAreFreedInABurst(t *testing.T) {
 	s, err := LoadScenario("spaceShort")
 	require.NoError(t, err)
-	earned := func(off switcher.Disabled) (sum float64) {
+	earned := func(disabled switcher.Disabled) (sum float64) {
 		for seed := range uint64(6) {
-			sum += Run(s, seed, off).Earned
+			sum += Run(s, seed, disabled).Earned
 		}
 		return sum / 6
 	}
-	off, err := switcher.Disable(string(switcher.FetchedFreed))
+	disabled, err := switcher.Disable(string(switcher.FetchedFreed))
 	require.NoError(t, err)
-	with, without := earned(switcher.Disabled{}), earned(off)
+	with, without := earned(switcher.Disabled{}), earned(disabled)
 	t.Logf("earned %.3f, %.3f without", with, without)
 	require.Greater(t, with, without)
 }
--- a/experimenter/request.go
+++ b/experimenter/request.go
@@ -50,7 +50,7 @@
 		FirstEventDeadline: r.arrived.Add(millis(r.kind.PatienceMillis)),
 		HomeZone:           e.selector.HomeZone(modelPool, r.parts, nil, r.sim.now),
 		ModelTime:          e.selector.PredictFirstEvent(modelPool, r.parts),
-		Off:                r.sim.off,
+		Disabled:           r.sim.disabled,
 	})
 	if service, overloaded := r.plan.Overloaded(e, r.sim.now); overloaded {
 		r.refuse(service)
--- a/experimenter/result.go
+++ b/experimenter/result.go
@@ -63,8 +63,8 @@
 	ResultsUnused    int   `json:"resultsUnused"`
 }
 
-func newResult(s *Scenario, seed uint64, off switcher.Disabled) *Result {
-	r := &Result{Scenario: s.Name, Seed: seed, Disabled: off.Names()}
+func newResult(s *Scenario, seed uint64, disabled switcher.Disabled) *Result {
+	r := &Result{Scenario: s.Name, Seed: seed, Disabled: disabled.Names()}
 	for _, k := range s.Kinds {
 		r.Kinds = append(r.Kinds, &KindResult{Name: k.Name, firstEventTimes: hdrhistogram.New(minTimeMillis, maxTimeMillis, significantFigures)})
 	}
--- a/experimenter/world.go
+++ b/experimenter/world.go
@@ -23,7 +23,7 @@
 	clock
 	scenario   *Scenario
 	seed       uint64
-	off        switcher.Disabled
+	disabled   switcher.Disabled
 	random     *rand.Rand
 	entries    []*entry
 	collectors map[string]*entry
@@ -38,9 +38,9 @@
 	lastRequest int
 }
 
-// Run simulates a scenario with a seed. The mechanisms in off are disabled.
-func Run(s Scenario, seed uint64, off switcher.Disabled) *Result {
-	sim := newSimulation(s, seed, off)
+// Run simulates a scenario with a seed. The mechanisms in disabled are switched off.
+func Run(s Scenario, seed uint64, disabled switcher.Disabled) *Result {
+	sim := newSimulation(s, seed, disabled)
 	for _, e := range sim.entries {
 		// The heartbeats and ticks of entries are staggered, as those of processes that start one after the other.
 		sim.schedule(time.Duration(sim.random.Int64N(int64(heartbeatInterval))), e.sendHeartbeat)
@@ -57,19 +57,19 @@
 	return sim.result
 }
 
-func newSimulation(s Scenario, seed uint64, off switcher.Disabled) *simulation {
+func newSimulation(s Scenario, seed uint64, disabled switcher.Disabled) *simulation {
 	sim := &simulation{
 		clock:      clock{now: origin},
 		scenario:   &s,
 		seed:       seed,
-		off:        off,
+		disabled:   disabled,
 		random:     rand.New(rand.NewPCG(seed, 1)),
 		collectors: make(map[string]*entry),
 		pools:      make(map[string]*poolModel),
 		engines:    make(map[string]*engine),
 		requests:   make(map[string]*request),
 		results:    make(map[string]*storedResult),
-		result:     newResult(&s, seed, off),
+		result:     newResult(&s, seed, disabled),
 	}
 	for i := range s.Pools {
 		sim.addPool(&s.Pools[i], sim.result.Pools[i])
--- a/forwarder/delegation.go
+++ b/forwarder/delegation.go
@@ -98,7 +98,7 @@
 		return nil
 	}
 	owner, known := f.owner(a.service, a.avoid)
-	if !known || f.cfg.Off.Has(switcher.OneCollector) {
+	if !known || f.cfg.Disabled.Has(switcher.OneCollector) {
 		owner = f.cfg.Name
 	}
 	a.owner = owner
--- a/forwarder/duty.go
+++ b/forwarder/duty.go
@@ -26,7 +26,7 @@
 // settling reports whether this entry started so recently that it may not know its peers yet, and hears no peer that
 // has been running for longer, which would report all others. The lock must be held.
 func (f *Forwarder) settling(now time.Time) bool {
-	if f.cfg.Off.Has(switcher.SettledDuty) {
+	if f.cfg.Disabled.Has(switcher.SettledDuty) {
 		return false
 	}
 	if now.Sub(f.startTime) >= settleTime || !f.peerLiveAt.IsZero() && now.Sub(f.peerLiveAt) >= stableTime {
@@ -44,7 +44,7 @@
 // collecting them. Two entries that fill the same endpoints keep each other's calls small and their space full. The
 // lock must be held.
 func (f *Forwarder) returnWaitingPieces(now time.Time) []func() {
-	if f.cfg.Off.Has(switcher.DutyFollowed) || f.cfg.Off.Has(switcher.OneCollector) {
+	if f.cfg.Disabled.Has(switcher.DutyFollowed) || f.cfg.Disabled.Has(switcher.OneCollector) {
 		return nil
 	}
 	var actions []func()
--- a/forwarder/forwarder.go
+++ b/forwarder/forwarder.go
@@ -91,8 +91,8 @@
 	RetryRatio float64
 	RetrySlack float64
 
-	// Off lists the policy mechanisms that are switched off.
-	Off switcher.Disabled
+	// Disabled lists the policy mechanisms that are switched off.
+	Disabled switcher.Disabled
 
 	Wire   Wire
 	Client *connector.Client
@@ -193,7 +193,7 @@
 		startTime:  now,
 		random:     random,
 		registry:   registrar.New(registrar.Config{}),
-		selector:   selector.New(selector.Config{Rand: random, Ejector: ejectorConfig(cfg.Off), Gate: g, Disabled: cfg.Off}),
+		selector:   selector.New(selector.Config{Rand: random, Ejector: ejectorConfig(cfg.Disabled), Gate: g, Disabled: cfg.Disabled}),
 		detector: detector.New(detector.Config{
 			Self: carrier.Member{
 				Name:          cfg.Name,
@@ -253,8 +253,8 @@
 )
 
 // ejectorConfig returns the ejection limits, or none if ejection is switched off.
-func ejectorConfig(off switcher.Disabled) ejector.Config {
-	if off.Has(switcher.Ejection) {
+func ejectorConfig(disabled switcher.Disabled) ejector.Config {
+	if disabled.Has(switcher.Ejection) {
 		return ejector.Config{MaxEjectedShare: noEjection}
 	}
 	return ejector.Config{MaxEjectedShare: maxEjectedShare}
--- a/forwarder/pieces.go
+++ b/forwarder/pieces.go
@@ -54,7 +54,7 @@
 	if !known {
 		return nil, false
 	}
-	p := collector.New(collector.Config{Service: name, Stage: *s.Stage, Ejector: ejectorConfig(f.cfg.Off), Gate: f.regulator, Off: f.cfg.Off})
+	p := collector.New(collector.Config{Service: name, Stage: *s.Stage, Ejector: ejectorConfig(f.cfg.Disabled), Gate: f.regulator, Disabled: f.cfg.Disabled})
 	p.Reduce(f.endpointsOf(name, f.usable(now)), now)
 	f.pools[name] = p
 	return p, true
--- a/forwarder/plain.go
+++ b/forwarder/plain.go
@@ -71,7 +71,7 @@
 // hedgeContext returns a context that bounds the wait for an endpoint if the request may be sent to another one
 // afterwards.
 func (x *exchange) hedgeContext(now time.Time) (context.Context, context.CancelFunc) {
-	if x.f.cfg.Off.Has(switcher.Hedging) || !x.route.Repeatable() || x.runs+1 >= x.route.MaxAttempts {
+	if x.f.cfg.Disabled.Has(switcher.Hedging) || !x.route.Repeatable() || x.runs+1 >= x.route.MaxAttempts {
 		return context.WithCancel(x.ctx)
 	}
 	wait := max(minHedgeDelay, time.Duration(hedgeShare*float64(x.route.Objective)))
--- a/forwarder/stages.go
+++ b/forwarder/stages.go
@@ -61,7 +61,7 @@
 			FirstEventDeadline: x.firstEventDeadline,
 			HomeZone:           homeZone,
 			ModelTime:          modelTime,
-			Off:                x.f.cfg.Off,
+			Disabled:           x.f.cfg.Disabled,
 		}),
 	}
 }
--- a/planner/plan.go
+++ b/planner/plan.go
@@ -37,8 +37,8 @@
 	HomeZone string
 	// ModelTime is the predicted time of the model engine after the last stage.
 	ModelTime time.Duration
-	// Off holds the policy mechanisms that are switched off.
-	Off switcher.Disabled
+	// Disabled holds the policy mechanisms that are switched off.
+	Disabled switcher.Disabled
 }
 
 // View provides the current state of the stages' pools.
@@ -219,7 +219,7 @@
 			g.Inputs = append(g.Inputs, result.Handle)
 			g.InputBytes += p.cfg.Stages[input].ResultBytes
 		}
-		shortOfSpace := view.Load(p.Service(input)).ShortOfSpace && !p.cfg.Off.Has(switcher.FetchedFreed)
+		shortOfSpace := view.Load(p.Service(input)).ShortOfSpace && !p.cfg.Disabled.Has(switcher.FetchedFreed)
 		g.NotifyInputsFetched = g.NotifyInputsFetched || shortOfSpace
 	}
 }
@@ -277,7 +277,7 @@
 		delay = max(delay, collector.FetchDelay(&pool, bytes))
 		shortOfSpace = shortOfSpace || view.Load(p.Service(i)).ShortOfSpace
 	}
-	return delay, shortOfSpace && !p.cfg.Off.Has(switcher.FetchedFreed)
+	return delay, shortOfSpace && !p.cfg.Disabled.Has(switcher.FetchedFreed)
 }
 
 // FinalResultsFreed reports whether results of final stages were freed. They must then be recomputed before the request can
--- a/planner/timing.go
+++ b/planner/timing.go
@@ -38,7 +38,7 @@
 // Overloaded reports whether the waits at the request's stages keep the first event from reaching the caller before it
 // disconnects, and returns the service with the longest wait.
 func (p *Plan) Overloaded(view View, now time.Time) (service string, overloaded bool) {
-	if p.cfg.Off.Has(switcher.OverloadRefused) {
+	if p.cfg.Disabled.Has(switcher.OverloadRefused) {
 		return "", false
 	}
 	longest := time.Duration(0)
@@ -118,7 +118,7 @@
 // takes, and for seconds if the request waits there. The space would be full while the endpoints are idle, and the results of
 // requests that fail at another stage would be wasted.
 func (p *Plan) tooEarly(stage int, view View, now time.Time) bool {
-	if !slices.Contains(p.finalStages(), stage) || !p.resultsAreLarge(stage, view) || p.cfg.Off.Has(switcher.LargeLate) {
+	if !slices.Contains(p.finalStages(), stage) || !p.resultsAreLarge(stage, view) || p.cfg.Disabled.Has(switcher.LargeLate) {
 		return false
 	}
 	return p.otherStagesTime(stage, view, now) > time.Duration(earlyStartFactor*float64(p.usualTime(stage, view)))
@@ -177,7 +177,7 @@
 // usualTime returns how long groups take at the stage's service at present.
 func (p *Plan) usualTime(stage int, view View) time.Duration {
 	call := p.callTime(stage, view)
-	if p.cfg.Off.Has(switcher.PassageLeft) {
+	if p.cfg.Disabled.Has(switcher.PassageLeft) {
 		return call
 	}
 	return max(view.Load(p.Service(stage)).Turnaround, call)
