--- a/detector/evidence.go
+++ b/detector/evidence.go
@@ -151,8 +151,8 @@
 
 // processEnded reports whether a member's process has ended. Silence alone doesn't show that, so two conditions must
 // hold: its address refuses connections, and no step has been heard since the refusal nor for half of the suspect
-// timeout. A firewall between two entries may refuse connections too; then a third entry still hears the member and
-// relays its steps, which keeps it alive.
+// timeout. A firewall between two entries may refuse connections too; then a third entry still receives the
+// member's steps and relays them, which keeps the member alive.
 func (d *Detector) processEnded(r *record, now time.Time) bool {
 	return r.refusedAt.After(r.member.LastHeard) && now.Sub(r.member.LastHeard) > d.suspectAfter()/2
 }
--- a/experimenter/request.go
+++ b/experimenter/request.go
@@ -176,7 +176,8 @@
 	r.stats.Late++
 }
 
-// refuse ends the attempt. The caller retries once, if the retry delay is at most a third of its remaining patience.
+// refuse ends the attempt. The caller retries once, if the retry delay is at most a third of the time left
+// before it leaves.
 func (r *request) refuse(service string) {
 	r.ended = true
 	r.sim.releaseResults(r.plan.FreeAll())
--- a/forwarder/duty.go
+++ b/forwarder/duty.go
@@ -23,8 +23,8 @@
 	returnPiecesAfter = 250 * time.Millisecond
 )
 
-// settling reports whether this entry started so recently that it may not know its peers yet, and hears no peer that
-// has been running for longer, which would report all others. The lock must be held.
+// settling reports whether this entry started so recently that it may not know its peers yet, and has detected
+// no live peer that has been running for longer, which would report all others. The lock must be held.
 func (f *Forwarder) settling(now time.Time) bool {
 	if f.cfg.Disabled.Has(switcher.SettledDuty) {
 		return false
--- a/forwarder/peers.go
+++ b/forwarder/peers.go
@@ -76,7 +76,7 @@
 	}
 }
 
-// Isolated reports whether this entry hears no peer, ready or not.
+// Isolated reports whether no peer, ready or not, has been heard from within suspectAfter.
 func (f *Forwarder) Isolated() bool {
 	now := time.Now()
 	f.mu.Lock()
--- a/forwarder/stages.go
+++ b/forwarder/stages.go
@@ -66,7 +66,7 @@
 	}
 }
 
-// poolView gives a request's plan access to the state of the stage pools as this entry knows it.
+// poolView provides a request's plan with the state of the stage pools as known to this entry.
 type poolView struct {
 	f *Forwarder
 	// hash and preferredZone select among the pools of a service.
--- a/placer/load.go
+++ b/placer/load.go
@@ -24,7 +24,7 @@
 	return l.servedDemand > other.servedDemand
 }
 
-// shortageLoad gives an engine to the neediest model that has fewer copies than required, or whose only copy cannot be
+// shortageLoad assigns an engine to the neediest model that has fewer copies than required, or whose only copy cannot be
 // upgraded to the version in force because nothing else serves the model.
 func (s *survey) shortageLoad() load {
 	to := s.neediest(func(m *model) bool {
@@ -40,7 +40,7 @@
 	return load{engine: e, model: to, servedDemand: to.gain()}
 }
 
-// unusedEngineLoad gives an engine that holds no model of the placement to the neediest model.
+// unusedEngineLoad assigns an engine that holds no model of the placement to the neediest model.
 func (s *survey) unusedEngineLoad() load {
 	return s.loadOnto(s.neediest(func(*model) bool { return true }), s.freeEngine())
 }
