--- a/forwarder/peers.go
+++ b/forwarder/peers.go
@@ -76,7 +76,7 @@
 	}
 }
 
-// Isolated reports whether no peer, ready or not, has been heard from within suspectAfter.
+// Isolated reports whether no running peer, ready or not, has been heard from within suspectAfter.
 func (f *Forwarder) Isolated() bool {
 	now := time.Now()
 	f.mu.Lock()
--- a/placer/load.go
+++ b/placer/load.go
@@ -24,8 +24,8 @@
 	return l.servedDemand > other.servedDemand
 }
 
-// shortageLoad assigns an engine to the neediest model that has fewer copies than required, or whose only copy cannot be
-// upgraded to the version in force because nothing else serves the model.
+// shortageLoad assigns an engine to the neediest model that has fewer copies than required, or whose only copy cannot
+// be upgraded to the version in force because nothing else serves the model.
 func (s *survey) shortageLoad() load {
 	to := s.neediest(func(m *model) bool {
 		return m.copies < m.minCopies() || m.copies == 1 && s.lastCopyOutdated(m)
