--- a/experimenter/request.go
+++ b/experimenter/request.go
@@ -50,7 +50,7 @@
 		FirstEventDeadline: r.arrived.Add(millis(r.kind.PatienceMillis)),
 		HomeZone:           e.selector.HomeZone(modelPool, r.parts, nil, r.sim.now),
 		ModelTime:          e.selector.PredictFirstEvent(modelPool, r.parts),
-		Off:                r.sim.off,
+		Disabled:           r.sim.disabled,
 	})
 	if service, overloaded := r.plan.Overloaded(e, r.sim.now); overloaded {
 		r.refuse(service)
@@ -176,7 +176,8 @@
 	r.stats.Late++
 }
 
-// refuse ends the attempt. The caller retries once, if the retry delay is at most a third of its remaining patience.
+// refuse ends the attempt. The caller retries once, if the retry delay is at most a third of the time left
+// before it leaves.
 func (r *request) refuse(service string) {
 	r.ended = true
 	r.sim.releaseResults(r.plan.FreeAll())
--- a/forwarder/stages.go
+++ b/forwarder/stages.go
@@ -61,12 +61,12 @@
 			FirstEventDeadline: x.firstEventDeadline,
 			HomeZone:           homeZone,
 			ModelTime:          modelTime,
-			Off:                x.f.cfg.Off,
+			Disabled:           x.f.cfg.Disabled,
 		}),
 	}
 }
 
-// poolView gives a request's plan access to the state of the stage pools as this entry knows it.
+// poolView provides a request's plan with the state of the stage pools as known to this entry.
 type poolView struct {
 	f *Forwarder
 	// hash and preferredZone select among the pools of a service.
