--- a/assembler/forwarding_test.go
+++ b/assembler/forwarding_test.go
@@ -43,11 +43,11 @@
 		require.Equal(t, runs[0].Endpoint, runs[0].Instance())
 		require.Equal(t, "1", runs[0].Header.Get("X-Mine"))
 		require.Empty(t, runs[0].Header.Get("Authorization"))
-		require.NotEmpty(t, runs[0].Patience())
+		require.NotEmpty(t, runs[0].Timeout())
 	})
 	t.Run("stream", func(t *testing.T) {
 		reply := f.call(f.newRequest(1, imitator.StreamPath, "stream-1"))
-		require.False(t, reply.Cut)
+		require.False(t, reply.Truncated)
 		require.Equal(t, eventStream("stream-1", 5), reply.Body)
 	})
 	t.Run("stages", func(t *testing.T) {
@@ -69,7 +69,7 @@
 		require.Eventually(t, func() bool {
 			unfreed := 0
 			for _, e := range f.site.Endpoints {
-				unfreed += e.Held()
+				unfreed += e.HeldResults()
 			}
 			return unfreed == 0
 		}, waitTimeout, 10*time.Millisecond, "all results are freed")
@@ -87,14 +87,14 @@
 	for _, tc := range []struct {
 		name   string
 		status int
-		modify func(request *imitator.Ask)
+		modify func(request *imitator.Request)
 	}{
-		{"no route", http.StatusNotFound, func(request *imitator.Ask) { request.Path = "/nowhere/" }},
-		{"unknown key", http.StatusUnauthorized, func(request *imitator.Ask) { request.Key = "guess" }},
-		{"no key", http.StatusUnauthorized, func(request *imitator.Ask) { request.Key = "" }},
-		{"no attempt", http.StatusBadRequest, func(request *imitator.Ask) { request.ID = "" }},
-		{"body too large", http.StatusRequestEntityTooLarge, func(request *imitator.Ask) { request.Body = strings.Repeat("x", 70_000) }},
-		{"bad header", http.StatusBadRequest, func(request *imitator.Ask) { request.Pieces = "many" }},
+		{"no route", http.StatusNotFound, func(request *imitator.Request) { request.Path = "/nowhere/" }},
+		{"unknown key", http.StatusUnauthorized, func(request *imitator.Request) { request.Key = "guess" }},
+		{"no key", http.StatusUnauthorized, func(request *imitator.Request) { request.Key = "" }},
+		{"no attempt", http.StatusBadRequest, func(request *imitator.Request) { request.ID = "" }},
+		{"body too large", http.StatusRequestEntityTooLarge, func(request *imitator.Request) { request.Body = strings.Repeat("x", 70_000) }},
+		{"bad header", http.StatusBadRequest, func(request *imitator.Request) { request.Pieces = "many" }},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			request := f.newRequest(0, imitator.PlainPath, "bad")
@@ -112,11 +112,11 @@
 // may have run, and the request must not be sent again.
 func TestARequestThatMayHaveRunIsNotSentAgain(t *testing.T) {
 	f := newFleet(t, 1)
-	f.injectFault("plain", imitator.Broken, -1)
+	f.injectFault("plain", imitator.Aborting, -1)
 	reply := f.call(f.newRequest(0, imitator.OncePath, "once"))
 	require.Equal(t, http.StatusBadGateway, reply.Status)
 	require.Len(t, f.runs("once"), 1)
-	f.injectFault("model", imitator.Broken, -1)
+	f.injectFault("model", imitator.Aborting, -1)
 	reply = f.call(f.newRequest(0, imitator.StreamPath, "stream"))
 	require.Equal(t, http.StatusBadGateway, reply.Status)
 	require.Len(t, f.runs("stream"), 1)
@@ -125,11 +125,11 @@
 // One endpoint closes the connection, returns an error or hangs. An idempotent request must be answered by the other one.
 func TestAnIdempotentRequestIsTriedElsewhere(t *testing.T) {
 	for name, fault := range map[string]imitator.Fault{
-		"broken": imitator.Broken, "erring": imitator.Erring, "hanging": imitator.Hanging,
+		"broken": imitator.Aborting, "erring": imitator.ServerError, "hanging": imitator.Hanging,
 	} {
 		t.Run(name, func(t *testing.T) {
 			f := newFleet(t, 1)
-			f.site.Endpoint("i-plain-0").Fail(fault, -1)
+			f.site.Endpoint("i-plain-0").InjectFault(fault, -1)
 			for i := range 4 {
 				id := fmt.Sprint(i)
 				reply := f.call(f.newRequest(0, imitator.PlainPath, id))
@@ -151,7 +151,7 @@
 	require.NotEmpty(t, reply.RetryAfter)
 	require.Empty(t, f.runs("full"))
 	require.Less(t, time.Since(began), 2*time.Second)
-	f.injectFault("plain", imitator.Sound, 0)
+	f.injectFault("plain", imitator.Healthy, 0)
 	require.Equal(t, http.StatusOK, f.call(f.newRequest(0, imitator.OncePath, "full")).Status)
 }
 
@@ -159,20 +159,20 @@
 // event exactly once; otherwise it must be able to see that the stream is incomplete.
 func TestABrokenStream(t *testing.T) {
 	f := newFleet(t, 1)
-	f.site.Endpoint("i-model-0").Fail(imitator.Halved, -1)
+	f.site.Endpoint("i-model-0").InjectFault(imitator.Truncated, -1)
 	resumed := 0
 	for i := range 10 {
 		id := fmt.Sprintf("resumed-%d", i)
 		reply := f.call(f.newRequest(0, imitator.ResumePath, id))
-		require.False(t, reply.Cut)
+		require.False(t, reply.Truncated)
 		require.Equal(t, eventStream(id, 5), reply.Body)
 		resumed += len(f.runs(id)) - 1
 	}
 	require.Positive(t, resumed)
 
-	f.injectFault("model", imitator.Halved, -1)
+	f.injectFault("model", imitator.Truncated, -1)
 	reply := f.call(f.newRequest(0, imitator.StreamPath, "cut"))
-	require.True(t, reply.Cut)
+	require.True(t, reply.Truncated)
 	require.Equal(t, eventStream("cut", 2), reply.Body)
 	require.Len(t, f.runs("cut"), 1)
 }
@@ -182,14 +182,14 @@
 // must be produced again.
 func TestABrokenStreamWithStagesIsResumed(t *testing.T) {
 	f := newFleet(t, 2)
-	f.site.Endpoint("i-model-0").Fail(imitator.Halved, -1)
+	f.site.Endpoint("i-model-0").InjectFault(imitator.Truncated, -1)
 	resumed := 0
 	for i := range 10 {
 		id := fmt.Sprintf("resumed-%d", i)
 		request := f.newRequest(i%2, imitator.ResumeStagesPath, id)
 		request.Pieces = "3,5"
 		reply := f.call(request)
-		require.False(t, reply.Cut)
+		require.False(t, reply.Truncated)
 		require.Equal(t, eventStream(id, 5), reply.Body)
 		runs := f.runs(id)
 		for _, run := range runs {
@@ -203,7 +203,7 @@
 // An endpoint answers twice or without a content length. Each caller must get its own complete answer.
 func TestOddAnswersReachTheirOwnCaller(t *testing.T) {
 	f := newFleet(t, 1)
-	for name, fault := range map[string]imitator.Fault{"twice": imitator.Doubling, "no length": imitator.Unframed} {
+	for name, fault := range map[string]imitator.Fault{"twice": imitator.Duplicating, "no length": imitator.Unframed} {
 		f.injectFault("plain", fault, -1)
 		for i := range 6 {
 			id := fmt.Sprintf("%s-%d", name, i)
@@ -221,7 +221,7 @@
 	_, err := f.newRequest(0, imitator.StreamPath, "left").Call(ctx)
 	require.ErrorIs(t, err, context.DeadlineExceeded)
 	require.Eventually(t, func() bool {
-		return f.site.Endpoint("i-model-0").Gone()+f.site.Endpoint("i-model-1").Gone() == 1
+		return f.site.Endpoint("i-model-0").CanceledRuns()+f.site.Endpoint("i-model-1").CanceledRuns() == 1
 	}, waitTimeout, 5*time.Millisecond)
 }
 
@@ -230,7 +230,7 @@
 	f := newFleet(t, 1)
 	f.injectFault("plain", imitator.Hanging, -1)
 	request := f.newRequest(0, imitator.OncePath, "deadline")
-	request.Patience = 300 * time.Millisecond
+	request.Timeout = 300 * time.Millisecond
 	require.Equal(t, http.StatusGatewayTimeout, f.call(request).Status)
 	require.Len(t, f.runs("deadline"), 1)
 }
@@ -238,7 +238,7 @@
 // One endpoint is marked as draining, another is removed from the store. Neither must receive new requests.
 func TestLeavingEndpointsGetNoWork(t *testing.T) {
 	f := newFleet(t, 2)
-	f.site.Enter(f.site.Endpoint("i-plain-0"), "plain", "draining")
+	f.site.Register(f.site.Endpoint("i-plain-0"), "plain", "draining")
 	f.site.Remove(f.site.Endpoint("i-model-0"))
 	time.Sleep(time.Second) // one read of the store and the pause after it
 	for i := range 10 {
@@ -248,7 +248,7 @@
 	}
 }
 
-func endpointOfFirstRun(t *testing.T, f *fleet, request imitator.Ask) string {
+func endpointOfFirstRun(t *testing.T, f *fleet, request imitator.Request) string {
 	t.Helper()
 	require.Equal(t, http.StatusOK, f.call(request).Status)
 	return f.runs(request.ID)[0].Endpoint
@@ -289,11 +289,11 @@
 	for _, e := range f.site.Endpoints {
 		e.Events = 1500
 	}
-	replies := make(chan imitator.Reply, 1)
+	replies := make(chan imitator.Response, 1)
 	go func() {
 		reply, err := f.newRequest(0, imitator.StreamPath, "long").Call(context.Background())
 		if err != nil {
-			reply.Cut = true
+			reply.Truncated = true
 		}
 		replies <- reply
 	}()
@@ -314,7 +314,7 @@
 	require.Equal(t, http.StatusOK, reply.Status)
 	require.True(t, reply.Closing, "the entry must close the connection after the reply")
 	long := <-replies
-	require.False(t, long.Cut)
+	require.False(t, long.Truncated)
 	require.Equal(t, eventStream("long", 1500), long.Body)
 	require.NoError(t, <-f.nodes[0].done)
 	f.nodes[0].done <- nil
@@ -366,10 +366,10 @@
 	f.site.Configure()
 	request := f.newRequest(0, imitator.StagesPath, "waits")
 	request.Pieces = "1,1"
-	request.Patience = time.Minute
+	request.Timeout = time.Minute
 	require.Eventually(t, func() bool {
 		for _, nd := range f.nodes {
-			if f.call(imitator.Ask{Address: nd.callers, Path: "/none/", ID: "x"}).Status != http.StatusNotFound {
+			if f.call(imitator.Request{Address: nd.callers, Path: "/none/", ID: "x"}).Status != http.StatusNotFound {
 				return false
 			}
 		}
@@ -392,7 +392,7 @@
 	f.site.Configure()
 	request := f.newRequest(0, imitator.StagesPath, "waits")
 	request.Pieces = "1,1"
-	request.Patience = time.Minute
+	request.Timeout = time.Minute
 	ctx, disconnect := context.WithTimeout(t.Context(), 10*time.Second)
 	defer disconnect()
 	reply, err := request.Call(ctx)
@@ -408,16 +408,16 @@
 	f := newFleet(t, 1)
 	for i := range 2 {
 		e := f.site.Endpoint(fmt.Sprintf("i-model-%d", i))
-		e.Events, e.Pause, e.Padding = 1_000_000, 0, 4<<10
+		e.Events, e.EventInterval, e.Padding = 1_000_000, 0, 4<<10
 	}
 	conn, err := net.Dial("tcp", f.nodes[0].callers)
 	require.NoError(t, err)
 	defer func() { _ = conn.Close() }()
 	request := f.newRequest(0, imitator.StreamPath, "unread")
-	request.Patience = 500 * time.Millisecond
+	request.Timeout = 500 * time.Millisecond
 	require.NoError(t, request.Send(t.Context(), conn))
 	require.Eventually(t, func() bool {
-		return f.site.Endpoint("i-model-0").Gone()+f.site.Endpoint("i-model-1").Gone() == 1
+		return f.site.Endpoint("i-model-0").CanceledRuns()+f.site.Endpoint("i-model-1").CanceledRuns() == 1
 	}, waitTimeout, 20*time.Millisecond)
 	require.Eventually(t, func() bool {
 		return f.metric(0, "geraniumline_forward_in_flight") == "0"
--- a/assembler/openness_test.go
+++ b/assembler/openness_test.go
@@ -69,13 +69,13 @@
 	}
 	// Neither a newer configuration nor the loss of the operator's history may end the evacuation.
 	f.site.Configure()
-	f.site.ForgetOperator()
+	f.site.CompactOperator()
 	time.Sleep(200 * time.Millisecond)
 	for entry := range 3 {
 		require.True(t, f.receivesNothing(entry, 1))
 	}
-	f.site.TakeBack(imitator.ZoneB)
-	f.site.ForgetOperator()
+	f.site.EndEvacuation(imitator.ZoneB)
+	f.site.CompactOperator()
 	for entry := range 3 {
 		require.Eventually(t, func() bool { return !f.receivesNothing(entry, 1) }, waitTimeout, 20*time.Millisecond)
 	}
@@ -102,7 +102,7 @@
 	f.site.Evacuate(imitator.ZoneB)
 	f.site.Evacuate(imitator.ZoneA)
 	for _, path := range []string{imitator.PlainPath, imitator.OncePath, imitator.StreamPath, imitator.StagesPath} {
-		var reply imitator.Reply
+		var reply imitator.Response
 		id := "all" + path
 		require.Eventually(t, func() bool {
 			began := time.Now()
@@ -113,7 +113,7 @@
 		}, waitTimeout, 20*time.Millisecond)
 		require.NotEmpty(t, reply.RetryAfter, path)
 	}
-	f.site.TakeBack(imitator.ZoneA)
+	f.site.EndEvacuation(imitator.ZoneA)
 	require.Eventually(t, func() bool {
 		return f.call(f.newRequest(0, imitator.PlainPath, "again")).Status == http.StatusOK
 	}, waitTimeout, 20*time.Millisecond)
@@ -128,7 +128,7 @@
 	f.site.Configure()
 	require.Eventually(t, func() bool { return f.receivesNothing(0, 1) }, waitTimeout, 20*time.Millisecond)
 	f.site.Evacuate(imitator.ZoneA)
-	var reply imitator.Reply
+	var reply imitator.Response
 	require.Eventually(t, func() bool {
 		reply = f.call(f.newRequest(0, imitator.OncePath, "home"))
 		return reply.Status == http.StatusServiceUnavailable
@@ -148,11 +148,11 @@
 func TestAColdEndpointIsNotOverrun(t *testing.T) {
 	f := newFleet(t, 3)
 	const cold = "i-model-1"
-	f.site.Chill(cold, "model", waitTimeout)
+	f.site.MakeCold(cold, "model", waitTimeout)
 	for entry := range 3 {
 		require.Eventually(t, func() bool { return f.metric(entry, "geraniumline_endpoints_cold") == "1" }, waitTimeout, 20*time.Millisecond)
 	}
-	f.site.Endpoint(cold).Chill(waitTimeout)
+	f.site.Endpoint(cold).MakeCold(waitTimeout)
 	var callers sync.WaitGroup
 	for i := range 120 {
 		callers.Go(func() {
--- a/faker/control.go
+++ b/faker/control.go
@@ -5,14 +5,14 @@
 	"net/http"
 )
 
-// Paths by which a test drives a stand-in. They are no part of the interfaces that the product sees.
+// Paths by which tests control a stand-in. They are not part of the interfaces that the product uses.
 const (
-	faultsPath  = "/control/faults"
-	ledgerPath  = "/control/ledger"
-	vmsPath     = "/control/vms"
-	trimPath    = "/control/trim"
-	returnPath  = "/control/return"
-	controlBody = 1 << 20
+	faultsPath          = "/control/faults"
+	ledgerPath          = "/control/ledger"
+	vmsPath             = "/control/vms"
+	trimPath            = "/control/trim"
+	returnPath          = "/control/return"
+	maxControlBodyBytes = 1 << 20
 )
 
 type controlError struct {
@@ -23,21 +23,21 @@
 func writeJSON(w http.ResponseWriter, status int, value any) {
 	w.Header().Set("Content-Type", "application/json")
 	w.WriteHeader(status)
-	// The reader may have gone; there is nobody left to tell.
+	// The client may have disconnected, so the error cannot be reported to it.
 	_ = json.NewEncoder(w).Encode(value)
 }
 
-func readJSON(w http.ResponseWriter, r *http.Request, into any) bool {
-	decoder := json.NewDecoder(http.MaxBytesReader(w, r.Body, controlBody))
+func readJSON(w http.ResponseWriter, r *http.Request, target any) bool {
+	decoder := json.NewDecoder(http.MaxBytesReader(w, r.Body, maxControlBodyBytes))
 	decoder.DisallowUnknownFields()
-	if err := decoder.Decode(into); err != nil {
+	if err := decoder.Decode(target); err != nil {
 		writeJSON(w, http.StatusBadRequest, controlError{Code: "badCall", Message: err.Error()})
 		return false
 	}
 	return true
 }
 
-// handleSwitches serves GET and PUT of a whole set of switches; a PUT replaces all of them.
+// handleSwitches registers GET and PUT handlers for a set of fault switches. PUT replaces the whole set.
 func handleSwitches[T any](mux *http.ServeMux, s *switches[T], check func(T) error) {
 	mux.HandleFunc("GET "+faultsPath, func(w http.ResponseWriter, _ *http.Request) {
 		writeJSON(w, http.StatusOK, s.get())
--- a/faker/endpoint.go
+++ b/faker/endpoint.go
@@ -12,67 +12,69 @@
 	"geraniumline/endpointserver"
 )
 
-// maxStageBody bounds the body of a call to an endpoint, in bytes.
-const maxStageBody = 1 << 20
+// maxStageBodyBytes is the maximum size of the body of a call to an endpoint.
+const maxStageBodyBytes = 1 << 20
 
-// EndpointConfig is what engines and services have in common. Zero fields take the defaults in brackets.
+// EndpointConfig contains the settings that engines and services share. Zero fields take the defaults
+// given in brackets.
 type EndpointConfig struct {
-	// Name begins the ids of the endpoint's streams [endpoint].
+	// Name is the prefix of the endpoint's stream ids [endpoint].
 	Name string
-	// Slots is how many calls run at the same time [8].
+	// Slots is the number of calls that can run concurrently [8].
 	Slots int
-	// MaxWaiting is how many more calls may wait [256]; the next is refused with code overloaded.
+	// MaxWaiting is the number of further calls that can wait [256]; others are refused with code
+	// overloaded.
 	MaxWaiting int
-	// LoadLag is how old a load report is [200 ms].
+	// LoadLag is the age of the data in a load report [200 ms].
 	LoadLag time.Duration
-	// Seed feeds what varies: service times, faults by rate and cache event gaps.
+	// Seed seeds the random service times, faults by rate and cache event gaps.
 	Seed uint64
-	// Faults are the switches at the start.
+	// Faults are the initial fault switches.
 	Faults Faults
-	// OnCrash is called in place of the process's end when a call's input contains CrashOnInput.
+	// OnCrash is called when a call's input contains CrashOnInput. The standin program ends the process in it.
 	OnCrash func()
 }
 
 func (cfg EndpointConfig) withDefaults() EndpointConfig {
-	cfg.Name = defaultTo(cfg.Name, "endpoint")
-	cfg.Slots = defaultTo(cfg.Slots, 8)
-	cfg.MaxWaiting = defaultTo(cfg.MaxWaiting, 256)
-	cfg.LoadLag = defaultTo(cfg.LoadLag, 200*time.Millisecond)
+	cfg.Name = valueOrDefault(cfg.Name, "endpoint")
+	cfg.Slots = valueOrDefault(cfg.Slots, 8)
+	cfg.MaxWaiting = valueOrDefault(cfg.MaxWaiting, 256)
+	cfg.LoadLag = valueOrDefault(cfg.LoadLag, 200*time.Millisecond)
 	return cfg
 }
 
-// Endpoint is a running stand-in of an engine or a service.
+// Endpoint is a running stand-in for an engine or a service.
 type Endpoint struct {
-	cfg     EndpointConfig
-	work    work
-	faults  *switches[Faults]
-	ledger  *ledger
-	streams *streamStore
-	queue   *slotQueue
-	load    *loadHistory
-	fences  *fenceTable
-	handler http.Handler
-	ctx     context.Context
-	stop    context.CancelFunc
-	wg      sync.WaitGroup
-	rngMu   sync.Mutex
-	rng     *rand.Rand
+	cfg       EndpointConfig
+	processor processor
+	faults    *switches[Faults]
+	ledger    *ledger
+	streams   *streamStore
+	queue     *slotQueue
+	load      *loadHistory
+	fences    *fenceTable
+	handler   http.Handler
+	ctx       context.Context
+	stop      context.CancelFunc
+	wg        sync.WaitGroup
+	rngMu     sync.Mutex
+	rng       *rand.Rand
 }
 
-func newEndpoint(cfg EndpointConfig, work work) *Endpoint {
+func newEndpoint(cfg EndpointConfig, processor processor) *Endpoint {
 	cfg = cfg.withDefaults()
 	ctx, stop := context.WithCancel(context.Background())
 	e := &Endpoint{
-		cfg:     cfg,
-		work:    work,
-		faults:  newSwitches(cfg.Faults),
-		ledger:  &ledger{},
-		streams: newStreamStore(streamPrefix(cfg.Name, time.Now())),
-		load:    &loadHistory{},
-		fences:  &fenceTable{results: make(map[fencedKey]fencedResult)},
-		ctx:     ctx,
-		stop:    stop,
-		rng:     rand.New(rand.NewPCG(cfg.Seed, cfg.Seed)),
+		cfg:       cfg,
+		processor: processor,
+		faults:    newSwitches(cfg.Faults),
+		ledger:    &ledger{},
+		streams:   newStreamStore(streamPrefix(cfg.Name, time.Now())),
+		load:      &loadHistory{},
+		fences:    &fenceTable{results: make(map[fencedKey]fencedResult)},
+		ctx:       ctx,
+		stop:      stop,
+		rng:       rand.New(rand.NewPCG(cfg.Seed, cfg.Seed)),
 	}
 	e.queue = &slotQueue{slots: cfg.Slots, maxWaiting: cfg.MaxWaiting, onChange: func(running, waiting int) {
 		e.load.record(time.Now(), running, waiting)
@@ -81,8 +83,9 @@
 	return e
 }
 
-// streamPrefix differs from start to start. Else a restarted endpoint would give a stream's id a second
-// time, and who resumes the first would get another request's parts.
+// streamPrefix returns a prefix that differs between starts of an endpoint. Otherwise a restarted endpoint
+// would reuse a stream id, and a caller that resumes the earlier stream would receive the parts of
+// another request.
 func streamPrefix(name string, now time.Time) string {
 	return name + "-" + strconv.FormatInt(now.UnixNano(), 36)
 }
@@ -90,51 +93,53 @@
 func (e *Endpoint) newHandler() http.Handler {
 	server, err := endpointserver.NewServer(e, e, endpointserver.WithErrorHandler(writeBadCall))
 	if err != nil {
-		panic(err) // Only a broken global metrics provider makes it fail.
+		panic(err) // NewServer fails only if the global metrics provider is broken.
 	}
 	mux := http.NewServeMux()
-	mux.Handle("/v1/", http.MaxBytesHandler(server, maxStageBody))
+	mux.Handle("/v1/", http.MaxBytesHandler(server, maxStageBodyBytes))
 	handleSwitches(mux, e.faults, Faults.check)
 	e.ledger.handle(mux)
 	return mux
 }
 
-// Handler serves the endpoint's interface and its control paths.
+// Handler returns the HTTP handler of the endpoint's interface and its control paths.
 func (e *Endpoint) Handler() http.Handler { return e.handler }
 
-// Faults returns the present switches.
+// Faults returns the current fault switches.
 func (e *Endpoint) Faults() Faults { return e.faults.get() }
 
-// SetFaults replaces all switches.
+// SetFaults replaces all fault switches.
 func (e *Endpoint) SetFaults(faults Faults) { e.faults.set(faults) }
 
-// Ledger returns all executions since the start or the last clearing.
+// Ledger returns the executions since the start or the last ClearLedger.
 func (e *Endpoint) Ledger() LedgerPage { return e.ledger.page() }
 
-// ClearLedger forgets all executions.
+// ClearLedger deletes all executions from the ledger.
 func (e *Endpoint) ClearLedger() { e.ledger.clear() }
 
-// Close cancels what runs and waits for its end.
+// Close cancels all running and waiting calls and waits until they have ended.
 func (e *Endpoint) Close() {
 	e.stop()
 	e.wg.Wait()
 }
 
-// RunStage takes in one call and sends its parts as they come.
+// RunStage runs a call and sends its parts as they are produced. It returns a RefusedError if the call is
+// refused.
 func (e *Endpoint) RunStage(ctx context.Context, call *endpointserver.StageCall, w http.ResponseWriter) error {
 	faults := e.faults.get()
 	if err := e.admit(call, faults); err != nil {
 		return err
 	}
-	s, err := e.startOrFind(call, faults)
+	s, err := e.startOrFindStream(call, faults)
 	if err != nil {
 		return err
 	}
-	reply := &reply{endpoint: e, w: w, stream: s, attempt: call.Attempt, faults: faults}
+	reply := &replyWriter{endpoint: e, w: w, stream: s, attempt: call.Attempt, faults: faults}
 	return reply.run(ctx)
 }
 
-// ResumeStream sends a kept stream's parts from a sequence number on.
+// ResumeStream sends the parts of a stored stream from a sequence number on. It returns a RefusedError if
+// the stream is unknown.
 func (e *Endpoint) ResumeStream(
 	ctx context.Context, params endpointserver.ResumeStreamParams, w http.ResponseWriter,
 ) error {
@@ -145,11 +150,12 @@
 	faults := e.faults.get()
 	faults.CutStreamAfterParts = 0
 	faults.DropReplyAfterRun = false
-	reply := &reply{endpoint: e, w: w, stream: s, attempt: s.call.Attempt, from: params.From, faults: faults}
+	reply := &replyWriter{endpoint: e, w: w, stream: s, attempt: s.call.Attempt, from: params.From, faults: faults}
 	return reply.run(ctx)
 }
 
-// CancelStream ends a stream's work and frees its slot.
+// CancelStream cancels the execution of a stream, which releases its slot. An unknown stream is ignored;
+// the error is always nil.
 func (e *Endpoint) CancelStream(_ context.Context, params endpointserver.CancelStreamParams) error {
 	if s := e.streams.find(params.StreamId); s != nil {
 		s.cancel()
@@ -157,19 +163,19 @@
 	return nil
 }
 
-// admit refuses what must not run, and lets the switches have their way.
+// admit refuses invalid calls and applies the fault switches that crash the endpoint or refuse calls.
 func (e *Endpoint) admit(call *endpointserver.StageCall, faults Faults) error {
 	if err := e.checkCall(call); err != nil {
 		return err
 	}
-	e.crashOn(call.Input, faults.CrashOnInput)
+	e.crashIfContains(call.Input, faults.CrashOnInput)
 	if faults.Leaving {
 		return refuse(endpointserver.RefusalCodeLeaving, "the endpoint is leaving")
 	}
 	if faults.RefuseAll {
 		return refuse(endpointserver.RefusalCodeOverloaded, "refused by switch")
 	}
-	if faults.FailFast || e.chance(faults.ErrorRate) {
+	if faults.FailFast || e.occursAtRate(faults.ErrorRate) {
 		return refuse(endpointserver.RefusalCodeFailed, "failed by switch")
 	}
 	return nil
@@ -179,15 +185,15 @@
 	if call.RequestId == "" || call.Stage == "" {
 		return refuse(endpointserver.RefusalCodeBadCall, "requestId and stage must be given")
 	}
-	switch work := e.work.(type) {
+	switch processor := e.processor.(type) {
 	case *generator:
-		return work.check(call)
+		return processor.check(call)
 	default:
 		return nil
 	}
 }
 
-func (e *Endpoint) startOrFind(call *endpointserver.StageCall, faults Faults) (*stream, error) {
+func (e *Endpoint) startOrFindStream(call *endpointserver.StageCall, faults Faults) (*stream, error) {
 	start := func() (*stream, error) { return e.start(call) }
 	if faults.IgnoreFence {
 		return start()
@@ -195,26 +201,27 @@
 	return e.fences.startOnce(call, start)
 }
 
-// start queues the call and runs it apart from the connection, which may break meanwhile.
+// start queues the call and runs it in the background, independently of the connection, which may break
+// in the meantime.
 func (e *Endpoint) start(call *endpointserver.StageCall) (*stream, error) {
 	if e.ctx.Err() != nil {
 		return nil, refuse(endpointserver.RefusalCodeLeaving, "the endpoint has stopped")
 	}
-	place, ok := e.queue.enqueue(call.Priority.Or(0))
+	waiter, ok := e.queue.enqueue(call.Priority.Or(0))
 	if !ok {
 		return nil, refuse(endpointserver.RefusalCodeOverloaded, "the queue is full")
 	}
 	ctx, cancel := context.WithCancel(e.ctx)
-	s := e.streams.add(call, e.outputOf(call), cancel, time.Now())
+	s := e.streams.add(call, e.expectedOutput(call), cancel, time.Now())
 	e.wg.Go(func() {
 		defer cancel()
-		e.execute(ctx, s, call.Input, place)
+		e.execute(ctx, s, call.Input, waiter)
 	})
 	return s, nil
 }
 
-func (e *Endpoint) execute(ctx context.Context, s *stream, input string, place *waiter) {
-	if err := e.queue.wait(ctx, place); err != nil {
+func (e *Endpoint) execute(ctx context.Context, s *stream, input string, waiter *waiter) {
+	if err := e.queue.wait(ctx, waiter); err != nil {
 		s.finish(result{}, "cancelled before it ran", 0, time.Now())
 		return
 	}
@@ -225,9 +232,9 @@
 	}
 	started := time.Now()
 	execution := e.ledger.begin(s.call, started)
-	r, err := e.runWork(ctx, s, input)
-	if err == nil && e.chance(e.faults.get().RunErrorRate) {
-		err = errFailedBySwitch
+	r, err := e.process(ctx, s, input)
+	if err == nil && e.occursAtRate(e.faults.get().RunErrorRate) {
+		err = errInjectedFailure
 	}
 	ended := time.Now()
 	cost := float64(ended.Sub(started)) / float64(time.Millisecond)
@@ -236,7 +243,7 @@
 	s.finish(r, failure, cost, ended)
 }
 
-var errFailedBySwitch = errors.New("failed by switch after it ran")
+var errInjectedFailure = errors.New("failed by switch after it ran")
 
 func outcomeOf(err error) (Outcome, string) {
 	switch {
@@ -249,8 +256,8 @@
 	}
 }
 
-func (e *Endpoint) crashOn(input, mark string) {
-	if mark == "" || !containsMark(input, mark) {
+func (e *Endpoint) crashIfContains(input, marker string) {
+	if marker == "" || !containsMarker(input, marker) {
 		return
 	}
 	if e.cfg.OnCrash != nil {
@@ -259,7 +266,7 @@
 	panic(http.ErrAbortHandler)
 }
 
-func (e *Endpoint) chance(rate float64) bool {
+func (e *Endpoint) occursAtRate(rate float64) bool {
 	if rate <= 0 {
 		return false
 	}
--- a/faker/engine_test.go
+++ b/faker/engine_test.go
@@ -13,7 +13,8 @@
 	"geraniumline/faker"
 )
 
-// fastEngine has one slot, so that a test decides what runs beside what.
+// fastEngine returns the configuration of an engine with one slot, so that a test controls which calls run
+// at the same time.
 func fastEngine() faker.EngineConfig {
 	return faker.EngineConfig{
 		EndpointConfig:  faker.EndpointConfig{Slots: 1, MaxWaiting: 8, LoadLag: 1},
@@ -24,7 +25,7 @@
 	}
 }
 
-// endlessCall occupies a slot until it is cancelled.
+// endlessCall returns a call that occupies a slot of a slow engine until it is cancelled.
 func endlessCall(requestID string) *endpointserver.StageCall {
 	call := stageCall(requestID)
 	call.MaxTokens = endpointserver.NewOptInt(4096)
@@ -55,7 +56,7 @@
 	return newPartReader(resp)
 }
 
-func TestEngineAnswersWholeStream(t *testing.T) {
+func TestEngineSendsCompleteStream(t *testing.T) {
 	e := faker.NewEngine(fastEngine())
 	parts := runCall(t, serveEndpoint(t, e), stageCall("r1"))
 	require.Len(t, parts, 6)
@@ -66,13 +67,13 @@
 	}
 	require.Equal(t, 6, parts[5].Total.Value)
 	require.Positive(t, parts[5].Cost.Value)
-	require.Equal(t, faker.Expect("generate", "r1", "input of r1", 6), textOf(parts))
+	require.Equal(t, faker.ExpectedOutput("generate", "r1", "input of r1", 6), textOf(parts))
 	require.Equal(t, []faker.Outcome{faker.OutcomeDone}, outcomes(e))
 }
 
-// The first part is on the wire while the engine still works; then the caller cancels by the stream's
-// id, which ends the stream with an error and frees the only slot for the next call.
-func TestEngineStreamsAtOnceAndCancels(t *testing.T) {
+// The first part arrives while the engine is still running. The caller then cancels the call by stream id,
+// which ends the stream with an error and releases the only slot for the next call.
+func TestEngineStreamsImmediatelyAndCancels(t *testing.T) {
 	e := faker.NewEngine(slowEngine())
 	url := serveEndpoint(t, e)
 	reader := openCall(t, url, endlessCall("r1"))
@@ -81,7 +82,7 @@
 	require.Equal(t, []faker.Outcome{faker.OutcomeRunning}, outcomes(e))
 	require.Equal(t, first.StreamId, reader.resp.Header.Get(faker.StreamIDHeader))
 	cancelStream(t, url, first.StreamId)
-	rest := reader.rest(t)
+	rest := reader.readAll(t)
 	last := rest[len(rest)-1]
 	require.True(t, last.Final)
 	require.Equal(t, "cancelled", last.Error.Value)
@@ -89,8 +90,8 @@
 	require.Equal(t, []faker.Outcome{faker.OutcomeCancelled, faker.OutcomeDone}, outcomes(e))
 }
 
-// The connection is cut after two parts. The engine goes on alone, and a second connection gets the
-// rest by the stream's id: the whole text without gap or overlap, from one execution.
+// The connection is closed after two parts while the engine continues. A second connection reads the rest
+// by stream id. Together they must return the complete text, without gap or overlap, from one execution.
 func TestEngineResumesCutStream(t *testing.T) {
 	cfg := fastEngine()
 	cfg.Faults = faker.Faults{CutStreamAfterParts: 2}
@@ -98,8 +99,8 @@
 	url := serveEndpoint(t, e)
 	parts := runCall(t, url, stageCall("r1"))
 	require.Len(t, parts, 2)
-	parts = append(parts, resume(t, url, parts[0].StreamId, 2).rest(t)...)
-	require.Equal(t, faker.Expect("generate", "r1", "input of r1", 6), textOf(parts))
+	parts = append(parts, resume(t, url, parts[0].StreamId, 2).readAll(t)...)
+	require.Equal(t, faker.ExpectedOutput("generate", "r1", "input of r1", 6), textOf(parts))
 	require.Len(t, e.Ledger().Executions, 1)
 	unknown := resume(t, url, "nothing", 0)
 	require.Equal(t, endpointserver.RefusalCodeUnknownStream, refusalCode(t, unknown))
@@ -116,12 +117,12 @@
 		call := stageCall(fmt.Sprintf("p%d-%d", priority, i))
 		call.Priority = endpointserver.NewOptInt(priority)
 		call.MaxTokens = endpointserver.NewOptInt(1)
-		// The header comes once the call has its place in the queue.
+		// The header arrives once the call is in the queue.
 		readers = append(readers, openCall(t, url, call))
 	}
 	cancelStream(t, url, running.resp.Header.Get(faker.StreamIDHeader))
 	for _, reader := range readers {
-		reader.rest(t)
+		reader.readAll(t)
 	}
 	var order []string
 	for _, execution := range e.Ledger().Executions {
@@ -130,7 +131,7 @@
 	require.Equal(t, []string{"running", "p9-2", "p1-0", "p1-1"}, order)
 }
 
-func TestEngineRefusesOverItsQueueAndReportsLoad(t *testing.T) {
+func TestEngineRefusesWhenQueueIsFullAndReportsLoad(t *testing.T) {
 	cfg := slowEngine()
 	cfg.MaxWaiting = 1
 	e := faker.NewEngine(cfg)
@@ -144,12 +145,13 @@
 		return err == nil && load.Running == 1 && load.Waiting == 1 && load.Slots == 1
 	})
 	cancelStream(t, url, waiting.resp.Header.Get(faker.StreamIDHeader))
-	parts := waiting.rest(t)
+	parts := waiting.readAll(t)
 	require.Equal(t, "cancelled before it ran", parts[0].Error.Value)
 	require.Len(t, e.Ledger().Executions, 1)
 }
 
-// Two inputs share 20 blocks; the second call finds them cached. A limited cache then loses them.
+// Two inputs share 20 blocks, and the second call finds them cached. Another input then evicts them from the
+// cache, which holds 21 blocks.
 func TestEnginePrefixCache(t *testing.T) {
 	shared := strings.Repeat("0123456789abcdef", 20*faker.BlockBytes/16)
 	cfg := fastEngine()
--- a/faker/ledger.go
+++ b/faker/ledger.go
@@ -8,10 +8,10 @@
 	"geraniumline/endpointserver"
 )
 
-// maxLedgerEntries bounds a ledger's memory; the oldest entries go first and are counted.
+// maxLedgerEntries limits the memory of a ledger. The oldest entries are dropped first and counted.
 const maxLedgerEntries = 200_000
 
-// Outcome is how an execution ended, as the ledger tells it.
+// Outcome is the state or result of an execution in the ledger.
 type Outcome string
 
 // The outcomes of an execution.
@@ -22,8 +22,8 @@
 	OutcomeCancelled Outcome = "cancelled"
 )
 
-// Execution is one run of a stage call, from its first work to its end. Refused calls have none, and
-// a stored result that is sent again has none either. Times are Unix milliseconds.
+// Execution is one run of a stage call, from the start of processing to its end. Refused calls and stored
+// results that are sent again create no execution. Times are Unix milliseconds; Cost is in milliseconds.
 type Execution struct {
 	RequestID      string  `json:"requestId"`
 	Account        string  `json:"account"`
@@ -38,19 +38,19 @@
 	Outcome        Outcome `json:"outcome"`
 }
 
-// LedgerPage is the whole ledger of one endpoint.
+// LedgerPage contains the whole ledger of an endpoint.
 type LedgerPage struct {
 	Executions []Execution `json:"executions"`
-	// Started counts all executions since the last clearing, also those dropped for room.
+	// Started counts all executions since the ledger was last cleared, including dropped ones.
 	Started int64 `json:"started"`
 	Dropped int64 `json:"dropped"`
 }
 
 type ledger struct {
-	mu      sync.Mutex
-	kept    []*Execution
-	started int64
-	dropped int64
+	mu         sync.Mutex
+	executions []*Execution
+	started    int64
+	dropped    int64
 }
 
 func (l *ledger) begin(call *endpointserver.StageCall, now time.Time) *Execution {
@@ -67,11 +67,11 @@
 	}
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if len(l.kept) >= maxLedgerEntries {
-		l.kept = append(l.kept[:0:0], l.kept[maxLedgerEntries/2:]...)
+	if len(l.executions) >= maxLedgerEntries {
+		l.executions = append(l.executions[:0:0], l.executions[maxLedgerEntries/2:]...)
 		l.dropped += maxLedgerEntries / 2
 	}
-	l.kept = append(l.kept, execution)
+	l.executions = append(l.executions, execution)
 	l.started++
 	return execution
 }
@@ -87,8 +87,8 @@
 func (l *ledger) page() LedgerPage {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	page := LedgerPage{Executions: make([]Execution, 0, len(l.kept)), Started: l.started, Dropped: l.dropped}
-	for _, execution := range l.kept {
+	page := LedgerPage{Executions: make([]Execution, 0, len(l.executions)), Started: l.started, Dropped: l.dropped}
+	for _, execution := range l.executions {
 		page.Executions = append(page.Executions, *execution)
 	}
 	return page
@@ -97,7 +97,7 @@
 func (l *ledger) clear() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.kept = nil
+	l.executions = nil
 	l.started = 0
 	l.dropped = 0
 }
@@ -112,16 +112,16 @@
 	})
 }
 
-// SideEffect names the work of one stage that may happen once at most.
+// SideEffect identifies a stage execution that must happen at most once.
 type SideEffect struct {
 	Account        string
 	IdempotencyKey string
 	Stage          string
 }
 
-// Doubled returns the side effects that the executions, gathered from all endpoints, contain more than
-// once, with their counts. Executions without a key or marked repeatable are passed over.
-func Doubled(executions []Execution) map[SideEffect]int {
+// RepeatedSideEffects returns the side effects that occur more than once in the executions of all
+// endpoints, with their counts. It skips executions without a key and repeatable ones.
+func RepeatedSideEffects(executions []Execution) map[SideEffect]int {
 	counts := make(map[SideEffect]int)
 	for _, execution := range executions {
 		if execution.Repeatable || execution.IdempotencyKey == "" {
--- a/faker/log_test.go
+++ b/faker/log_test.go
@@ -14,12 +14,12 @@
 	"geraniumline/platformserver"
 )
 
-func serveLog(t *testing.T, cfg faker.LogConfig) (*faker.Log, *platformserver.Client, *faker.Driver) {
+func startLog(t *testing.T, cfg faker.LogConfig) (*faker.Log, *platformserver.Client, *faker.ControlClient) {
 	l := faker.NewLog(cfg)
 	url := serve(t, l.Handler(), l.Close)
 	client, err := platformserver.NewClient(url)
 	require.NoError(t, err)
-	return l, client, faker.NewDriver(url[len("http://"):])
+	return l, client, faker.NewControlClient(url[len("http://"):])
 }
 
 func appendTo(ctx context.Context, client *platformserver.Client, text string) (int64, error) {
@@ -41,7 +41,7 @@
 	})
 }
 
-func texts(page *platformserver.RecordPage) []string {
+func recordTexts(page *platformserver.RecordPage) []string {
 	list := []string{}
 	for _, record := range page.Records {
 		list = append(list, string(record.Data))
@@ -72,27 +72,27 @@
 	for _, s := range scenarios {
 		t.Run(s.testName, func(t *testing.T) {
 			ctx := testContext(t)
-			_, client, driver := serveLog(t, s.cfg)
+			_, client, control := startLog(t, s.cfg)
 			for i, text := range []string{"a", "b", "c", "d"} {
 				offset, err := appendTo(ctx, client, text)
 				require.NoError(t, err)
 				require.Equal(t, int64(i+1), offset)
 			}
-			require.NoError(t, driver.Trim(ctx, faker.TrimCall{Stream: "claims", Before: s.trimBefore}))
+			require.NoError(t, control.Trim(ctx, faker.TrimCall{Stream: "claims", Before: s.trimBefore}))
 			page, err := readFrom(ctx, client, 0, 0)
 			require.NoError(t, err)
 			require.Equal(t, s.expectedFirst, page.First)
-			require.Equal(t, s.expectedTexts, texts(page))
+			require.Equal(t, s.expectedTexts, recordTexts(page))
 			require.Equal(t, int64(5), page.Next)
 		})
 	}
 }
 
-// A reader asks on from the next offset of each page. Offsets grow with holes, pages are short, and
-// no record may be missed or read twice; a hole must not look like records lost to retention.
-func TestLogOffsetsHaveHoles(t *testing.T) {
+// A reader continues from the next offset of each page. With gaps in the offsets and short pages, it must not
+// miss a record or read one twice, and a gap must not look like records deleted by retention.
+func TestLogOffsetsHaveGaps(t *testing.T) {
 	ctx := testContext(t)
-	_, client, _ := serveLog(t, faker.LogConfig{HoleRate: 0.5, Seed: 7})
+	_, client, _ := startLog(t, faker.LogConfig{HoleRate: 0.5, Seed: 7})
 	var appended []int64
 	for range 20 {
 		offset, err := appendTo(ctx, client, "x")
@@ -116,12 +116,12 @@
 	require.Equal(t, appended, read)
 }
 
-// The caller sees its connection closed and no offset. The record is in the log all the same, once,
-// and the next append gets its reply.
-func TestLogLosesReplyAfterEffect(t *testing.T) {
+// The connection of an append is closed without a reply. The record must be in the log exactly once, and the
+// next append must get its reply.
+func TestLogLosesReplyAfterAppend(t *testing.T) {
 	ctx := testContext(t)
-	l, client, driver := serveLog(t, faker.LogConfig{})
-	require.NoError(t, driver.SetFaults(ctx, faker.LogFaults{LoseReplies: 1}))
+	l, client, control := startLog(t, faker.LogConfig{})
+	require.NoError(t, control.SetFaults(ctx, faker.LogFaults{LoseReplies: 1}))
 	_, err := appendTo(ctx, client, "lost")
 	require.Error(t, err)
 	offset, err := appendTo(ctx, client, "kept")
@@ -129,8 +129,8 @@
 	require.Equal(t, int64(2), offset)
 	page, err := readFrom(ctx, client, 0, 0)
 	require.NoError(t, err)
-	require.Equal(t, []string{"lost", "kept"}, texts(page))
-	ledger, err := driver.LogLedger(ctx)
+	require.Equal(t, []string{"lost", "kept"}, recordTexts(page))
+	ledger, err := control.LogLedger(ctx)
 	require.NoError(t, err)
 	require.Equal(t, int64(2), ledger.Appends)
 	require.Equal(t, int64(len("lost")+len("kept")), ledger.AppendedBytes)
@@ -138,19 +138,19 @@
 	require.Zero(t, l.Faults().LoseReplies)
 }
 
-// In an outage each call fails, at once or when the outage ends, and nothing was appended meanwhile.
+// During an outage, each call fails, immediately or when the hang ends, and nothing is appended.
 func TestLogOutage(t *testing.T) {
 	scenarios := []struct {
 		testName string
 		outage   faker.Outage
 	}{
-		{"fails at once", faker.OutageFail},
-		{"hangs until its end", faker.OutageHang},
+		{"fails immediately", faker.OutageFail},
+		{"hangs, then fails", faker.OutageHang},
 	}
 	for _, s := range scenarios {
 		t.Run(s.testName, func(t *testing.T) {
 			ctx := testContext(t)
-			l, client, _ := serveLog(t, faker.LogConfig{Faults: faker.LogFaults{Outage: s.outage}})
+			l, client, _ := startLog(t, faker.LogConfig{Faults: faker.LogFaults{Outage: s.outage}})
 			failed := make(chan error, 1)
 			go func() {
 				_, err := appendTo(ctx, client, "x")
@@ -172,11 +172,11 @@
 	}
 }
 
-// A reader waits for longer than the test may take; an append or an outage ends its wait.
-func TestLogWakesWaitingReader(t *testing.T) {
+// A reader waits with a timeout as long as that of the test. An append or an outage must end its wait.
+func TestLogNotifiesWaitingReader(t *testing.T) {
 	scenarios := []struct {
 		testName      string
-		wake          func(ctx context.Context, l *faker.Log, client *platformserver.Client) error
+		trigger       func(ctx context.Context, l *faker.Log, client *platformserver.Client) error
 		expectedTexts []string
 	}{
 		{"append", func(ctx context.Context, _ *faker.Log, client *platformserver.Client) error {
@@ -191,36 +191,36 @@
 	for _, s := range scenarios {
 		t.Run(s.testName, func(t *testing.T) {
 			ctx := testContext(t)
-			l, client, _ := serveLog(t, faker.LogConfig{})
-			woken := make(chan error, 1)
+			l, client, _ := startLog(t, faker.LogConfig{})
+			readDone := make(chan error, 1)
 			var page *platformserver.RecordPage
 			go func() {
 				var err error
-				page, err = readFrom(ctx, client, 1, waitLimit)
-				woken <- err
+				page, err = readFrom(ctx, client, 1, testTimeout)
+				readDone <- err
 			}()
 			eventually(t, func() bool { return l.Ledger().Reads == 1 })
-			require.NoError(t, s.wake(ctx, l, client))
-			err := <-woken
+			require.NoError(t, s.trigger(ctx, l, client))
+			err := <-readDone
 			if s.expectedTexts == nil {
 				require.Equal(t, "outage", platformCode(t, err))
 				return
 			}
 			require.NoError(t, err)
-			require.Equal(t, s.expectedTexts, texts(page))
+			require.Equal(t, s.expectedTexts, recordTexts(page))
 		})
 	}
 }
 
-// A claim's append is slow, its sender gives up and tells its caller that nothing ran. The record
-// lands afterwards all the same.
-func TestLogSlowAppendLandsAfterItsCallerLeft(t *testing.T) {
+// The append of a claim is slow, so that its sender gives up and reports to its caller that nothing ran. The
+// record must still be appended afterwards.
+func TestLogExecutesSlowAppendAfterCallerDisconnects(t *testing.T) {
 	l := faker.NewLog(faker.LogConfig{Faults: faker.LogFaults{SlowAppendMillis: 1}})
-	ctx, leave := context.WithCancel(testContext(t))
+	ctx, cancel := context.WithCancel(testContext(t))
 	url := serve(t, http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		body, _ := io.ReadAll(r.Body)
 		r.Body = io.NopCloser(bytes.NewReader(body))
-		leave()
+		cancel()
 		<-r.Context().Done()
 		l.Handler().ServeHTTP(w, r)
 	}), l.Close)
@@ -233,7 +233,7 @@
 
 func TestLogLimitsAppends(t *testing.T) {
 	ctx := testContext(t)
-	_, client, _ := serveLog(t, faker.LogConfig{AppendsPerSecond: 0.001, AppendBurst: 1})
+	_, client, _ := startLog(t, faker.LogConfig{AppendsPerSecond: 0.001, AppendBurst: 1})
 	_, err := appendTo(ctx, client, "first")
 	require.NoError(t, err)
 	_, err = appendTo(ctx, client, "second")
@@ -244,8 +244,8 @@
 	require.Positive(t, failed.Response.RetryAfterMillis.Or(0))
 }
 
-// A log that returns from an older copy lacks what was appended since, and gives those offsets out again in a new era.
-func TestTheLogReturnsFromACopy(t *testing.T) {
+// A log restored from an older copy lacks the records appended since, and reuses their offsets in a new era.
+func TestLogRestoresFromCopy(t *testing.T) {
 	l := faker.NewLog(faker.LogConfig{})
 	t.Cleanup(l.Close)
 	appendOne := func() int64 {
@@ -256,8 +256,8 @@
 	for range 4 {
 		appendOne()
 	}
-	// The copy is older than all of them.
-	l.ReturnFromCopy(time.Minute, time.Now())
+	// The copy is older than all of these records.
+	l.RestoreFromCopy(time.Minute, time.Now())
 	require.Equal(t, int64(1), appendOne())
 	page, err := l.ReadRecords(t.Context(), platformserver.ReadRecordsParams{Stream: "s", From: 1})
 	require.NoError(t, err)
--- a/faker/logfaults.go
+++ b/faker/logfaults.go
@@ -5,19 +5,20 @@
 	"net/http"
 )
 
-// LogFaults are the switches of the log service's stand-in.
+// LogFaults are the fault switches of the log service stand-in.
 type LogFaults struct {
 	Outage Outage `json:"outage"`
-	// SlowAppendMillis passes before an append takes effect, which it does even if its caller has gone.
+	// SlowAppendMillis delays an append before it takes effect. The append is executed even if the
+	// caller has disconnected.
 	SlowAppendMillis int64 `json:"slowAppendMillis"`
-	// SlowAppendReplyMillis passes between an append's effect and its reply.
+	// SlowAppendReplyMillis delays the reply after an append has taken effect.
 	SlowAppendReplyMillis int64 `json:"slowAppendReplyMillis"`
-	// SlowReadMillis passes before a read.
+	// SlowReadMillis delays each read.
 	SlowReadMillis int64 `json:"slowReadMillis"`
-	// LoseReplies closes the connection without a reply for so many appends that took effect. It
-	// counts down, which GET shows.
+	// LoseReplies is the number of further appends that take effect but whose connection is closed
+	// without a reply. It counts down; GET returns the remaining number.
 	LoseReplies int `json:"loseReplies"`
-	// LoseReplyRate does so for a share of the appends.
+	// LoseReplyRate is the share of appends, from 0 to 1, whose reply is lost in the same way.
 	LoseReplyRate float64 `json:"loseReplyRate"`
 }
 
@@ -35,13 +36,13 @@
 func (l *Log) failInOutage(ctx context.Context) error {
 	err := failInOutage(ctx, l.faults, func(f LogFaults) Outage { return f.Outage })
 	if err != nil {
-		l.count(func(ledger *LogLedger) { ledger.Refused++ })
+		l.updateLedger(func(ledger *LogLedger) { ledger.Refused++ })
 	}
 	return err
 }
 
-// loseReply closes the connection in place of a reply, if the switches say so.
-func (l *Log) loseReply() {
+// maybeLoseReply closes the connection instead of sending a reply if the switches require it.
+func (l *Log) maybeLoseReply() {
 	lost := false
 	if l.faults.get().LoseReplies > 0 {
 		l.faults.update(func(f *LogFaults) {
@@ -49,10 +50,10 @@
 			f.LoseReplies = max(0, f.LoseReplies-1)
 		})
 	}
-	lost = lost || l.chance(l.faults.get().LoseReplyRate)
+	lost = lost || l.occursAtRate(l.faults.get().LoseReplyRate)
 	if !lost {
 		return
 	}
-	l.count(func(ledger *LogLedger) { ledger.LostReplies++ })
+	l.updateLedger(func(ledger *LogLedger) { ledger.LostReplies++ })
 	panic(http.ErrAbortHandler)
 }
--- a/faker/logledger.go
+++ b/faker/logledger.go
@@ -7,7 +7,8 @@
 	"time"
 )
 
-// LogLedger counts what the log service did since its start or the last clearing.
+// LogLedger contains the counters of the log service since its start or the last ClearLedger, and the
+// state of each stream.
 type LogLedger struct {
 	Appends       int64         `json:"appends"`
 	AppendedBytes int64         `json:"appendedBytes"`
@@ -18,7 +19,7 @@
 	Streams       []StreamState `json:"streams"`
 }
 
-// StreamState is one stream's extent and its appends since the start of the service.
+// StreamState is the offset range and size of a stream, and its appends since the service started.
 type StreamState struct {
 	Name          string `json:"name"`
 	First         int64  `json:"first"`
@@ -29,19 +30,19 @@
 	AppendedBytes int64  `json:"appendedBytes"`
 }
 
-// TrimCall drops a stream's records below an offset, as if retention had run.
+// TrimCall requests the deletion of a stream's records below an offset, as retention would do.
 type TrimCall struct {
 	Stream string `json:"stream"`
 	Before int64  `json:"before"`
 }
 
-func (l *Log) count(change func(*LogLedger)) {
+func (l *Log) updateLedger(change func(*LogLedger)) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	change(&l.ledger)
 }
 
-// Ledger returns the counts and the state of each stream.
+// Ledger returns the counters and the state of each stream, sorted by name.
 func (l *Log) Ledger() LogLedger {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -54,25 +55,25 @@
 			Next:          s.next,
 			Kept:          len(s.records),
 			KeptBytes:     s.bytes,
-			Appends:       s.appended,
-			AppendedBytes: s.sumBytes,
+			Appends:       s.appendCount,
+			AppendedBytes: s.appendedBytes,
 		})
 	}
 	slices.SortFunc(ledger.Streams, func(a, b StreamState) int { return strings.Compare(a.Name, b.Name) })
 	return ledger
 }
 
-// ReturnCall has the log return from a copy of so long ago.
-type ReturnCall struct {
+// RestoreCall requests that the log be restored from a copy of the given age.
+type RestoreCall struct {
 	AgeMillis int64 `json:"ageMillis"`
 }
 
-// ClearLedger sets the counts to 0; the streams stay.
+// ClearLedger resets the counters to 0. It does not change the streams.
 func (l *Log) ClearLedger() {
-	l.count(func(ledger *LogLedger) { *ledger = LogLedger{} })
+	l.updateLedger(func(ledger *LogLedger) { *ledger = LogLedger{} })
 }
 
-// Trim drops a stream's records below an offset, as if retention had run.
+// Trim deletes a stream's records below an offset, as retention would do.
 func (l *Log) Trim(call TrimCall) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -98,11 +99,11 @@
 		w.WriteHeader(http.StatusNoContent)
 	})
 	mux.HandleFunc("POST "+returnPath, func(w http.ResponseWriter, r *http.Request) {
-		var call ReturnCall
+		var call RestoreCall
 		if !readJSON(w, r, &call) {
 			return
 		}
-		l.ReturnFromCopy(millis(call.AgeMillis), time.Now())
+		l.RestoreFromCopy(millis(call.AgeMillis), time.Now())
 		w.WriteHeader(http.StatusNoContent)
 	})
 }
--- a/faker/platform.go
+++ b/faker/platform.go
@@ -10,10 +10,11 @@
 	"geraniumline/platformserver"
 )
 
-// maxPlatformBody bounds a body in bytes: a record of 1 MiB in base64, and what goes around it.
-const maxPlatformBody = 1<<20*4/3 + 4096
+// maxPlatformBodyBytes is the maximum size of a request body: a record of 1 MiB in base64 and the
+// surrounding JSON.
+const maxPlatformBodyBytes = 1<<20*4/3 + 4096
 
-// The codes of the platform's errors.
+// Error codes of the platform services.
 const (
 	codeOutage      = "outage"
 	codeRateLimited = "rateLimited"
@@ -21,11 +22,11 @@
 	codeFailed      = "failed"
 )
 
-// Outage is how a platform service behaves while it is down.
+// Outage is the behaviour of a platform service while it is down.
 type Outage string
 
-// The ways of an outage. With OutageFail each call fails at once; with OutageHang it gets no reply
-// until the outage ends, and then fails. Neither takes effect.
+// Kinds of outage. With OutageFail, each call fails immediately. With OutageHang, a call gets no reply
+// until the kind of outage changes, and then fails. In neither case does the call take effect.
 const (
 	OutageNone Outage = ""
 	OutageFail Outage = "fail"
@@ -41,8 +42,8 @@
 	}
 }
 
-// failInOutage returns an error while the outage lasts: at once, or when hanging at its end. If the
-// caller goes before that, the reply is the same to nobody.
+// failInOutage returns an error during an outage: immediately, or with OutageHang when the outage ends.
+// The context's error is ignored because a caller that has disconnected receives no reply.
 func failInOutage[T any](ctx context.Context, faults *switches[T], outage func(T) Outage) error {
 	switch outage(faults.get()) {
 	case OutageNone:
@@ -53,19 +54,19 @@
 	return errOutage
 }
 
-// PlatformFailedError is a platform service's refusal.
-type PlatformFailedError struct {
+// PlatformError reports that a platform service refused or failed a call.
+type PlatformError struct {
 	Code             string
 	Message          string
 	RetryAfterMillis int64
 }
 
-// Error gives the code and the message.
-func (e *PlatformFailedError) Error() string {
+// Error returns the code and the message.
+func (e *PlatformError) Error() string {
 	return fmt.Sprintf("%s: %s", e.Code, e.Message)
 }
 
-var errOutage = &PlatformFailedError{Code: codeOutage, Message: "the service is down"}
+var errOutage = &PlatformError{Code: codeOutage, Message: "the service is down"}
 
 func platformStatus(code string) int {
 	switch code {
@@ -80,34 +81,36 @@
 	}
 }
 
-// unserved refuses all of the platform's calls; each service overrides those that it serves.
-type unserved struct{}
+// unimplemented refuses all platform calls. Each service embeds it and overrides the calls that it serves.
+type unimplemented struct{}
 
-var errNotServed = &PlatformFailedError{Code: codeNotServed, Message: "another service serves this path"}
+var errNotServed = &PlatformError{Code: codeNotServed, Message: "another service serves this path"}
 
-func (unserved) AppendRecord(
+func (unimplemented) AppendRecord(
 	context.Context, *platformserver.AppendCall, platformserver.AppendRecordParams,
 ) (*platformserver.AppendReply, error) {
 	return nil, errNotServed
 }
 
-func (unserved) ReadRecords(
+func (unimplemented) ReadRecords(
 	context.Context, platformserver.ReadRecordsParams,
 ) (*platformserver.RecordPage, error) {
 	return nil, errNotServed
 }
 
-func (unserved) ListVms(context.Context) (*platformserver.VmList, error) { return nil, errNotServed }
+func (unimplemented) ListVms(context.Context) (*platformserver.VmList, error) {
+	return nil, errNotServed
+}
 
-func (unserved) GetWeights(
+func (unimplemented) GetWeights(
 	context.Context, platformserver.GetWeightsParams,
 ) (*platformserver.Weights, error) {
 	return nil, errNotServed
 }
 
-func (unserved) NewError(_ context.Context, err error) *platformserver.PlatformErrorStatusCode {
+func (unimplemented) NewError(_ context.Context, err error) *platformserver.PlatformErrorStatusCode {
 	reply := platformserver.PlatformError{Code: codeFailed, Message: err.Error()}
-	var failed *PlatformFailedError
+	var failed *PlatformError
 	if errors.As(err, &failed) {
 		reply.Code = failed.Code
 		reply.Message = failed.Message
@@ -118,13 +121,13 @@
 	return &platformserver.PlatformErrorStatusCode{StatusCode: platformStatus(reply.Code), Response: reply}
 }
 
-func platformMux(handler platformserver.Handler) *http.ServeMux {
+func newPlatformMux(handler platformserver.Handler) *http.ServeMux {
 	server, err := platformserver.NewServer(handler, platformserver.WithErrorHandler(writeBadCall))
 	if err != nil {
-		panic(err) // Only a broken global metrics provider makes it fail.
+		panic(err) // NewServer fails only if the global metrics provider is broken.
 	}
 	mux := http.NewServeMux()
-	mux.Handle("/v1/", http.MaxBytesHandler(server, maxPlatformBody))
+	mux.Handle("/v1/", http.MaxBytesHandler(server, maxPlatformBodyBytes))
 	return mux
 }
 
--- a/faker/server.go
+++ b/faker/server.go
@@ -11,7 +11,7 @@
 	"time"
 )
 
-// Bounds that keep a mistake in a test harmless.
+// Limits on the resources that a faulty test can use.
 const (
 	maxConnections    = 16_384
 	maxHeaderBytes    = 64 << 10
@@ -20,23 +20,24 @@
 	stopTimeout       = 2 * time.Second
 )
 
-// ServeConfig says where a stand-in listens and what it serves.
+// ServeConfig configures the HTTP server of a stand-in.
 type ServeConfig struct {
-	// Listen is host:port; port 0 takes a free one.
+	// Listen is the address as host:port; port 0 selects a free port.
 	Listen  string
 	Handler http.Handler
-	// Ready gets one line of JSON when the listener is open.
+	// Ready receives one line of JSON with the address when the listener is open.
 	Ready io.Writer
-	// Close ends what runs apart from connections, and makes waiting calls return.
+	// Close stops the handler's background work and makes waiting calls return. It may be nil.
 	Close func()
 }
 
-type readyLine struct {
+type readyMessage struct {
 	Ready   bool   `json:"ready"`
 	Address string `json:"address"`
 }
 
-// Serve serves until the context's end, then stops within a short time.
+// Serve serves HTTP until the context ends, then shuts down within stopTimeout. It returns an error if
+// it cannot listen, write to Ready or serve.
 func Serve(ctx context.Context, cfg ServeConfig) error {
 	listener, err := net.Listen("tcp", cfg.Listen)
 	if err != nil {
@@ -48,14 +49,14 @@
 		IdleTimeout:       idleTimeout,
 		MaxHeaderBytes:    maxHeaderBytes,
 	}
-	ready := readyLine{Ready: true, Address: listener.Addr().String()}
+	ready := readyMessage{Ready: true, Address: listener.Addr().String()}
 	if err := json.NewEncoder(cfg.Ready).Encode(ready); err != nil {
 		return errors.Join(err, listener.Close())
 	}
-	served := make(chan error, 1)
-	go func() { served <- server.Serve(newBoundedListener(listener, maxConnections)) }()
+	serveErr := make(chan error, 1)
+	go func() { serveErr <- server.Serve(newLimitedListener(listener, maxConnections)) }()
 	select {
-	case err := <-served:
+	case err := <-serveErr:
 		return err
 	case <-ctx.Done():
 	}
@@ -74,39 +75,39 @@
 	return nil
 }
 
-// boundedListener closes connections over its bound at once.
-type boundedListener struct {
+// limitedListener limits the number of open connections and closes excess ones immediately.
+type limitedListener struct {
 	net.Listener
-	places chan struct{}
+	slots chan struct{}
 }
 
-func newBoundedListener(l net.Listener, n int) *boundedListener {
-	return &boundedListener{Listener: l, places: make(chan struct{}, n)}
+func newLimitedListener(l net.Listener, n int) *limitedListener {
+	return &limitedListener{Listener: l, slots: make(chan struct{}, n)}
 }
 
-// Accept returns the next connection that has a place.
-func (l *boundedListener) Accept() (net.Conn, error) {
+// Accept returns the next connection within the limit.
+func (l *limitedListener) Accept() (net.Conn, error) {
 	for {
 		conn, err := l.Listener.Accept()
 		if err != nil {
 			return nil, err
 		}
 		select {
-		case l.places <- struct{}{}:
-			return &placedConn{Conn: conn, free: sync.OnceFunc(func() { <-l.places })}, nil
+		case l.slots <- struct{}{}:
+			return &limitedConn{Conn: conn, release: sync.OnceFunc(func() { <-l.slots })}, nil
 		default:
-			_ = conn.Close() // It was never used.
+			_ = conn.Close() // The connection has not been used.
 		}
 	}
 }
 
-type placedConn struct {
+type limitedConn struct {
 	net.Conn
-	free func()
+	release func()
 }
 
-// Close frees the connection's place.
-func (c *placedConn) Close() error {
-	c.free()
+// Close closes the connection and releases its slot in the listener.
+func (c *limitedConn) Close() error {
+	c.release()
 	return c.Conn.Close()
 }
--- a/faker/slotqueue.go
+++ b/faker/slotqueue.go
@@ -6,7 +6,8 @@
 	"sync"
 )
 
-// slotQueue hands a fixed number of slots to waiting calls: higher priority first, then the older.
+// slotQueue assigns a fixed number of slots to waiting calls, in order of descending priority and then
+// of arrival.
 type slotQueue struct {
 	mu         sync.Mutex
 	slots      int
@@ -24,7 +25,7 @@
 	granted  chan struct{}
 }
 
-// enqueue returns a place in the queue, or false if the queue is full.
+// enqueue adds a call to the queue. It returns false if the queue is full.
 func (q *slotQueue) enqueue(priority int) (*waiter, bool) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
@@ -32,26 +33,27 @@
 		return nil, false
 	}
 	q.arrivals++
-	place := &waiter{priority: priority, arrival: q.arrivals, granted: make(chan struct{})}
-	heap.Push(&q.waiting, place)
+	waiter := &waiter{priority: priority, arrival: q.arrivals, granted: make(chan struct{})}
+	heap.Push(&q.waiting, waiter)
 	q.grant()
-	return place, true
+	return waiter, true
 }
 
-// wait returns when the place has a slot. On the context's end the place is given up.
-func (q *slotQueue) wait(ctx context.Context, place *waiter) error {
+// wait blocks until the waiter has a slot. If the context ends first, it removes the waiter from the
+// queue or releases its slot, and returns the context's error.
+func (q *slotQueue) wait(ctx context.Context, waiter *waiter) error {
 	select {
-	case <-place.granted:
+	case <-waiter.granted:
 		return nil
 	case <-ctx.Done():
 	}
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	select {
-	case <-place.granted:
+	case <-waiter.granted:
 		q.running--
 	default:
-		heap.Remove(&q.waiting, place.index)
+		heap.Remove(&q.waiting, waiter.index)
 	}
 	q.grant()
 	return ctx.Err()
@@ -72,9 +74,9 @@
 
 func (q *slotQueue) grant() {
 	for q.running < q.slots && len(q.waiting) > 0 {
-		place := heap.Pop(&q.waiting).(*waiter)
+		waiter := heap.Pop(&q.waiting).(*waiter)
 		q.running++
-		close(place.granted)
+		close(waiter.granted)
 	}
 	q.onChange(q.running, len(q.waiting))
 }
@@ -97,15 +99,15 @@
 }
 
 func (h *waitHeap) Push(x any) {
-	place := x.(*waiter)
-	place.index = len(*h)
-	*h = append(*h, place)
+	waiter := x.(*waiter)
+	waiter.index = len(*h)
+	*h = append(*h, waiter)
 }
 
 func (h *waitHeap) Pop() any {
 	old := *h
-	place := old[len(old)-1]
+	waiter := old[len(old)-1]
 	old[len(old)-1] = nil
 	*h = old[:len(old)-1]
-	return place
+	return waiter
 }
--- a/faker/vmhistory.go
+++ b/faker/vmhistory.go
@@ -14,7 +14,7 @@
 
 const maxVMVersions = 1024
 
-// vmHistory answers what the list was at some time.
+// vmHistory stores past versions of the VM list, for lookup by time.
 type vmHistory struct {
 	mu       sync.Mutex
 	versions []vmVersion
@@ -40,7 +40,7 @@
 	return h.versions[0].vms
 }
 
-func (h *vmHistory) newest() []platformserver.VM {
+func (h *vmHistory) latest() []platformserver.VM {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return h.versions[len(h.versions)-1].vms
--- a/forwarder/delegation.go
+++ b/forwarder/delegation.go
@@ -98,7 +98,7 @@
 		return nil
 	}
 	owner, known := f.owner(a.service, a.avoid)
-	if !known || f.cfg.Off.Has(switcher.OneCollector) {
+	if !known || f.cfg.Disabled.Has(switcher.OneCollector) {
 		owner = f.cfg.Name
 	}
 	a.owner = owner
@@ -187,7 +187,7 @@
 	if !lost && !silent {
 		return false
 	}
-	f.cfg.Meter.Counter(meter.PieceMoved).Inc(1)
+	f.cfg.Meter.Counter(meter.PieceAsksMoved).Inc(1)
 	f.log.Warn("moving delegation to another entry",
 		zap.String("request", a.group.ID.Request),
 		zap.String("service", a.service),
